--- a/internal/forward/limit.go
+++ b/internal/forward/limit.go
@@ -28,7 +28,7 @@
 // refundLimit gives back what a request was let through for if it has not run.
 func (c *Carrier) refundLimit(cl *call) {
 	if cl.paid {
-		c.limits.Return(cl.Organisation.Name, c.now())
+		c.limits.Refund(cl.Organisation.Name, c.now())
 	}
 }
 
--- a/internal/inflight/report.go
+++ b/internal/inflight/report.go
@@ -71,7 +71,7 @@
 	// UsesScope says.
 	HasUses   bool
 	UsesScope Scope
-	Uses      []quota.Use
+	Uses      []quota.Usage
 	// Covered is the weight of the entries that the uses are of; see Fleet.
 	Covered int
 	// Relayed is set if the uses are what another hub told the sender.
--- a/internal/inflight/uses.go
+++ b/internal/inflight/uses.go
@@ -29,29 +29,29 @@
 
 // Limits is what an Exchange tells of the use of limits, and where it brings what it is told.
 type Limits interface {
-	// Uses returns the use by the own entry, and what the speakers tell that are asked for.
-	Uses(own bool, from func(speaker string) bool, now time.Time) []quota.Use
-	// Limits reports whether there is anything to tell at all.
-	Limits() bool
-	// Covered returns the weight of the entries beside the own one that the speakers tell of.
-	Covered(from func(speaker string) bool, now time.Time) int
-	// Heard takes in what a speaker tells.
-	Heard(t quota.Told, now time.Time)
-	// Expect sets the weight of the own entry, and which sources there are.
-	Expect(self int, sources []quota.Source, now time.Time)
+	// Usages returns the use by the own entry, and what the speakers tell that are asked for.
+	Usages(own bool, from func(speaker string) bool, now time.Time) []quota.Usage
+	// HasLimits reports whether there is anything to tell at all.
+	HasLimits() bool
+	// CoveredWeight returns the weight of the entries beside the own one that the speakers tell of.
+	CoveredWeight(from func(speaker string) bool, now time.Time) int
+	// HandleReport takes in what a speaker tells.
+	HandleReport(t quota.Report, now time.Time)
+	// SetSources sets the weight of the own entry, and which sources there are.
+	SetSources(self int, sources []quota.Source, now time.Time)
 }
 
-func appendUses(b []byte, uses []quota.Use) []byte {
+func appendUses(b []byte, uses []quota.Usage) []byte {
 	for _, u := range uses[:min(len(uses), maxUses)] {
 		b = protowire.AppendFixed32(b, u.Organisation)
 		b = protowire.AppendVarint(b, uint64(math.Round(u.Admitted/usePart)))
-		b = protowire.AppendVarint(b, uint64(math.Round(u.Asked/usePart)))
+		b = protowire.AppendVarint(b, uint64(math.Round(u.Requested/usePart)))
 	}
 	return b
 }
 
-func decodeUses(b []byte) ([]quota.Use, error) {
-	var out []quota.Use
+func decodeUses(b []byte) ([]quota.Usage, error) {
+	var out []quota.Usage
 	var h uint32
 	var v [2]uint64
 	var err error
@@ -65,14 +65,14 @@
 		if v[0] > maxUse || v[1] > maxUse {
 			return nil, errMalformed
 		}
-		out = append(out, quota.Use{Organisation: h, Admitted: float64(v[0]) * usePart, Asked: float64(v[1]) * usePart})
+		out = append(out, quota.Usage{Organisation: h, Admitted: float64(v[0]) * usePart, Requested: float64(v[1]) * usePart})
 	}
 	return out, nil
 }
 
 // splitUses divides the uses into reports that fit a datagram.
-func splitUses(r Report, uses []quota.Use) []Report {
-	return splitByHash(r, uses, maxUses, func(u quota.Use) uint32 { return u.Organisation }, func(r *Report, part []quota.Use) { r.Uses = part })
+func splitUses(r Report, uses []quota.Usage) []Report {
+	return splitByHash(r, uses, maxUses, func(u quota.Usage) uint32 { return u.Organisation }, func(r *Report, part []quota.Usage) { r.Uses = part })
 }
 
 // tellUses tells peers the use of limits.
@@ -83,13 +83,13 @@
 	whole := Report{
 		Entry: x.opt.Entry, Incarnation: x.opt.Incarnation, Sequence: x.seq,
 		Scope: ScopeNone, HasUses: true, UsesScope: scope,
-		Covered: x.opt.Limits.Covered(from, now), Idle: x.idle(now),
+		Covered: x.opt.Limits.CoveredWeight(from, now), Idle: x.idle(now),
 		Relayed: scope == ScopeOthers && x.relays,
 	}
 	if own {
 		whole.Covered += x.weight
 	}
-	for _, r := range splitUses(whole, x.opt.Limits.Uses(own, from, now)) {
+	for _, r := range splitUses(whole, x.opt.Limits.Usages(own, from, now)) {
 		x.buf = r.Append(x.buf[:0])
 		for _, p := range peers {
 			_, _ = x.conn.WriteToUDPAddrPort(x.buf, p.Address)
@@ -98,7 +98,7 @@
 }
 
 // limits reports whether the use of limits is to be told.
-func (x *Exchange) limits() bool { return x.opt.Limits != nil && x.opt.Limits.Limits() }
+func (x *Exchange) limits() bool { return x.opt.Limits != nil && x.opt.Limits.HasLimits() }
 
 // useToAll tells all peers of a small fleet.
 func (x *Exchange) useToAll(fleet Fleet, now time.Time) {
@@ -107,7 +107,7 @@
 	}
 	w := fleet.weigh()
 	x.weight = w.self
-	x.opt.Limits.Expect(w.self, []quota.Source{{Name: peersSource, Weight: w.all()}}, now)
+	x.opt.Limits.SetSources(w.self, []quota.Source{{Name: peersSource, Weight: w.all()}}, now)
 	x.tellUses(fleet.Peers, ScopeOwn, true, nobody, now)
 }
 
@@ -133,11 +133,11 @@
 	}
 	x.relays = hub.ID != x.opt.Entry
 	if !x.relays {
-		x.opt.Limits.Expect(w.self, fleet.hubSources(w), now)
+		x.opt.Limits.SetSources(w.self, fleet.hubSources(w), now)
 		domain := func(speaker string) bool { return mine[strings.TrimSuffix(speaker, sumMark)] }
 		x.tellUses(remote, ScopeDomain, true, domain, now)
 	} else {
-		x.opt.Limits.Expect(w.self, []quota.Source{{Name: others, Weight: w.all(), Whole: true}, {Name: peersSource}}, now)
+		x.opt.Limits.SetSources(w.self, []quota.Source{{Name: others, Weight: w.all(), Complete: true}, {Name: peersSource}}, now)
 		x.tellUses([]Peer{hub}, ScopeOwn, true, nobody, now)
 		if len(busy)+len(idle) > 0 {
 			x.tellUses([]Peer{hub}, ScopeDomain, false, below, now)
@@ -279,7 +279,7 @@
 	for _, p := range fleet.Hubs {
 		own[p.ID] = true
 	}
-	t := quota.Told{Covered: r.Covered, Idle: r.Idle, First: r.First, Last: r.Last, Uses: r.Uses}
-	t.Source, t.Speaker = x.sourceOf(r, from, own)
-	x.opt.Limits.Heard(t, now)
+	t := quota.Report{CoveredWeight: r.Covered, Idle: r.Idle, First: r.First, Last: r.Last, Usages: r.Uses}
+	t.Source, t.Reporter = x.sourceOf(r, from, own)
+	x.opt.Limits.HandleReport(t, now)
 }
--- a/internal/inflight/uses_hub_test.go
+++ b/internal/inflight/uses_hub_test.go
@@ -18,14 +18,14 @@
 // ledger is Limits that keep what is heard, and tell one request a second of an organisation.
 type ledger struct {
 	mu   sync.Mutex
-	told map[string]quota.Told
+	told map[string]quota.Report
 	// changed receives a value for each report.
 	changed chan struct{}
 }
 
-func (l *ledger) Limits() bool { return true }
+func (l *ledger) HasLimits() bool { return true }
 
-func (l *ledger) Uses(own bool, from func(string) bool, _ time.Time) []quota.Use {
+func (l *ledger) Usages(own bool, from func(string) bool, _ time.Time) []quota.Usage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sum := 0.0
@@ -33,36 +33,36 @@
 		sum = 1
 	}
 	for speaker, t := range l.told {
-		if from(speaker) && len(t.Uses) > 0 {
-			sum += t.Uses[0].Admitted
+		if from(speaker) && len(t.Usages) > 0 {
+			sum += t.Usages[0].Admitted
 		}
 	}
-	return []quota.Use{{Organisation: 7, Admitted: sum, Asked: sum}}
+	return []quota.Usage{{Organisation: 7, Admitted: sum, Requested: sum}}
 }
 
-func (l *ledger) Covered(from func(string) bool, _ time.Time) int {
+func (l *ledger) CoveredWeight(from func(string) bool, _ time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
 	for speaker, t := range l.told {
 		if from(speaker) {
-			n += t.Covered
+			n += t.CoveredWeight
 		}
 	}
 	return n
 }
 
-func (l *ledger) Heard(t quota.Told, _ time.Time) {
+func (l *ledger) HandleReport(t quota.Report, _ time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.told[t.Speaker] = t
+	l.told[t.Reporter] = t
 	select {
 	case l.changed <- struct{}{}:
 	default:
 	}
 }
 
-func (l *ledger) Expect(int, []quota.Source, time.Time) {}
+func (l *ledger) SetSources(int, []quota.Source, time.Time) {}
 
 // Three entries of a fleet with hubs take each other for hubs, in a ring. What they tell must
 // not grow by going round: callers of all organisations were refused for four seconds after it
@@ -90,7 +90,7 @@
 		}
 	}
 	for _, id := range ids {
-		ledgers[id] = &ledger{told: make(map[string]quota.Told), changed: make(chan struct{}, 1)}
+		ledgers[id] = &ledger{told: make(map[string]quota.Report), changed: make(chan struct{}, 1)}
 		x, err := Listen(Options{
 			Address: "127.0.0.1:0", Entry: id, Fleet: fleet(id), Limits: ledgers[id],
 			Counts: func(balance.Counted) []Count { return nil }, Doubt: func() (rest, left time.Duration) { return 0, 0 },
@@ -109,7 +109,7 @@
 	}
 	for rounds := 0; rounds < 60; {
 		for _, l := range ledgers {
-			if all := l.Uses(true, func(string) bool { return true }, t0); all[0].Admitted > 4*float64(len(ids)) {
+			if all := l.Usages(true, func(string) bool { return true }, t0); all[0].Admitted > 4*float64(len(ids)) {
 				t.Fatalf("%.0f requests a second are known, there are %d", all[0].Admitted, len(ids))
 			}
 		}
@@ -145,7 +145,7 @@
 	missing := func(now time.Time) float64 {
 		x.send(now)
 		limits.Take("o", now)
-		return limits.Status(1, now)[0].Missing
+		return limits.Status(1, now)[0].MissingShare
 	}
 	if got := missing(t0.Add(time.Second)); got != 0.5 {
 		t.Errorf("beside one that is not heard %v of the limit is set aside", got)
--- a/internal/inflight/uses_test.go
+++ b/internal/inflight/uses_test.go
@@ -9,11 +9,11 @@
 
 func TestUsesAreReadBack(t *testing.T) {
 	want := Report{Entry: "edge-sohar-hall-12", Scope: ScopeNone, HasUses: true, UsesScope: ScopeDomain, Covered: 3, Last: allUpstreams}
-	var uses []quota.Use
+	var uses []quota.Usage
 	for i := range 2*maxUses + 7 {
-		uses = append(uses, quota.Use{Organisation: uint32(i) << 20, Admitted: 100_000, Asked: 200_000.5})
+		uses = append(uses, quota.Usage{Organisation: uint32(i) << 20, Admitted: 100_000, Requested: 200_000.5})
 	}
-	var got []quota.Use
+	var got []quota.Usage
 	next := uint32(0)
 	parts := splitUses(want, uses)
 	for _, r := range parts {
@@ -41,11 +41,11 @@
 	if _, err := Decode(r.Append(nil)); err == nil {
 		t.Error("a report that speaks for too many is taken")
 	}
-	r.Covered, r.Uses = 1, []quota.Use{{Organisation: 1, Admitted: maxUse}}
+	r.Covered, r.Uses = 1, []quota.Usage{{Organisation: 1, Admitted: maxUse}}
 	if _, err := Decode(r.Append(nil)); err == nil {
 		t.Error("a use beyond all bounds is taken")
 	}
-	r.Uses = []quota.Use{{Organisation: 1, Admitted: 5, Asked: 5}}
+	r.Uses = []quota.Usage{{Organisation: 1, Admitted: 5, Requested: 5}}
 	whole := r.Append(nil)
 	for n := 1; n < 6; n++ {
 		if _, err := Decode(whole[:len(whole)-n]); err == nil {
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -9,16 +9,16 @@
 )
 
 // manyOrganisations is a Limiter with a number of them, told by a hub of half of them.
-func manyOrganisations(n int) (*Limiter, []string, []Use) {
+func manyOrganisations(n int) (*Limiter, []string, []Usage) {
 	var list []*model.Organisation
 	var names []string
-	var uses []Use
+	var uses []Usage
 	for i := range n {
 		name := fmt.Sprint("organisation-", i)
 		names = append(names, name)
 		list = append(list, &model.Organisation{Name: name, Limit: model.Limit{Rate: 1e6, Burst: 1e6}})
 		if i%2 == 0 {
-			uses = append(uses, Use{HashName(name), 3, 3})
+			uses = append(uses, Usage{HashOrganisation(name), 3, 3})
 		}
 	}
 	table, err := model.NewOrganisations(list, nil)
@@ -27,8 +27,8 @@
 	}
 	l := NewLimiter()
 	l.Update(table, testSlack, t0)
-	l.Expect(1, []Source{{Name: "*", Weight: 11, Whole: true}}, t0)
-	l.Heard(Told{Speaker: "hub", Source: "*", Covered: 11, Last: 1<<32 - 1, Uses: uses}, t0.Add(time.Second))
+	l.SetSources(1, []Source{{Name: "*", Weight: 11, Complete: true}}, t0)
+	l.HandleReport(Report{Reporter: "hub", Source: "*", CoveredWeight: 11, Last: 1<<32 - 1, Usages: uses}, t0.Add(time.Second))
 	return l, names, uses
 }
 
@@ -53,8 +53,8 @@
 	for i := range b.N {
 		now := t0.Add(time.Duration(i+2) * reportEvery)
 		uses[i%len(uses)].Admitted = float64(i % 7)
-		l.Expect(1, []Source{{Name: "*", Weight: 11, Whole: true}}, now)
-		l.Heard(Told{Speaker: "hub", Source: "*", Covered: 11, Last: 1<<32 - 1, Uses: uses}, now)
-		l.Uses(true, func(string) bool { return false }, now)
+		l.SetSources(1, []Source{{Name: "*", Weight: 11, Complete: true}}, now)
+		l.HandleReport(Report{Reporter: "hub", Source: "*", CoveredWeight: 11, Last: 1<<32 - 1, Usages: uses}, now)
+		l.Usages(true, func(string) bool { return false }, now)
 	}
 }
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -260,7 +260,7 @@
 	defer b.mu.Unlock()
 	b.advance(now)
 	return Status{
-		Organisation: b.name, Rate: b.limit.Rate, Burst: b.limit.Burst, Level: b.level, Part: b.part(now),
-		Own: b.admitted.sum(now, 0, askedOver) / askedOver.Seconds(), Others: b.heard.admitted, Missing: b.missing, Refused: b.refused,
+		Organisation: b.name, Rate: b.limit.Rate, Burst: b.limit.Burst, Level: b.level, Share: b.part(now),
+		OwnRate: b.admitted.sum(now, 0, askedOver) / askedOver.Seconds(), OthersRate: b.heard.admitted, MissingShare: b.missing, Refused: b.refused,
 	}, b.limit.Rate > 0
 }
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -152,7 +152,7 @@
 	}
 	self := f.weigh(n)
 	if f.hub(n.domain, n) != n {
-		n.limiter.Expect(self, []Source{{Name: "*", Weight: f.domains*domain - self, Whole: true}}, n.clock(f.agenda.Now()))
+		n.limiter.SetSources(self, []Source{{Name: "*", Weight: f.domains*domain - self, Complete: true}}, n.clock(f.agenda.Now()))
 		return
 	}
 	list := []Source{{Name: "peers", Weight: domain - self}}
@@ -161,7 +161,7 @@
 			list = append(list, Source{Name: "*" + strconv.Itoa(d), Weight: domain})
 		}
 	}
-	n.limiter.Expect(self, list, n.clock(f.agenda.Now()))
+	n.limiter.SetSources(self, list, n.clock(f.agenda.Now()))
 }
 
 // period is the time until a node's next report. One that has few requests reports seldom.
@@ -204,7 +204,7 @@
 
 func (f *simFleet) tell(from, to *simNode, source string, whose func(string) bool) {
 	now := from.clock(f.agenda.Now())
-	uses, covered := from.limiter.Uses(true, whose, now), f.weigh(from)+from.limiter.Covered(whose, now)
+	uses, covered := from.limiter.Usages(true, whose, now), f.weigh(from)+from.limiter.CoveredWeight(whose, now)
 	if f.rnd.Float64() < lost || from.island != to.island {
 		return
 	}
@@ -216,7 +216,7 @@
 	}
 	f.after(delay, func() {
 		if !to.dead && to.island == from.island {
-			to.limiter.Heard(Told{Speaker: from.name, Source: source, Covered: covered, Idle: idle, Last: 1<<32 - 1, Uses: uses}, to.clock(f.agenda.Now()))
+			to.limiter.HandleReport(Report{Reporter: from.name, Source: source, CoveredWeight: covered, Idle: idle, Last: 1<<32 - 1, Usages: uses}, to.clock(f.agenda.Now()))
 		}
 	})
 }
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -18,16 +18,16 @@
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
-// Use is what a source tells of one organisation.
-type Use struct {
+// Usage is what a source tells of one organisation.
+type Usage struct {
 	// Organisation is the hash of its name; see HashName.
 	Organisation uint32
-	// Admitted and Asked are in requests per second.
-	Admitted, Asked float64
+	// Admitted and Requested are in requests per second.
+	Admitted, Requested float64
 }
 
-// HashName names an organisation in reports.
-func HashName(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
+// HashOrganisation names an organisation in reports.
+func HashOrganisation(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
 // Limiter has the limits of all organisations. It is safe for concurrent use; requests of
 // different organisations share no lock.
@@ -67,7 +67,7 @@
 	for _, o := range table.All() {
 		b := was[o.Name]
 		if b == nil {
-			b = &bucket{name: o.Name, hash: HashName(o.Name), at: now}
+			b = &bucket{name: o.Name, hash: HashOrganisation(o.Name), at: now}
 		}
 		b.set(o.Limit, slack, now)
 		b.settle(now, &l.sources)
@@ -81,8 +81,8 @@
 	l.buckets.Store(&next)
 }
 
-// Limits reports whether there are organisations at all.
-func (l *Limiter) Limits() bool { return len(*l.buckets.Load()) > 0 }
+// HasLimits reports whether there are organisations at all.
+func (l *Limiter) HasLimits() bool { return len(*l.buckets.Load()) > 0 }
 
 // Take admits one request of an organisation, or returns after what time the caller may
 // come back.
@@ -102,8 +102,8 @@
 	}
 }
 
-// Return gives back a request that no upstream ran.
-func (l *Limiter) Return(organisation string, now time.Time) {
+// Refund gives back a request that no upstream ran.
+func (l *Limiter) Refund(organisation string, now time.Time) {
 	if b := l.bucket(organisation); b != nil {
 		b.charge(now, -1)
 	}
@@ -127,8 +127,8 @@
 	}
 }
 
-// Expect sets the weight of the own entry, and which sources tell of the requests of others.
-func (l *Limiter) Expect(self int, list []Source, now time.Time) {
+// SetSources sets the weight of the own entry, and which sources tell of the requests of others.
+func (l *Limiter) SetSources(self int, list []Source, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.sources.expect(self, list, now) {
@@ -139,56 +139,56 @@
 	}
 }
 
-// Covered returns the weight of the entries beside the own one that the speakers tell of that
+// CoveredWeight returns the weight of the entries beside the own one that the speakers tell of that
 // are asked for.
-func (l *Limiter) Covered(from func(speaker string) bool, now time.Time) int {
+func (l *Limiter) CoveredWeight(from func(speaker string) bool, now time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.sources.covered(from, now)
 }
 
-// Told is what a speaker tells of the organisations whose hashes lie from First to Last; one
+// Report is what a speaker tells of the organisations whose hashes lie from First to Last; one
 // that it does not name it has no requests of.
-type Told struct {
-	// Speaker is the entry that tells, Source what it speaks for.
-	Speaker, Source string
-	// Covered is the weight of the entries that it speaks for.
-	Covered int
+type Report struct {
+	// Reporter is the entry that tells, Source what it speaks for.
+	Reporter, Source string
+	// CoveredWeight is the weight of the entries that it speaks for.
+	CoveredWeight int
 	// Idle is set if it has few requests, and so tells each half second only.
 	Idle        bool
 	First, Last uint32
-	Uses        []Use
+	Usages      []Usage
 }
 
-// Heard takes in what a speaker tells.
-func (l *Limiter) Heard(t Told, now time.Time) {
+// HandleReport takes in what a speaker tells.
+func (l *Limiter) HandleReport(t Report, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.sources.heard(t, now) {
 		return
 	}
-	named := make(map[*bucket]use, len(t.Uses))
-	for _, u := range t.Uses {
+	named := make(map[*bucket]use, len(t.Usages))
+	for _, u := range t.Usages {
 		if b := l.byHash[u.Organisation]; b != nil {
 			l.activate(b)
-			named[b] = use{u.Admitted, u.Asked}
+			named[b] = use{u.Admitted, u.Requested}
 		}
 	}
 	for b := range l.active {
-		if b.hash >= t.First && b.hash <= t.Last && b.hear(t.Speaker, named[b]) {
+		if b.hash >= t.First && b.hash <= t.Last && b.hear(t.Reporter, named[b]) {
 			b.settle(now, &l.sources)
 		}
 	}
 }
 
-// Uses returns what to tell of the organisations that have requests: of those that this
+// Usages returns what to tell of the organisations that have requests: of those that this
 // entry has itself if own is set, and of those that the speakers told of that are asked for.
-func (l *Limiter) Uses(own bool, from func(speaker string) bool, now time.Time) []Use {
+func (l *Limiter) Usages(own bool, from func(speaker string) bool, now time.Time) []Usage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	voices := l.sources.voices(now)
 	fresh := func(speaker string) bool { return voices[speaker] && from(speaker) }
-	var out []Use
+	var out []Usage
 	for b := range l.active {
 		mine, told := b.uses(fresh, now)
 		if mine == (use{}) && b.idle(now) {
@@ -200,7 +200,7 @@
 			told.asked += mine.asked
 		}
 		if told != (use{}) {
-			out = append(out, Use{Organisation: b.hash, Admitted: told.admitted, Asked: told.asked})
+			out = append(out, Usage{Organisation: b.hash, Admitted: told.admitted, Requested: told.asked})
 		}
 	}
 	return out
@@ -230,12 +230,12 @@
 	// Level is how many requests the whole fleet may admit at once, Part the share of this
 	// entry in it.
 	Level float64 `json:"level"`
-	Part  float64 `json:"part"`
-	// Own and Others are the rates at which this and the other entries admit requests, and
+	Share float64 `json:"part"`
+	// OwnRate and Others are the rates at which this and the other entries admit requests, and
 	// Missing the share of the limit that is set aside for entries that are not heard.
-	Own     float64 `json:"own_per_s"`
-	Others  float64 `json:"others_per_s"`
-	Missing float64 `json:"missing_share"`
+	OwnRate      float64 `json:"own_per_s"`
+	OthersRate   float64 `json:"others_per_s"`
+	MissingShare float64 `json:"missing_share"`
 	// Refused counts the requests that this entry refused.
 	Refused int64 `json:"refused"`
 }
--- a/internal/quota/sources.go
+++ b/internal/quota/sources.go
@@ -15,9 +15,9 @@
 	Name string
 	// Weight is the sum of the weights of its entries; see Fleet in package inflight.
 	Weight int
-	// Whole is set if each of its speakers tells of all of it. Else each tells of some, and
+	// Complete is set if each of its speakers tells of all of it. Else each tells of some, and
 	// they add up.
-	Whole bool
+	Complete bool
 }
 
 // speaker is an entry that speaks for a source.
@@ -74,13 +74,13 @@
 }
 
 // heard records that a speaker tells. It reports whether its source is expected.
-func (s *sources) heard(t Told, now time.Time) bool {
+func (s *sources) heard(t Report, now time.Time) bool {
 	for _, src := range s.list {
 		if src.Name == t.Source {
 			if s.speakers == nil {
 				s.speakers = make(map[string]*speaker)
 			}
-			s.speakers[t.Speaker] = &speaker{t.Source, t.Covered, now, t.Idle}
+			s.speakers[t.Reporter] = &speaker{t.Source, t.CoveredWeight, now, t.Idle}
 			return true
 		}
 	}
@@ -93,7 +93,7 @@
 	for name, sp := range s.speakers {
 		switch {
 		case sp.source != src.Name || !sp.fresh(now):
-		case !src.Whole:
+		case !src.Complete:
 			names = append(names, name)
 			covered += sp.covered
 		case names == nil || sp.covered > covered || sp.covered == covered && name < names[0]:
