--- a/internal/balance/ratelimit.go
+++ b/internal/balance/ratelimit.go
@@ -68,7 +68,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := c.to
-	if m.restarted || m.gone || !m.rate.Answered(ratelimit.Round(r.PerSecond), c.Picked, now) {
+	if m.restarted || m.gone || !m.rate.Observe(ratelimit.Round(r.PerSecond), c.Picked, now) {
 		return false
 	}
 	g.limitChanged(m, now)
@@ -89,7 +89,7 @@
 		}
 		m.bucket.SetRate(m.rate.PerSecond(), now)
 		m.bucket.SetSenders(g.self, g.senders(m), now)
-		m.bucket.Empty(now)
+		m.bucket.DiscardTokens(now)
 		g.limited.Add(1)
 	case limited:
 		m.bucket.SetRate(m.rate.PerSecond(), now)
@@ -178,7 +178,7 @@
 	case c.m.bucket == nil:
 		return 0
 	case c.spills:
-		return c.m.bucket.WaitSpare(now)
+		return c.m.bucket.WaitFull(now)
 	}
 	return c.m.bucket.Wait(now)
 }
@@ -207,7 +207,7 @@
 		// Others have the room that there is.
 		return ErrNoSlot
 	}
-	return &LimitError{Upstream: first.ID, PerSecond: first.rate.PerSecond(), RetryAfter: first.bucket.Reserve(least, now)}
+	return &LimitError{Upstream: first.ID, PerSecond: first.rate.PerSecond(), RetryAfter: first.bucket.RetryAfter(least, now)}
 }
 
 // NewsScope says of which limits others are told.
@@ -236,9 +236,9 @@
 		}
 		n := RateNews{Upstream: m.key, PerSecond: m.rate.PerSecond(), Version: m.rate.Version(), Changed: m.limitUntold}
 		m.rateUntold, m.limitUntold = false, false
-		if m.bucket != nil && m.bucket.Sender() {
+		if m.bucket != nil && m.bucket.IsSender() {
 			n.Sent = m.bucket.Sent()
-			m.bucket.Peers(func(id string) { n.Senders = append(n.Senders, id) })
+			m.bucket.VisitPeers(func(id string) { n.Senders = append(n.Senders, id) })
 		}
 		visit(n)
 	}
@@ -260,8 +260,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, m := range g.all {
-		if m.bucket != nil && m.bucket.Sender() {
-			m.bucket.Peers(visit)
+		if m.bucket != nil && m.bucket.IsSender() {
+			m.bucket.VisitPeers(visit)
 		}
 	}
 }
@@ -278,21 +278,21 @@
 		if n, ok := byKey[m.key]; ok {
 			g.heardRate(m, now, peer, life, n)
 		} else if m.bucket != nil {
-			m.bucket.Alive(peer, now)
+			m.bucket.MarkPeerAlive(peer, now)
 		}
 	}
 }
 
 func (g *Group) heardRate(m *member, now time.Time, peer string, life uint64, n RateNews) {
 	switch m.rate.Merge(n.PerSecond, n.Version, now) {
-	case ratelimit.Newer:
+	case ratelimit.MergeAdopted:
 		g.limitChanged(m, now)
-	case ratelimit.Older:
+	case ratelimit.MergeStale:
 		// Told again, as the peer does not know it.
 		g.tellLimit(m, now)
 	}
 	if m.bucket != nil {
-		m.bucket.Heard(peer, life, n.Sent, now)
+		m.bucket.RecordPeerSent(peer, life, n.Sent, now)
 	}
 }
 
@@ -317,7 +317,7 @@
 		if m.bucket == nil || len(out) == n {
 			continue
 		}
-		out = append(out, RateStatus{m.ID, m.rate.PerSecond(), m.rate.Version(), m.bucket.Level(now), m.bucket.Sender(), m.bucket.Sent()})
+		out = append(out, RateStatus{m.ID, m.rate.PerSecond(), m.rate.Version(), m.bucket.Level(now), m.bucket.IsSender(), m.bucket.Sent()})
 	}
 	return out
 }
--- a/internal/inflight/rates_test.go
+++ b/internal/inflight/rates_test.go
@@ -41,7 +41,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, n := range told {
-		if b.register.Merge(n.PerSecond, n.Version, time.Now()) == ratelimit.Newer {
+		if b.register.Merge(n.PerSecond, n.Version, time.Now()) == ratelimit.MergeAdopted {
 			b.changed()
 		}
 	}
@@ -52,7 +52,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	if b.register.Answered(perSecond, now, now) {
+	if b.register.Observe(perSecond, now, now) {
 		b.changed()
 	}
 }
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -56,8 +56,8 @@
 // NewBucket returns an empty Bucket without senders, at the least rate.
 func NewBucket(now time.Time) *Bucket { return &Bucket{rate: trickle, at: now} }
 
-// Empty leaves no token in the bucket.
-func (b *Bucket) Empty(now time.Time) {
+// DiscardTokens leaves no token in the bucket.
+func (b *Bucket) DiscardTokens(now time.Time) {
 	b.advance(now)
 	b.level = math.Min(b.level, 0)
 }
@@ -96,11 +96,11 @@
 	return slices.IndexFunc(b.peers, func(p peer) bool { return p.id == id })
 }
 
-// Sender reports whether this entry may send at all.
-func (b *Bucket) Sender() bool { return b.sender }
+// IsSender reports whether this entry may send at all.
+func (b *Bucket) IsSender() bool { return b.sender }
 
-// Peers calls visit with the id of each other sender.
-func (b *Bucket) Peers(visit func(id string)) {
+// VisitPeers calls visit with the id of each other sender.
+func (b *Bucket) VisitPeers(visit func(id string)) {
 	for i := range b.peers {
 		visit(b.peers[i].id)
 	}
@@ -109,17 +109,17 @@
 // Sent returns how many requests this entry has sent.
 func (b *Bucket) Sent() uint32 { return b.sent }
 
-// Alive records that another sender is there.
-func (b *Bucket) Alive(id string, now time.Time) {
+// MarkPeerAlive records that another sender is there.
+func (b *Bucket) MarkPeerAlive(id string, now time.Time) {
 	if i := b.indexOf(id); i >= 0 {
 		b.advance(now)
 		b.peers[i].heard, b.peers[i].silent = now, false
 	}
 }
 
-// Heard takes in how many requests another sender has sent in its life, which is a number
+// RecordPeerSent takes in how many requests another sender has sent in its life, which is a number
 // above 0 that grows with each start.
-func (b *Bucket) Heard(id string, life uint64, sent uint32, now time.Time) {
+func (b *Bucket) RecordPeerSent(id string, life uint64, sent uint32, now time.Time) {
 	i := b.indexOf(id)
 	if i < 0 {
 		return
@@ -150,9 +150,9 @@
 	return b.until(1, now)
 }
 
-// WaitSpare returns after what time the bucket is full, which shows that the senders do not use
+// WaitFull returns after what time the bucket is full, which shows that the senders do not use
 // the whole limit.
-func (b *Bucket) WaitSpare(now time.Time) time.Duration { return b.until(b.burst(), now) }
+func (b *Bucket) WaitFull(now time.Time) time.Duration { return b.until(b.burst(), now) }
 
 // until returns after what time the level is reached.
 func (b *Bucket) until(level float64, now time.Time) time.Duration {
@@ -174,9 +174,9 @@
 	b.take(1)
 }
 
-// Reserve returns after what time a refused caller may come back whose request may go after a
+// RetryAfter returns after what time a refused caller may come back whose request may go after a
 // wait: after that, and after those who were told so before.
-func (b *Bucket) Reserve(wait time.Duration, now time.Time) time.Duration {
+func (b *Bucket) RetryAfter(wait time.Duration, now time.Time) time.Duration {
 	first := now.Add(min(wait, maxRetry))
 	if b.nextReturn.Before(first) {
 		b.nextReturn = first
--- a/internal/ratelimit/bucket_test.go
+++ b/internal/ratelimit/bucket_test.go
@@ -19,7 +19,7 @@
 // hearAll has all others tell what they have sent.
 func hearAll(b *Bucket, sent uint32, now time.Time) {
 	for _, id := range sharers[1:] {
-		b.Heard(id, 1, sent, now)
+		b.RecordPeerSent(id, 1, sent, now)
 	}
 }
 
@@ -83,17 +83,17 @@
 	b := sharing(10)
 	hearAll(b, 0, t0)
 	level := b.Level(at(100))
-	b.Heard("second", 1, 2, at(100))
-	b.Heard("second", 1, 1, at(100))
-	b.Heard("second", 1, 2, at(100))
+	b.RecordPeerSent("second", 1, 2, at(100))
+	b.RecordPeerSent("second", 1, 1, at(100))
+	b.RecordPeerSent("second", 1, 2, at(100))
 	if got := b.Level(at(100)); got != level-2 {
 		t.Errorf("level %v, want %v", got, level-2)
 	}
-	b.Heard("second", 2, 1, at(100))
+	b.RecordPeerSent("second", 2, 1, at(100))
 	if got := b.Level(at(100)); got != level-3 {
 		t.Errorf("level %v after one request of the next life, want %v", got, level-3)
 	}
-	b.Heard("second", 1, 9, at(100))
+	b.RecordPeerSent("second", 1, 9, at(100))
 	if got := b.Level(at(100)); got != level-3 {
 		t.Errorf("level %v after a late word of the life before, want %v", got, level-3)
 	}
@@ -103,7 +103,7 @@
 	b := NewBucket(t0)
 	b.SetRate(1000, t0)
 	b.SetSenders("fifth", sharers, t0)
-	if b.Sender() || sends(b, 0, 5000, nil) > 0 {
+	if b.IsSender() || sends(b, 0, 5000, nil) > 0 {
 		t.Error("an entry that is no sender sends")
 	}
 }
@@ -136,14 +136,14 @@
 	hearAll(b, 0, t0)
 	last := time.Duration(-1)
 	for range 5 {
-		wait := b.Reserve(b.Wait(t0), t0)
+		wait := b.RetryAfter(b.Wait(t0), t0)
 		if wait <= last {
 			t.Errorf("told to come back after %v, the one before after %v", wait, last)
 		}
 		last = wait
 	}
 	for range 100 {
-		if wait := b.Reserve(b.Wait(t0), t0); wait > maxRetry {
+		if wait := b.RetryAfter(b.Wait(t0), t0); wait > maxRetry {
 			t.Fatalf("told to come back after %v", wait)
 		}
 	}
--- a/internal/ratelimit/register.go
+++ b/internal/ratelimit/register.go
@@ -47,13 +47,13 @@
 // Version returns the version of the value; 0 means that no limit was ever known.
 func (r *Register) Version() uint32 { return r.version }
 
-// Answered takes in what an answer names: a limit, or Unlimited. Sent is when its request was
+// Observe takes in what an answer names: a limit, or Unlimited. Sent is when its request was
 // sent. It reports whether the value has changed.
 //
 // Answers overtake each other. Whatever was sent after the present value was learnt has
 // been answered later than that, so it counts. A higher limit counts only if its request was
 // sent after the present one was last named.
-func (r *Register) Answered(perSecond float64, sent, now time.Time) bool {
+func (r *Register) Observe(perSecond float64, sent, now time.Time) bool {
 	known := r.PerSecond()
 	switch {
 	case perSecond == known:
@@ -66,29 +66,29 @@
 	return true
 }
 
-// Order is how what another entry knows relates to what this one does.
-type Order int
+// MergeResult is how what another entry knows relates to what this one does.
+type MergeResult int
 
 // The orders.
 const (
-	// Same means that both know the same.
-	Same Order = iota
-	// Newer means that this entry has taken in what the other knows.
-	Newer
-	// Older means that the other entry has to be told.
-	Older
+	// MergeSame means that both know the same.
+	MergeSame MergeResult = iota
+	// MergeAdopted means that this entry has taken in what the other knows.
+	MergeAdopted
+	// MergeStale means that the other entry has to be told.
+	MergeStale
 )
 
 // Merge takes in what another entry knows.
-func (r *Register) Merge(perSecond float64, version uint32, now time.Time) Order {
+func (r *Register) Merge(perSecond float64, version uint32, now time.Time) MergeResult {
 	switch known := r.PerSecond(); {
 	case version == r.version && perSecond == known:
-		return Same
+		return MergeSame
 	case version > r.version, version == r.version && perSecond < known:
 		r.set(perSecond, version, now)
-		return Newer
+		return MergeAdopted
 	}
-	return Older
+	return MergeStale
 }
 
 func (r *Register) set(perSecond float64, version uint32, now time.Time) {
--- a/internal/ratelimit/register_test.go
+++ b/internal/ratelimit/register_test.go
@@ -36,7 +36,7 @@
 	} {
 		r := new(Register)
 		for _, a := range tt.answers {
-			r.Answered(a.perSecond, at(a.sent), at(a.read))
+			r.Observe(a.perSecond, at(a.sent), at(a.read))
 		}
 		if got := r.PerSecond(); got != tt.want {
 			t.Errorf("%s: %v, want %v", tt.name, got, tt.want)
@@ -55,7 +55,7 @@
 			if limit == 0 {
 				perSecond = Unlimited
 			}
-			registers[i%len(registers)].Answered(perSecond, at(10*i), at(10*i+5))
+			registers[i%len(registers)].Observe(perSecond, at(10*i), at(10*i+5))
 		}
 		for _, o := range order {
 			from, to := o%len(registers), o/len(registers)%len(registers)
@@ -80,15 +80,15 @@
 
 func TestMergeTellsWhoIsBehind(t *testing.T) {
 	r := new(Register)
-	r.Answered(5, at(0), at(10))
-	r.Answered(Unlimited, at(20), at(30))
-	if got := r.Merge(5, 1, at(40)); got != Older || r.Limited() {
+	r.Observe(5, at(0), at(10))
+	r.Observe(Unlimited, at(20), at(30))
+	if got := r.Merge(5, 1, at(40)); got != MergeStale || r.Limited() {
 		t.Errorf("an earlier version: %v, limited %v", got, r.Limited())
 	}
-	if got := r.Merge(4, 2, at(50)); got != Newer || r.PerSecond() != 4 {
+	if got := r.Merge(4, 2, at(50)); got != MergeAdopted || r.PerSecond() != 4 {
 		t.Errorf("a lower limit of the same version: %v, %v", got, r.PerSecond())
 	}
-	if got := r.Merge(4, 2, at(60)); got != Same {
+	if got := r.Merge(4, 2, at(60)); got != MergeSame {
 		t.Errorf("the same: %v", got)
 	}
 }
