--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -104,7 +104,7 @@
 	b.prefixMu.Lock()
 	defer b.prefixMu.Unlock()
 	n := int64(len(b.prefix))
-	return b.prefix, n == poison.BodyPrefix || n == b.length
+	return b.prefix, n == poison.MaxBodyPrefix || n == b.length
 }
 
 // peek returns what begun does, and reads what is missing from the caller. It reports
@@ -128,13 +128,13 @@
 func (b *replayBody) readPrefix() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	buf := make([]byte, poison.BodyPrefix)
+	buf := make([]byte, poison.MaxBodyPrefix)
 	for b.err == nil {
 		prefix, whole := b.begun()
 		if whole {
 			return nil
 		}
-		n, err := b.src.Read(buf[:poison.BodyPrefix-len(prefix)])
+		n, err := b.src.Read(buf[:poison.MaxBodyPrefix-len(prefix)])
 		b.err = err
 		b.keepPrefix(buf[:n])
 		b.keep(buf[:n])
@@ -182,7 +182,7 @@
 func (b *replayBody) keepPrefix(p []byte) {
 	b.prefixMu.Lock()
 	defer b.prefixMu.Unlock()
-	if missing := poison.BodyPrefix - len(b.prefix); missing > 0 {
+	if missing := poison.MaxBodyPrefix - len(b.prefix); missing > 0 {
 		b.prefix = append(b.prefix, p[:min(len(p), missing)]...)
 	}
 }
--- a/internal/forward/broken.go
+++ b/internal/forward/broken.go
@@ -33,7 +33,7 @@
 // request before, here or at other entries. Refused at once, it costs no upstream. The
 // body is looked at only if something is known of a request that is like it otherwise.
 func (c *Carrier) begin(ctx context.Context, cl *call) *verdict.Error {
-	if !c.poison.Known(cl.head) {
+	if !c.poison.HasRecord(cl.head) {
 		return nil
 	}
 	keys, ok := cl.keys(ctx)
@@ -74,9 +74,9 @@
 		return false
 	}
 	now := c.now()
-	d := c.poison.Broke(now, cl.head, keys, balance.LifeKey(&to.Upstream))
+	d := c.poison.RecordCrash(now, cl.head, keys, balance.LifeKey(&to.Upstream))
 	if left, allowed := brokenLines.Allow(now, "broken"); allowed {
-		klog.InfoS("upstream broke off", "request", cl.ID, "key", uint64(keys.Anyone), "caller_key", uint64(keys.Caller),
+		klog.InfoS("upstream broke off", "request", cl.ID, "key", uint64(keys.AnyCaller), "caller_key", uint64(keys.Caller),
 			"upstream", to.ID, "born", to.Born, "under_way", now.Sub(to.Picked), "suspect", d.Suspect, "held", d.Held, "err", err, "left_out", left)
 	}
 	return d.Held
@@ -99,7 +99,7 @@
 	if ans == nil || ans.told.NotRun == ReasonReplaced {
 		return
 	}
-	c.poison.Alive(c.now(), balance.LifeKey(&from.Upstream), from.Picked)
+	c.poison.RecordAlive(c.now(), balance.LifeKey(&from.Upstream), from.Picked)
 }
 
 // noteAnswered records that an upstream answered the request whole. An answer that came
@@ -107,6 +107,6 @@
 func (c *Carrier) noteAnswered(cl *call) {
 	prefix, whole := cl.body.begun()
 	if whole || cl.body.length < 0 && len(prefix) > 0 {
-		c.poison.Answered(c.now(), cl.head.WithBody(prefix))
+		c.poison.RecordResponse(c.now(), cl.head.WithBody(prefix))
 	}
 }
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -83,7 +83,7 @@
 	req := poison.Request{
 		Method: r.Method, Host: r.Host, Target: r.RequestURI, Object: ask.Object, Caller: caller, Length: r.ContentLength,
 	}
-	return req.Head()
+	return req.HeadKeys()
 }
 
 // keys returns the keys of the request. It reports false if the beginning of its body
--- a/internal/forward/status.go
+++ b/internal/forward/status.go
@@ -74,7 +74,7 @@
 func (c *Carrier) HeardClaims(words []poison.Claim) {
 	now := c.now()
 	for _, w := range words {
-		c.poison.Heard(now, w)
+		c.poison.HandleClaim(now, w)
 	}
 }
 
@@ -86,7 +86,7 @@
 func (c *Carrier) Tick() {
 	now := c.opt.Check()
 	c.deadlines.expire(now)
-	c.poison.Forget(now)
+	c.poison.Expire(now)
 }
 
 // Poison returns how many such requests are known.
--- a/internal/forward/suspended_test.go
+++ b/internal/forward/suspended_test.go
@@ -109,9 +109,9 @@
 	clock, f := newSleeper(), newFake(t)
 	e := newSleepingEntry(t, clock, f)
 	req := poison.Request{Method: "GET", Host: "a", Target: "/x"}
-	keys := req.Head()
+	keys := req.HeadKeys()
 	for i := range 3 {
-		e.poison.Broke(clock.Now(), keys, keys, uint32(i))
+		e.poison.RecordCrash(clock.Now(), keys, keys, uint32(i))
 	}
 	if d := e.poison.Begin(clock.Check(), keys); !d.Held {
 		t.Fatal("not held")
--- a/internal/inflight/claim.go
+++ b/internal/inflight/claim.go
@@ -51,11 +51,11 @@
 		b = protowire.AppendTag(b, fieldCrashes, protowire.BytesType)
 		b = protowire.AppendBytes(b, crashes)
 	}
-	if w.HeldLeft > 0 {
+	if w.HoldRemaining > 0 {
 		b = protowire.AppendTag(b, fieldHeldLeft, protowire.VarintType)
-		b = protowire.AppendVarint(b, millis(w.HeldLeft))
+		b = protowire.AppendVarint(b, millis(w.HoldRemaining))
 		b = protowire.AppendTag(b, fieldHeldAge, protowire.VarintType)
-		b = protowire.AppendVarint(b, millis(w.HeldAge))
+		b = protowire.AppendVarint(b, millis(w.HoldAge))
 	}
 	if w.Answered {
 		b = protowire.AppendTag(b, fieldAnswered, protowire.VarintType)
@@ -105,7 +105,7 @@
 	if hasHead {
 		w.Head = poison.Key(head)
 	}
-	w.HeldLeft, w.HeldAge = time.Duration(heldLeft)*time.Millisecond, time.Duration(heldAge)*time.Millisecond
+	w.HoldRemaining, w.HoldAge = time.Duration(heldLeft)*time.Millisecond, time.Duration(heldAge)*time.Millisecond
 	w.AnsweredAge = time.Duration(answered) * time.Millisecond
 	return w, decodeCrashes(crashes, &w)
 }
--- a/internal/inflight/claim_bench_test.go
+++ b/internal/inflight/claim_bench_test.go
@@ -44,11 +44,11 @@
 	tr := poison.NewTracker("self")
 	for i := range n {
 		r := poison.Request{Method: "GET", Target: fmt.Sprint("/", i), Caller: "c"}
-		keys := r.Head()
-		tr.Broke(t0, keys, keys, uint32(3*i))
+		keys := r.HeadKeys()
+		tr.RecordCrash(t0, keys, keys, uint32(3*i))
 		for peer := range 2 {
 			for _, key := range keys.All() {
-				tr.Heard(t0, poison.Claim{Key: key, Head: key, Source: uint32(peer + 1), Crashes: []poison.Crash{{Upstream: uint32(3*i + peer + 1)}}})
+				tr.HandleClaim(t0, poison.Claim{Key: key, Head: key, Source: uint32(peer + 1), Crashes: []poison.Crash{{Upstream: uint32(3*i + peer + 1)}}})
 			}
 		}
 	}
--- a/internal/inflight/claim_test.go
+++ b/internal/inflight/claim_test.go
@@ -13,7 +13,7 @@
 func longClaim(i int) poison.Claim {
 	w := poison.Claim{
 		Key: 1<<63 + poison.Key(i), Head: 1<<62 + poison.Key(i), Source: 1 << 31,
-		HeldLeft: time.Hour, HeldAge: time.Hour, Answered: true, AnsweredAge: time.Minute,
+		HoldRemaining: time.Hour, HoldAge: time.Hour, Answered: true, AnsweredAge: time.Minute,
 	}
 	for j := range 4 {
 		w.Crashes = append(w.Crashes, poison.Crash{Upstream: uint32(j) << 29, Age: 9 * time.Minute})
@@ -69,7 +69,7 @@
 		Heard:    func(_ string, r *Report) { heard += len(r.Claims) },
 		Stranger: func(netip.AddrPort) {},
 	}}
-	claim := func(of string) poison.Claim { return poison.Claim{Key: 1, Head: 1, Source: poison.SourceOf(of)} }
+	claim := func(of string) poison.Claim { return poison.Claim{Key: 1, Head: 1, Source: poison.HashEntry(of)} }
 	x.take(&Report{Entry: "p", Scope: ScopeNone, Claims: []poison.Claim{claim("p"), claim("q"), claim("self")}}, peer.Address, t0)
 	if heard != 1 {
 		t.Errorf("%d claims taken, want its own", heard)
@@ -90,9 +90,9 @@
 		e.idle.Store(i%3 == 0)
 	}
 	req := poison.Request{Method: "GET", Host: "a", Target: "/deadly"}
-	keys := req.Head()
+	keys := req.HeadKeys()
 	for i, at := range []int{1, each + 1, each + 2} {
-		all[at].tracker.Broke(time.Now(), keys, keys, uint32(i))
+		all[at].tracker.RecordCrash(time.Now(), keys, keys, uint32(i))
 	}
 	bound := time.Now().Add(untilBound)
 	for _, e := range all {
--- a/internal/inflight/exchange.go
+++ b/internal/inflight/exchange.go
@@ -148,7 +148,7 @@
 	}
 	out := make(map[string]bool)
 	for _, p := range domain {
-		if at, avoided := x.hubs.avoided[p.ID]; told[poison.SourceOf(p.ID)] || avoided && now.Sub(at) < hubAvoid {
+		if at, avoided := x.hubs.avoided[p.ID]; told[poison.HashEntry(p.ID)] || avoided && now.Sub(at) < hubAvoid {
 			out[p.ID] = true
 		}
 	}
@@ -282,7 +282,7 @@
 	var out []uint32
 	for _, p := range domain {
 		if x.presence.leaving[p.ID] || slices.Contains(silent, p.ID) {
-			out = append(out, poison.SourceOf(p.ID))
+			out = append(out, poison.HashEntry(p.ID))
 		}
 	}
 	if len(x.hubs.reporters) > 0 {
@@ -413,7 +413,7 @@
 	if byHubs {
 		return r.Claims
 	}
-	sender := poison.SourceOf(r.Entry)
+	sender := poison.HashEntry(r.Entry)
 	return slices.DeleteFunc(r.Claims, func(w poison.Claim) bool { return w.Source != sender })
 }
 
--- a/internal/inflight/hub_test.go
+++ b/internal/inflight/hub_test.go
@@ -148,7 +148,7 @@
 
 func (e *entry) take(peer string, r *Report) {
 	for _, w := range r.Claims {
-		e.tracker.Heard(time.Now(), w)
+		e.tracker.HandleClaim(time.Now(), w)
 	}
 	if r.Scope == ScopeNone {
 		return
--- a/internal/poison/bench_test.go
+++ b/internal/poison/bench_test.go
@@ -16,11 +16,11 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				r := Request{Method: "POST", Host: "novo81.example", Target: "/novo81/23/eaca", Object: "23", Caller: "100.65.0.28", Length: int64(i % 5000)}
-				head := r.Head()
-				if tr.Known(head) {
+				head := r.HeadKeys()
+				if tr.HasRecord(head) {
 					b.Fatal("known")
 				}
-				tr.Answered(now, head.WithBody(body))
+				tr.RecordResponse(now, head.WithBody(body))
 			}
 		})
 	}
--- a/internal/poison/claims.go
+++ b/internal/poison/claims.go
@@ -69,7 +69,7 @@
 func (t *Tracker) claimsOf(now time.Time, r *record, relay bool) []Claim {
 	var out []Claim
 	own := t.ownClaim(now, r)
-	if r.claimed || len(own.Crashes) > 0 || own.HeldLeft > 0 || own.Answered {
+	if r.claimed || len(own.Crashes) > 0 || own.HoldRemaining > 0 || own.Answered {
 		r.claimed = true
 		out = append(out, own)
 	}
@@ -86,7 +86,7 @@
 func (t *Tracker) ownClaim(now time.Time, r *record) Claim {
 	w := Claim{Key: r.key, Head: r.head, Source: t.self, Crashes: crashesOf(now, r.own)}
 	if left := r.heldUntil.Sub(now); left > 0 {
-		w.HeldLeft, w.HeldAge = left, now.Sub(r.heldSince)
+		w.HoldRemaining, w.HoldAge = left, now.Sub(r.heldSince)
 	}
 	if !r.ownAnswer.IsZero() {
 		w.Answered, w.AnsweredAge = true, now.Sub(r.ownAnswer)
@@ -108,7 +108,7 @@
 func (s *peerClaim) later(now time.Time) Claim {
 	w := s.claim
 	w.Crashes = crashesOf(now, s.crashes)
-	w.HeldLeft, w.HeldAge = max(0, s.heldUntil.Sub(now)), now.Sub(s.heldSince)
+	w.HoldRemaining, w.HoldAge = max(0, s.heldUntil.Sub(now)), now.Sub(s.heldSince)
 	if w.Answered {
 		w.AnsweredAge += now.Sub(s.at)
 	}
--- a/internal/poison/key.go
+++ b/internal/poison/key.go
@@ -33,14 +33,14 @@
 // lie in what all callers ask for, or only in what one of them may see. Of a path that
 // everybody asks for, the answers to others must not speak for the one caller whose
 // requests end upstreams; nor may a caller with many addresses go unseen.
-type Keys struct{ Anyone, Caller Key }
+type Keys struct{ AnyCaller, Caller Key }
 
 // All returns both keys, that of the caller first: if the ends are of one caller's making,
 // it alone is to be held.
-func (k Keys) All() [2]Key { return [2]Key{k.Caller, k.Anyone} }
+func (k Keys) All() [2]Key { return [2]Key{k.Caller, k.AnyCaller} }
 
-// Head returns the keys without the body, which are known before any of it is read.
-func (r *Request) Head() Keys {
+// HeadKeys returns the keys without the body, which are known before any of it is read.
+func (r *Request) HeadKeys() Keys {
 	d := xxhash.New()
 	for _, s := range []string{r.Method, r.Host, r.Target, r.Object} {
 		writePart(d, s)
@@ -62,18 +62,18 @@
 	_, _ = d.WriteString(s)
 }
 
-// BodyPrefix is how many bytes of a body belong to the keys. More would have to be kept,
+// MaxBodyPrefix is how many bytes of a body belong to the keys. More would have to be kept,
 // or read before it is known whether to send the request at all; two requests that differ
 // only beyond it are taken for the same.
-const BodyPrefix = 4 << 10
+const MaxBodyPrefix = 4 << 10
 
 // WithBody returns the keys of a request whose body begins with a prefix.
 func (k Keys) WithBody(prefix []byte) Keys {
 	if len(prefix) == 0 {
 		return k
 	}
-	body := xxhash.Sum64(prefix[:min(len(prefix), BodyPrefix)])
-	return Keys{mix(k.Anyone, body), mix(k.Caller, body)}
+	body := xxhash.Sum64(prefix[:min(len(prefix), MaxBodyPrefix)])
+	return Keys{mix(k.AnyCaller, body), mix(k.Caller, body)}
 }
 
 // mix joins a key with another hash.
--- a/internal/poison/peers.go
+++ b/internal/poison/peers.go
@@ -15,15 +15,15 @@
 	claim    Claim
 }
 
-// Heard takes in what another entry says.
-func (t *Tracker) Heard(now time.Time, w Claim) {
+// HandleClaim takes in what another entry says.
+func (t *Tracker) HandleClaim(now time.Time, w Claim) {
 	if w.Source == t.self {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.records[w.Key]
-	if r == nil && len(w.Crashes) == 0 && w.HeldLeft == 0 {
+	if r == nil && len(w.Crashes) == 0 && w.HoldRemaining == 0 {
 		return
 	}
 	r = t.record(now, w.Head, w.Key)
@@ -73,8 +73,8 @@
 	if w.Answered {
 		s.answered = now.Add(-w.AnsweredAge)
 	}
-	if w.HeldLeft > echoSlack && now.After(trustedUntil) {
-		s.heldSince, s.heldUntil = now.Add(-w.HeldAge), now.Add(w.HeldLeft)
+	if w.HoldRemaining > echoSlack && now.After(trustedUntil) {
+		s.heldSince, s.heldUntil = now.Add(-w.HoldAge), now.Add(w.HoldRemaining)
 	}
 	return s
 }
--- a/internal/poison/tracker.go
+++ b/internal/poison/tracker.go
@@ -73,16 +73,16 @@
 	Source uint32
 	// Crashes are the last upstreams that ended under the request at that entry.
 	Crashes []Crash
-	// HeldLeft is for how long that entry will keep it from upstreams, 0 if it does not, and
-	// HeldAge since how long it has.
-	HeldLeft, HeldAge time.Duration
+	// HoldRemaining is for how long that entry will keep it from upstreams, 0 if it does not, and
+	// HoldAge since how long it has.
+	HoldRemaining, HoldAge time.Duration
 	// Answered is set if an upstream has answered it there, AnsweredAge how long ago.
 	Answered    bool
 	AnsweredAge time.Duration
 }
 
-// SourceOf returns the hash of an entry's id, which names it in reports.
-func SourceOf(entry string) uint32 { return uint32(xxhash.Sum64String(entry)) }
+// HashEntry returns the hash of an entry's id, which names it in reports.
+func HashEntry(entry string) uint32 { return uint32(xxhash.Sum64String(entry)) }
 
 // Decision is what to do with a request.
 type Decision struct {
@@ -135,22 +135,22 @@
 // NewTracker returns the Tracker of an entry.
 func NewTracker(self string) *Tracker {
 	return &Tracker{
-		self: SourceOf(self), records: make(map[Key]*record), heads: make(map[Key]int),
+		self: HashEntry(self), records: make(map[Key]*record), heads: make(map[Key]int),
 		explained: make(map[uint32]Key), answered: newRecentKeys(),
 	}
 }
 
-// Known reports whether anything is held against a request with these keys without body,
+// HasRecord reports whether anything is held against a request with these keys without body,
 // so that its body has to be looked at before it is sent.
-func (t *Tracker) Known(head Keys) bool {
+func (t *Tracker) HasRecord(head Keys) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.heads[head.Anyone] > 0 || t.heads[head.Caller] > 0
+	return t.heads[head.AnyCaller] > 0 || t.heads[head.Caller] > 0
 }
 
-// Broke records that an upstream ended under a request. It reports what to do with the
+// RecordCrash records that an upstream ended under a request. It reports what to do with the
 // request now.
-func (t *Tracker) Broke(now time.Time, head, keys Keys, upstream uint32) Decision {
+func (t *Tracker) RecordCrash(now time.Time, head, keys Keys, upstream uint32) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i, key := range keys.All() {
@@ -164,8 +164,8 @@
 	return t.decide(now, keys)
 }
 
-// Answered records that an upstream answered a request.
-func (t *Tracker) Answered(now time.Time, keys Keys) {
+// RecordResponse records that an upstream answered a request.
+func (t *Tracker) RecordResponse(now time.Time, keys Keys) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, key := range keys.All() {
@@ -177,9 +177,9 @@
 	}
 }
 
-// Alive records that an upstream answered a request that was sent to it at a time. An end
+// RecordAlive records that an upstream answered a request that was sent to it at a time. An end
 // just before was none: its connection broke.
-func (t *Tracker) Alive(now time.Time, upstream uint32, sent time.Time) {
+func (t *Tracker) RecordAlive(now time.Time, upstream uint32, sent time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.records {
@@ -324,9 +324,9 @@
 	r.news(now)
 }
 
-// Forget drops the requests that nothing speaks against any more. It is called every now
+// Expire drops the requests that nothing speaks against any more. It is called every now
 // and then.
-func (t *Tracker) Forget(now time.Time) {
+func (t *Tracker) Expire(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.records {
--- a/internal/poison/tracker_test.go
+++ b/internal/poison/tracker_test.go
@@ -17,7 +17,7 @@
 // keysOf returns the keys of a request to a path by a caller.
 func keysOf(path, caller string) Keys {
 	r := Request{Method: "GET", Host: "a.example", Target: path, Caller: caller}
-	return r.Head()
+	return r.HeadKeys()
 }
 
 // fleet is entries that hear all that the others say.
@@ -37,7 +37,7 @@
 		for _, w := range t.Claims(now, 1000, false) {
 			for to, other := range f {
 				if to != from {
-					other.Heard(now, w)
+					other.HandleClaim(now, w)
 				}
 			}
 		}
@@ -71,7 +71,7 @@
 		if n := f.held(at(0), k); n != 0 {
 			t.Fatalf("held at %d entries after %d", n, i)
 		}
-		f[i].Broke(at(0), k, k, uint32(i))
+		f[i].RecordCrash(at(0), k, k, uint32(i))
 		f.talk(at(0))
 	}
 	f.expectHeld(t, at(0), k, len(f))
@@ -88,12 +88,12 @@
 // request, which others have never seen fail.
 func TestOnePeersClaimHoldsNothing(t *testing.T) {
 	f, k := newFleet(3), keysOf("/healthy", "c")
-	forged := Claim{Key: k.Anyone, Head: k.Anyone, Source: 99, HeldLeft: time.Hour}
+	forged := Claim{Key: k.AnyCaller, Head: k.AnyCaller, Source: 99, HoldRemaining: time.Hour}
 	for i := range 4 {
 		forged.Crashes = append(forged.Crashes, Crash{Upstream: uint32(i)})
 	}
 	for _, tr := range f {
-		tr.Heard(at(0), forged)
+		tr.HandleClaim(at(0), forged)
 	}
 	f.talk(at(0))
 	if n := f.held(at(0), k); n != 0 {
@@ -110,12 +110,12 @@
 func TestAnswerClears(t *testing.T) {
 	f, k := newFleet(3), keysOf("/hot", "c")
 	for i := range 2 {
-		f[i].Broke(at(0), k, k, uint32(i))
+		f[i].RecordCrash(at(0), k, k, uint32(i))
 	}
 	f.talk(at(0))
-	f[2].Answered(at(time.Second), k)
+	f[2].RecordResponse(at(time.Second), k)
 	f.talk(at(time.Second))
-	f[0].Broke(at(trustAnswerFor+2*time.Second), k, k, 7)
+	f[0].RecordCrash(at(trustAnswerFor+2*time.Second), k, k, 7)
 	f.talk(at(trustAnswerFor + 2*time.Second))
 	if n := f.held(at(trustAnswerFor+2*time.Second), k); n != 0 {
 		t.Errorf("held at %d entries", n)
@@ -127,10 +127,10 @@
 func TestRecentAnswerIsTrusted(t *testing.T) {
 	f, k := newFleet(3), keysOf("/hot", "c")
 	for _, tr := range f {
-		tr.Answered(at(-time.Second), k)
+		tr.RecordResponse(at(-time.Second), k)
 	}
 	for i := range 9 {
-		f[i%3].Broke(at(0), k, k, uint32(i))
+		f[i%3].RecordCrash(at(0), k, k, uint32(i))
 	}
 	f.talk(at(0))
 	if n := f.held(at(0), k); n != 0 {
@@ -142,8 +142,8 @@
 func TestOthersAnswersDoNotClearACaller(t *testing.T) {
 	f, k, others := newFleet(3), keysOf("/same", "bad"), keysOf("/same", "good")
 	for i := range 3 {
-		f[i].Answered(at(0), others)
-		f[i].Broke(at(0), k, k, uint32(i))
+		f[i].RecordResponse(at(0), others)
+		f[i].RecordCrash(at(0), k, k, uint32(i))
 	}
 	f.talk(at(0))
 	f.expectHeld(t, at(0), k, len(f))
@@ -157,7 +157,7 @@
 func TestACallerIsHeldAlone(t *testing.T) {
 	f, k, others := newFleet(4), keysOf("/same", "bad"), keysOf("/same", "good")
 	for i := range 3 {
-		f[i].Broke(at(0), k, k, uint32(i))
+		f[i].RecordCrash(at(0), k, k, uint32(i))
 	}
 	f.talk(at(0))
 	f.expectHeld(t, at(0), k, len(f))
@@ -171,7 +171,7 @@
 	f := newFleet(4)
 	for i := range 3 {
 		k := keysOf("/deadly", fmt.Sprint("c", i))
-		f[i].Broke(at(0), k, k, uint32(i))
+		f[i].RecordCrash(at(0), k, k, uint32(i))
 	}
 	f.talk(at(0))
 	f.expectHeld(t, at(0), keysOf("/deadly", "another"), len(f))
@@ -182,11 +182,11 @@
 func TestEndsUnderAHeldRequestCountAgainstNoOther(t *testing.T) {
 	f, deadly, beside := newFleet(3), keysOf("/deadly", "c"), keysOf("/beside", "d")
 	for i := range 3 {
-		f[i].Broke(at(0), deadly, deadly, uint32(i))
+		f[i].RecordCrash(at(0), deadly, deadly, uint32(i))
 		f.talk(at(0))
 	}
 	for i := range 3 {
-		f[i].Broke(at(0), beside, beside, uint32(i))
+		f[i].RecordCrash(at(0), beside, beside, uint32(i))
 		f.talk(at(0))
 	}
 	if n := f.held(at(0), beside); n != 0 {
@@ -199,8 +199,8 @@
 	f, k := newFleet(3), keysOf("/x", "c")
 	for i := range 6 {
 		tr, now := f[i%3], at(time.Duration(i)*time.Second)
-		tr.Broke(now, k, k, uint32(i))
-		tr.Alive(now.Add(100*time.Millisecond), uint32(i), now.Add(10*time.Millisecond))
+		tr.RecordCrash(now, k, k, uint32(i))
+		tr.RecordAlive(now.Add(100*time.Millisecond), uint32(i), now.Add(10*time.Millisecond))
 		f.talk(now.Add(200 * time.Millisecond))
 	}
 	if n := f.held(at(6*time.Second), k); n != 0 {
@@ -208,8 +208,8 @@
 	}
 	// An answer to what was sent before the end may come after it.
 	for i := range 3 {
-		f[i].Broke(at(10*time.Second), k, k, uint32(10+i))
-		f[i].Alive(at(10*time.Second), uint32(10+i), at(9*time.Second))
+		f[i].RecordCrash(at(10*time.Second), k, k, uint32(10+i))
+		f[i].RecordAlive(at(10*time.Second), uint32(10+i), at(9*time.Second))
 	}
 	f.talk(at(10 * time.Second))
 	f.expectHeld(t, at(10*time.Second), k, len(f))
@@ -218,10 +218,10 @@
 // TestSuspectsComeOneAtATime has two upstreams end under a request.
 func TestSuspectsComeOneAtATime(t *testing.T) {
 	tr, k := NewTracker("n"), keysOf("/x", "c")
-	if d := tr.Broke(at(0), k, k, 1); d.Suspect || d.Held {
+	if d := tr.RecordCrash(at(0), k, k, 1); d.Suspect || d.Held {
 		t.Errorf("after one: %+v", d)
 	}
-	if d := tr.Broke(at(0), k, k, 2); !d.Suspect || d.Held {
+	if d := tr.RecordCrash(at(0), k, k, 2); !d.Suspect || d.Held {
 		t.Errorf("after two: %+v", d)
 	}
 	if d := tr.Begin(at(0), k); d.Held {
@@ -240,7 +240,7 @@
 func TestNewcomerLearnsWhatHolds(t *testing.T) {
 	f, k := newFleet(6), keysOf("/deadly", "c")
 	for i := range 3 {
-		f[i].Broke(at(0), k, k, uint32(i))
+		f[i].RecordCrash(at(0), k, k, uint32(i))
 	}
 	f.talk(at(0))
 	f = append(f[3:], NewTracker("new"))
@@ -257,7 +257,7 @@
 func TestHoldEndsAtOneEntryAfterTheOther(t *testing.T) {
 	f, k := newFleet(11), keysOf("/deadly", "c")
 	for i := range 3 {
-		f[i].Broke(at(0), k, k, uint32(i))
+		f[i].RecordCrash(at(0), k, k, uint32(i))
 	}
 	f.talk(at(0))
 	now := at(holdFor)
@@ -272,7 +272,7 @@
 	for i, tr := range f {
 		if d := tr.Begin(now, k); !d.Held {
 			sends++
-			tr.Broke(now, k, k, uint32(100+i))
+			tr.RecordCrash(now, k, k, uint32(100+i))
 			tr.End(k)
 		}
 	}
@@ -285,7 +285,7 @@
 	if n := f.held(now, k); n != len(f) {
 		t.Errorf("the second hold is no longer than the first: held at %d", n)
 	}
-	f[3].Answered(now, k)
+	f[3].RecordResponse(now, k)
 	f.talk(now.Add(time.Millisecond))
 	if n := f.held(now.Add(time.Second), k); n != 0 {
 		t.Errorf("held at %d entries after an answer", n)
@@ -296,11 +296,11 @@
 func TestForgotten(t *testing.T) {
 	f, k := newFleet(3), keysOf("/deadly", "c")
 	for i := range 3 {
-		f[i].Broke(at(0), k, k, uint32(i))
+		f[i].RecordCrash(at(0), k, k, uint32(i))
 	}
 	f.talk(at(0))
 	for _, tr := range f {
-		tr.Forget(at(time.Hour))
+		tr.Expire(at(time.Hour))
 		if s := tr.Status(at(time.Hour)); s.Remembered != 0 || len(tr.heads) != 0 || len(tr.explained) != 0 {
 			t.Errorf("%+v, %d heads, %d explained", s, len(tr.heads), len(tr.explained))
 		}
@@ -312,18 +312,18 @@
 func TestBounded(t *testing.T) {
 	tr, k := NewTracker("n"), keysOf("/deadly", "c")
 	for i := range 3 {
-		tr.Broke(at(0), k, k, uint32(i))
+		tr.RecordCrash(at(0), k, k, uint32(i))
 	}
 	for i := range 3 * maxRecords {
-		tr.Heard(at(time.Second), Claim{Key: Key(i), Head: Key(i), Source: 5, Crashes: []Crash{{Upstream: 1}}})
+		tr.HandleClaim(at(time.Second), Claim{Key: Key(i), Head: Key(i), Source: 5, Crashes: []Crash{{Upstream: 1}}})
 	}
 	if s := tr.Status(at(time.Second)); s.Remembered > maxRecords {
 		t.Errorf("%d remembered", s.Remembered)
 	}
 	for i := range 3 * maxSources {
-		tr.Heard(at(time.Second), Claim{Key: k.Anyone, Head: k.Anyone, Source: uint32(i), HeldLeft: time.Hour})
+		tr.HandleClaim(at(time.Second), Claim{Key: k.AnyCaller, Head: k.AnyCaller, Source: uint32(i), HoldRemaining: time.Hour})
 	}
-	if n := len(tr.records[k.Anyone].peers); n > maxSources {
+	if n := len(tr.records[k.AnyCaller].peers); n > maxSources {
 		t.Errorf("the claims of %d entries are remembered", n)
 	}
 	if d := tr.Begin(at(time.Second), k); !d.Held {
@@ -334,12 +334,12 @@
 // TestBodyTellsRequestsApart has two uploads to one path.
 func TestBodyTellsRequestsApart(t *testing.T) {
 	r := Request{Method: "POST", Host: "a", Target: "/x", Length: 3}
-	head := r.Head()
+	head := r.HeadKeys()
 	if head.WithBody([]byte("abc")) == head.WithBody([]byte("abd")) || head.WithBody(nil) != head {
 		t.Error("bodies are not told apart")
 	}
-	long := make([]byte, 2*BodyPrefix)
-	if head.WithBody(long) != head.WithBody(long[:BodyPrefix]) {
+	long := make([]byte, 2*MaxBodyPrefix)
+	if head.WithBody(long) != head.WithBody(long[:MaxBodyPrefix]) {
 		t.Error("more than the prefix counts")
 	}
 }
@@ -359,11 +359,11 @@
 			node, upstream := e%3, e/3%5
 			lastAnswer = e%7 == 0
 			if lastAnswer {
-				f[node].Answered(now, k)
+				f[node].RecordResponse(now, k)
 				clear(ended)
 				clear(saw)
 			} else {
-				f[node].Broke(now, k, k, uint32(upstream))
+				f[node].RecordCrash(now, k, k, uint32(upstream))
 				ended[upstream], saw[node] = true, true
 			}
 			f.talk(now.Add(time.Millisecond))
