--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -8,17 +8,18 @@
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
-// manyOrganisations is a Limiter with a number of them, told by a hub of half of them.
-func manyOrganisations(n int) (*Limiter, []string, []Usage) {
+// newBenchLimiter returns a Limiter with n organisations, their names, and the usage of every
+// second one as a hub reports it.
+func newBenchLimiter(n int) (*Limiter, []string, []Usage) {
 	var list []*model.Organisation
 	var names []string
-	var uses []Usage
+	var usages []Usage
 	for i := range n {
 		name := fmt.Sprint("organisation-", i)
 		names = append(names, name)
 		list = append(list, &model.Organisation{Name: name, Limit: model.Limit{Rate: 1e6, Burst: 1e6}})
 		if i%2 == 0 {
-			uses = append(uses, Usage{HashOrganisation(name), 3, 3})
+			usages = append(usages, Usage{HashOrganisation(name), 3, 3})
 		}
 	}
 	table, err := model.NewOrganisations(list, nil)
@@ -28,13 +29,13 @@
 	l := NewLimiter()
 	l.Update(table, testSlack, t0)
 	l.SetSources(1, []Source{{Name: "*", Weight: 11, Complete: true}}, t0)
-	l.HandleReport(Report{Reporter: "hub", Source: "*", CoveredWeight: 11, Last: 1<<32 - 1, Usages: uses}, t0.Add(time.Second))
-	return l, names, uses
+	l.HandleReport(Report{Reporter: "hub", Source: "*", CoveredWeight: 11, Last: 1<<32 - 1, Usages: usages}, t0.Add(time.Second))
+	return l, names, usages
 }
 
-// BenchmarkTake measures what a request costs, with many at once.
+// BenchmarkTake measures the cost of one request with many concurrent callers.
 func BenchmarkTake(b *testing.B) {
-	l, names, _ := manyOrganisations(10_000)
+	l, names, _ := newBenchLimiter(10_000)
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		now := t0.Add(time.Second)
@@ -45,16 +46,16 @@
 	})
 }
 
-// BenchmarkReport measures what is told and heard in one period, at 79 organisations of
-// which half have requests.
+// BenchmarkReport measures the cost of sending and receiving the reports of one interval, with
+// 79 organisations of which half have requests.
 func BenchmarkReport(b *testing.B) {
-	l, _, uses := manyOrganisations(79)
+	l, _, usages := newBenchLimiter(79)
 	b.ReportAllocs()
 	for i := range b.N {
-		now := t0.Add(time.Duration(i+2) * reportEvery)
-		uses[i%len(uses)].Admitted = float64(i % 7)
+		now := t0.Add(time.Duration(i+2) * reportInterval)
+		usages[i%len(usages)].Admitted = float64(i % 7)
 		l.SetSources(1, []Source{{Name: "*", Weight: 11, Complete: true}}, now)
-		l.HandleReport(Report{Reporter: "hub", Source: "*", CoveredWeight: 11, Last: 1<<32 - 1, Usages: uses}, now)
+		l.HandleReport(Report{Reporter: "hub", Source: "*", CoveredWeight: 11, Last: 1<<32 - 1, Usages: usages}, now)
 		l.Usages(true, func(string) bool { return false }, now)
 	}
 }
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -10,121 +10,131 @@
 )
 
 const (
-	// unseenFor is how long the other entries may not have heard of a request: a report to
-	// the hub, from hub to hub and on to them, and the time that rates are told over.
-	unseenFor = 600 * time.Millisecond
-	// rateOver is the time over which the admitted requests are told, askedOver that for
-	// those that were asked for.
-	rateOver  = 200 * time.Millisecond
-	askedOver = time.Second
-	// newsAge is how old what other entries tell is on the average.
-	newsAge = 300 * time.Millisecond
-	// extraShare is the part of the slack that is always there to be used, as if the burst
-	// were larger. The rest is for requests that the entries do not know of each other.
-	extraShare = 0.4
-	// fewAtOnce is how many requests an entry may admit within unseenFor while there is
-	// plenty, whatever its part: the part of a small organisation's limit at one entry is less
-	// than a request. plenty is how many tokens there must be for each of them.
-	fewAtOnce = 7.0
-	plenty    = 4.0
-	// evenShare is the part of the rate by which every entry that carries requests is taken to
-	// ask for more than it does. An entry whose callers have just come has a part at once.
-	evenShare = 0.3
-	// maxDebt is how many seconds of the rate the level may be below zero.
+	// maxReportLag is the longest time until all other entries have counted a request: the
+	// reports to the hub, from hub to hub and to the other entries, and the window over which
+	// the reported rates are averaged.
+	maxReportLag = 600 * time.Millisecond
+	// admittedWindow and requestedWindow are the windows over which the reported rates of
+	// admitted and of requested requests are averaged.
+	admittedWindow  = 200 * time.Millisecond
+	requestedWindow = time.Second
+	// averageReportAge is the average age of the rates that other entries report.
+	averageReportAge = 300 * time.Millisecond
+	// burstSlackShare is the part of the slack that is added to the burst. The rest of the
+	// slack covers requests that the entries have not yet reported to each other.
+	burstSlackShare = 0.4
+	// minAllowance is the number of requests that an entry may admit within maxReportLag
+	// regardless of its share, as long as there are tokensPerMinAllowance tokens for each of
+	// them. Without it, one entry's share of a small organisation's limit is less than one
+	// request.
+	minAllowance          = 7.0
+	tokensPerMinAllowance = 4.0
+	// baselineDemandShare is the part of the rate that is added to the demand of the entries,
+	// divided among them by weight. It gives an entry whose callers have just arrived a share
+	// at once.
+	baselineDemandShare = 0.3
+	// maxDebt bounds how far the level falls below zero, in seconds of the rate, beyond the
+	// burst.
 	maxDebt = 2.0
-	// minRetry and maxRetry bound when a refused caller is told to come back.
-	minRetry = 50 * time.Millisecond
-	maxRetry = 5 * time.Second
+	// minRetryAfter and maxRetryAfter bound the delay after which a refused caller is told to
+	// retry.
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 5 * time.Second
 )
 
-// use is the use of a limit in requests per second: what is admitted, and what is asked for.
-type use struct {
-	admitted, asked float64
+// usage holds the rates of admitted and of requested requests, in requests per second.
+type usage struct {
+	admitted, requested float64
 }
 
-// bucket is the limit of one organisation as one entry sees it: a token bucket that all
-// entries share.
+// bucket is one entry's estimate of an organisation's token bucket, which all entries share.
 //
-// The level follows the own requests as they are admitted and those of the other entries
-// by the rates that they tell. What was admitted within unseenFor the others may not have
-// counted yet. So the entry divides the level as it was before those requests by what each
-// entry asks for, and admits no more than its part: the parts of all entries together are
-// the level, whatever each does meanwhile.
+// The level falls by each request that this entry admits, and by the rates at which the other
+// entries report to admit requests. The other entries may not have counted the requests that
+// this entry admitted within maxReportLag. Each entry therefore adds its own requests of that
+// time back to the level, divides the sum in proportion to the demand of each entry, and admits
+// no more than its share within maxReportLag. The shares of all entries add up to the level,
+// whatever each entry admits meanwhile.
 type bucket struct {
 	name string
 	hash uint32
-	// active is set while the bucket is one that others are told of.
+	// active is set while the bucket is included in reports to other entries.
 	active atomic.Bool
 
 	mu    sync.Mutex
 	limit model.Limit
 	slack float64
 	level float64
-	at    time.Time
-	// admitted are the own requests that were let through, asked all of them.
-	admitted, asked window
-	// told is what each speaker told last.
-	told map[string]use
-	// heard is the sum of what the sources tell that are heard now.
-	heard use
-	// missing is the part of the limit that is set aside for entries which are not heard:
-	// they may go on, and set the part of this one aside in turn.
+	// updated is the time that level is valid for.
+	updated time.Time
+	// admitted counts the requests that this entry admitted, requested all that it received.
+	admitted, requested window
+	// reported holds the last usage from each reporter.
+	reported map[string]usage
+	// others is the sum of the usage from the reporters that count at present.
+	others usage
+	// missing is the share of the limit that is reserved for entries without a current report.
+	// These may go on to admit requests, and reserve the share of this entry in turn.
 	missing float64
-	// setAside is what was taken off the level for them.
-	setAside float64
-	// self is the share of this entry in the limit if all ask for the same.
-	self float64
-	// settled is set once missing and self were worked out.
-	settled bool
-	// nextReturn is when the last refused caller was told to come back.
-	nextReturn time.Time
+	// reserved is the number of tokens that were taken off the level for missing entries.
+	reserved float64
+	// selfShare is the share of this entry in the limit if all entries have the same demand
+	// for their weight.
+	selfShare float64
+	// aggregated is set once missing and selfShare have been computed.
+	aggregated bool
+	// nextRetry is the time at which the last refused caller was told to retry.
+	nextRetry time.Time
 	// refused counts the refused requests.
 	refused int64
 }
 
-// rate is what is left of the limit's rate for this entry and those that it hears.
-func (b *bucket) rate() float64 { return b.limit.Rate * (1 - b.missing) }
+// availableRate returns the limit's rate without the share that is reserved for missing
+// entries, in requests per second.
+func (b *bucket) availableRate() float64 { return b.limit.Rate * (1 - b.missing) }
 
-// capacity is the highest level. While others are not heard their part is not counted in.
+// capacity returns the highest level, without the share that is reserved for missing entries.
 func (b *bucket) capacity() float64 {
-	return (b.limit.Burst + extraShare*b.slack) * (1 - b.missing)
+	return (b.limit.Burst + burstSlackShare*b.slack) * (1 - b.missing)
 }
 
-// advance brings the level up to a time.
+// advance refills the bucket up to now.
 func (b *bucket) advance(now time.Time) {
-	elapsed := now.Sub(b.at).Seconds()
+	elapsed := now.Sub(b.updated).Seconds()
 	if elapsed <= 0 {
 		return
 	}
-	b.at = now
+	b.updated = now
 	if b.limit.Rate <= 0 {
 		return
 	}
-	b.level += (b.rate() - b.heard.admitted) * elapsed
+	b.level += (b.availableRate() - b.others.admitted) * elapsed
 	b.level = math.Max(-maxDebt*b.limit.Rate-b.limit.Burst, math.Min(b.level, b.capacity()))
 }
 
-// part is the share of this entry in what those who hear each other may admit, by what
-// each asks for. The own figure is as old as those of the others, so that in a surge that
-// all see at once the parts are no more than the whole.
-func (b *bucket) part(now time.Time) float64 {
-	even := evenShare * b.limit.Rate
-	own := b.asked.sum(now, newsAge, newsAge+askedOver) + even*b.self
-	return own / (own + b.heard.asked + even*(1-b.self))
+// share returns this entry's share of the tokens that the reachable entries may use, by the
+// demand of each. The demand of this entry is taken from averageReportAge ago, so that it is
+// as old as the reports of the others: otherwise the shares would exceed the whole in a surge
+// that reaches all entries at once.
+func (b *bucket) share(now time.Time) float64 {
+	baseline := baselineDemandShare * b.limit.Rate
+	own := b.requested.sum(now, averageReportAge, averageReportAge+requestedWindow) + baseline*b.selfShare
+	return own / (own + b.others.requested + baseline*(1-b.selfShare))
 }
 
-// room returns how many more requests this entry may admit now.
-func (b *bucket) room(now time.Time) float64 {
-	unseen := b.admitted.sum(now, 0, unseenFor)
-	whole := b.level + unseen
-	if whole <= 0 {
-		return -unseen
+// allowance returns how many more requests this entry may admit now. A negative value is the
+// number of tokens short.
+func (b *bucket) allowance(now time.Time) float64 {
+	unreported := b.admitted.sum(now, 0, maxReportLag)
+	total := b.level + unreported
+	if total <= 0 {
+		return -unreported
 	}
-	few := math.Min(fewAtOnce, whole/plenty)
-	return math.Max(b.part(now)*whole, few) - unseen
+	floor := math.Min(minAllowance, total/tokensPerMinAllowance)
+	return math.Max(b.share(now)*total, floor) - unreported
 }
 
-// take admits one request, or returns after what time the caller may come back.
+// take admits one request, or returns the delay after which the caller may retry.
 func (b *bucket) take(now time.Time) (ok bool, retryAfter time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -132,22 +142,23 @@
 		return true, 0
 	}
 	b.advance(now)
-	b.asked.add(now, 1)
-	if room := b.room(now); room <= 0 {
+	b.requested.add(now, 1)
+	if allowance := b.allowance(now); allowance <= 0 {
 		b.refused++
-		return false, b.retryAfter(now, -room)
+		return false, b.retryAfter(now, -allowance)
 	}
 	b.spend(now, 1)
 	return true, 0
 }
 
-// spend counts n admitted requests.
+// spend counts n admitted requests. The caller holds b.mu.
 func (b *bucket) spend(now time.Time, n float64) {
 	b.level -= n
 	b.admitted.add(now, float32(n))
 }
 
-// charge counts n requests that are sent anyway; fewer than 0 were not run after all.
+// charge counts n requests that are sent regardless of the limit. A negative n gives back
+// requests that were not executed.
 func (b *bucket) charge(now time.Time, n float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -158,95 +169,98 @@
 	b.spend(now, n)
 }
 
-// retryAfter returns when a refused caller may come back: at the rate at which this entry
-// admits requests, after all those that were refused before and have not come back yet.
-func (b *bucket) retryAfter(now time.Time, missing float64) time.Duration {
-	each := time.Duration(float64(time.Second) / math.Max(b.part(now)*b.rate(), 1/maxRetry.Seconds()))
-	first := now.Add(min(time.Duration(missing*float64(each)), maxRetry))
-	if b.nextReturn.Before(first) {
-		b.nextReturn = first
+// retryAfter returns the delay after which a refused caller may retry, for a bucket that is
+// short of the given number of tokens. Retries are spaced at the rate at which this entry
+// admits requests, after those of the callers that were refused before.
+func (b *bucket) retryAfter(now time.Time, short float64) time.Duration {
+	interval := time.Duration(float64(time.Second) / math.Max(b.share(now)*b.availableRate(), 1/maxRetryAfter.Seconds()))
+	first := now.Add(min(time.Duration(short*float64(interval)), maxRetryAfter))
+	if b.nextRetry.Before(first) {
+		b.nextRetry = first
 	}
-	b.nextReturn = b.nextReturn.Add(each)
-	if latest := now.Add(maxRetry); b.nextReturn.After(latest) {
-		b.nextReturn = latest
+	b.nextRetry = b.nextRetry.Add(interval)
+	if latest := now.Add(maxRetryAfter); b.nextRetry.After(latest) {
+		b.nextRetry = latest
 	}
-	return max(minRetry, b.nextReturn.Sub(now))
+	return max(minRetryAfter, b.nextRetry.Sub(now))
 }
 
-// hear takes in what a speaker tells. It reports whether that is news.
-func (b *bucket) hear(speaker string, u use) bool {
+// setReported stores the usage from a reporter, and reports whether it has changed.
+func (b *bucket) setReported(reporter string, u usage) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.told[speaker] == u {
+	if b.reported[reporter] == u {
 		return false
 	}
-	if u == (use{}) {
-		delete(b.told, speaker)
+	if u == (usage{}) {
+		delete(b.reported, reporter)
 		return true
 	}
-	if b.told == nil {
-		b.told = make(map[string]use)
+	if b.reported == nil {
+		b.reported = make(map[string]usage)
 	}
-	b.told[speaker] = u
+	b.reported[reporter] = u
 	return true
 }
 
-// settle sums up what the sources tell.
-func (b *bucket) settle(now time.Time, s *sources) {
-	missing, self := s.missing(now)
-	voices := s.voices(now)
+// aggregate recomputes the usage of the other entries and the share of the missing ones from
+// the reports that count at present.
+func (b *bucket) aggregate(now time.Time, s *sources) {
+	missing, self := s.missingShare(now)
+	current := s.currentReporters(now)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now)
-	if b.settled {
-		b.setAsideFor(missing)
+	if b.aggregated {
+		b.reserveFor(missing)
 	}
-	b.heard, b.missing, b.self, b.settled = use{}, missing, self, true
-	for name, u := range b.told {
+	b.others, b.missing, b.selfShare, b.aggregated = usage{}, missing, self, true
+	for name, u := range b.reported {
 		switch {
-		case s.speakers[name] == nil:
-			delete(b.told, name)
-		case voices[name]:
-			b.heard.admitted += u.admitted
-			b.heard.asked += u.asked
+		case s.reporters[name] == nil:
+			delete(b.reported, name)
+		case current[name]:
+			b.others.admitted += u.admitted
+			b.others.requested += u.requested
 		}
 	}
 }
 
-// setAsideFor takes off the level what is left in it for the latest requests of those that
-// are not heard any more: it is theirs. Once they are heard again it is given back.
-func (b *bucket) setAsideFor(missing float64) {
-	more := (missing - b.missing) * b.limit.Rate * unseenFor.Seconds()
-	more = math.Max(more, -b.setAside)
+// reserveFor adjusts the reserved tokens to a new missing share. Entries that have just gone
+// missing may have admitted requests within maxReportLag that were never reported, so their
+// share of that time is taken off the level. It is given back once they report again.
+func (b *bucket) reserveFor(missing float64) {
+	more := (missing - b.missing) * b.limit.Rate * maxReportLag.Seconds()
+	more = math.Max(more, -b.reserved)
 	b.level -= more
-	b.setAside += more
+	b.reserved += more
 }
 
-// uses returns the rates of the own requests, and those that the speakers told that are
-// asked for.
-func (b *bucket) uses(from func(speaker string) bool, now time.Time) (own, told use) {
+// usage returns the usage at this entry, and the sum of the usage from the reporters for which
+// include returns true.
+func (b *bucket) usage(include func(reporter string) bool, now time.Time) (own, reported usage) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	own.admitted = b.admitted.sum(now, slotLength, slotLength+rateOver) / rateOver.Seconds()
-	own.asked = b.asked.sum(now, slotLength, slotLength+askedOver) / askedOver.Seconds()
-	for name, u := range b.told {
-		if from(name) {
-			told.admitted += u.admitted
-			told.asked += u.asked
+	own.admitted = b.admitted.sum(now, slotLength, slotLength+admittedWindow) / admittedWindow.Seconds()
+	own.requested = b.requested.sum(now, slotLength, slotLength+requestedWindow) / requestedWindow.Seconds()
+	for name, u := range b.reported {
+		if include(name) {
+			reported.admitted += u.admitted
+			reported.requested += u.requested
 		}
 	}
-	return own, told
+	return own, reported
 }
 
-// idle reports whether neither this entry nor another has had a request of late.
+// idle reports whether no entry has had a recent request.
 func (b *bucket) idle(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.told) == 0 && b.asked.sum(now, 0, slots*slotLength) == 0 && b.admitted.sum(now, 0, slots*slotLength) == 0
+	return len(b.reported) == 0 && b.requested.sum(now, 0, slots*slotLength) == 0 && b.admitted.sum(now, 0, slots*slotLength) == 0
 }
 
-// set changes the limit. What was admitted under the one before counts.
-func (b *bucket) set(limit model.Limit, slack float64, now time.Time) {
+// setLimit changes the limit. Requests that were admitted under the previous limit still count.
+func (b *bucket) setLimit(limit model.Limit, slack float64, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now)
@@ -254,13 +268,13 @@
 	b.level = math.Min(b.level, b.capacity())
 }
 
-// status is the state for metrics and dumps; false if there is no limit.
+// status returns the state for metrics and dumps, and whether the organisation has a limit.
 func (b *bucket) status(now time.Time) (Status, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now)
 	return Status{
-		Organisation: b.name, Rate: b.limit.Rate, Burst: b.limit.Burst, Level: b.level, Share: b.part(now),
-		OwnRate: b.admitted.sum(now, 0, askedOver) / askedOver.Seconds(), OthersRate: b.heard.admitted, MissingShare: b.missing, Refused: b.refused,
+		Organisation: b.name, Rate: b.limit.Rate, Burst: b.limit.Burst, Level: b.level, Share: b.share(now),
+		OwnRate: b.admitted.sum(now, 0, requestedWindow) / requestedWindow.Seconds(), OthersRate: b.others.admitted, MissingShare: b.missing, Refused: b.refused,
 	}, b.limit.Rate > 0
 }
--- a/internal/quota/failures_test.go
+++ b/internal/quota/failures_test.go
@@ -6,60 +6,64 @@
 	"time"
 )
 
-// troubleAt is when trouble begins, while callers ask for several times the limit.
-const troubleAt = 15 * time.Second
+// failureAt is the time of the first failure. Callers demand several times the limit then.
+const failureAt = 15 * time.Second
 
+// noCheck is for tests that check no more than the excess over the limit.
 func noCheck(*testing.T, *tally) {}
 
-// trouble plays one with callers that ask for more than the limit before, in and after it.
-func trouble(t *testing.T, play func(f *simFleet)) {
+// simulateFailure simulates a failure while callers demand more than the limit, from before the
+// failure until after it.
+func simulateFailure(t *testing.T, setUp func(f *simFleet)) {
 	t.Helper()
-	eachFleet(t, beginsAt, endsAt, anyShare, func(f *simFleet) {
-		f.demand = surge(0.62, 3, troubleAt-2*time.Second, troubleAt+12*time.Second)
-		play(f)
+	simulateFleets(t, startAt, endAt, anyShare, func(f *simFleet) {
+		f.demand = surge(0.62, 3, failureAt-2*time.Second, failureAt+12*time.Second)
+		setUp(f)
 	}, noCheck)
 }
 
-// Both parts of a fleet that is cut apart go on, and together keep to the limit.
-func TestFleetCutApart(t *testing.T) {
+// TestNetworkPartition checks that both parts of a partitioned fleet go on to admit requests
+// and together keep to the limit.
+func TestNetworkPartition(t *testing.T) {
 	for name, inside := range map[string]func(f *simFleet, n *simNode) bool{
 		"one region":     func(_ *simFleet, n *simNode) bool { return n.domain%simRegions == 0 },
 		"half":           func(f *simFleet, n *simNode) bool { return n.domain < f.domains/2 },
 		"a third of all": func(f *simFleet, n *simNode) bool { return (n.id/f.domains+n.domain)%3 == 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			trouble(t, func(f *simFleet) {
-				f.at(troubleAt, func() { f.cut(func(n *simNode) bool { return inside(f, n) }) })
-				f.at(troubleAt+6*time.Second, func() { f.cut(func(*simNode) bool { return false }) })
+			simulateFailure(t, func(f *simFleet) {
+				f.at(failureAt, func() { f.partition(func(n *simNode) bool { return inside(f, n) }) })
+				f.at(failureAt+6*time.Second, func() { f.partition(func(*simNode) bool { return false }) })
 			})
 		})
 	}
 }
 
-// Entries are cut off one by one, among them many that carry few requests else, and callers
-// go on to turn to them. An organisation with several times its limit had 646 requests more
-// than rate and burst in five seconds: each of the entries that were cut off, alone with what
-// it knew, took itself for one of those that carry requests, of which there were a dozen.
-func TestEntriesCutOffOneByOne(t *testing.T) {
-	trouble(t, func(f *simFleet) {
-		f.strays = true
-		f.at(troubleAt, func() {
+// TestEntriesIsolatedOneByOne isolates entries from each other, many of which have few requests
+// otherwise, while callers go on to send to them. If each isolated entry takes the share of one
+// of the dozen serving entries, an organisation with a demand of several times its limit gets
+// 646 requests more than rate and burst in five seconds.
+func TestEntriesIsolatedOneByOne(t *testing.T) {
+	simulateFailure(t, func(f *simFleet) {
+		f.isolatedServe = true
+		f.at(failureAt, func() {
 			for _, n := range f.nodes {
 				if n.id%3 == 0 {
-					n.island = 1 + n.id
+					n.partition = 1 + n.id
 				}
 			}
 		})
-		f.at(troubleAt+5*time.Second, func() { f.cut(func(*simNode) bool { return false }) })
+		f.at(failureAt+5*time.Second, func() { f.partition(func(*simNode) bool { return false }) })
 	})
 }
 
-// After all nodes lost power nobody knows what was admitted before.
+// TestAllNodesLosePower restarts all nodes at once, so that no record is left of the requests
+// that were admitted before.
 func TestAllNodesLosePower(t *testing.T) {
 	for _, down := range []time.Duration{100 * time.Millisecond, 1200 * time.Millisecond} {
 		t.Run(down.String(), func(t *testing.T) {
-			trouble(t, func(f *simFleet) {
-				f.at(troubleAt, func() {
+			simulateFailure(t, func(f *simFleet) {
+				f.at(failureAt, func() {
 					for _, n := range f.nodes {
 						f.kill(n)
 						f.after(down+time.Duration(f.rnd.Int64N(int64(100*time.Millisecond))), func() { f.start(n) })
@@ -70,11 +74,11 @@
 	}
 }
 
-// Nodes are killed in series and start again.
-func TestNodesAreKilled(t *testing.T) {
-	trouble(t, func(f *simFleet) {
+// TestNodesKilled kills nodes one after the other and starts them again.
+func TestNodesKilled(t *testing.T) {
+	simulateFailure(t, func(f *simFleet) {
 		for i := range 40 {
-			f.at(troubleAt+time.Duration(i)*200*time.Millisecond, func() {
+			f.at(failureAt+time.Duration(i)*200*time.Millisecond, func() {
 				n := f.nodes[f.rnd.IntN(len(f.nodes))]
 				if n.dead {
 					return
@@ -86,11 +90,12 @@
 	})
 }
 
-// Callers move from the nodes of one failure domain to those of another.
-func TestCallersMove(t *testing.T) {
-	eachFleet(t, beginsAt, endsAt, mostRefused, func(f *simFleet) {
+// TestCallersMoveBetweenDomains moves callers from the nodes of one failure domain to those of
+// another.
+func TestCallersMoveBetweenDomains(t *testing.T) {
+	simulateFleets(t, startAt, endAt, maxRefusedShare, func(f *simFleet) {
 		f.weight = func(n *simNode, at time.Duration) float64 {
-			switch moved := at > troubleAt; {
+			switch moved := at > failureAt; {
 			case n.domain == 0 && moved:
 				return 0.05
 			case n.domain == 1 && moved:
@@ -98,52 +103,53 @@
 			}
 			return 1
 		}
-	}, fewRefused)
+	}, checkFewRefused)
 }
 
-// The time of day of some nodes steps back and on again.
+// TestClocksStep sets the clocks of some nodes back, and forward again later.
 func TestClocksStep(t *testing.T) {
-	trouble(t, func(f *simFleet) {
+	simulateFailure(t, func(f *simFleet) {
 		step := func(by time.Duration) func() {
 			return func() {
 				for _, n := range f.nodes {
 					if n.id%3 == 0 {
-						n.shift += by
+						n.clockOffset += by
 					}
 				}
 			}
 		}
-		f.at(troubleAt, step(-2*time.Second))
-		f.at(troubleAt+5*time.Second, step(2*time.Second))
+		f.at(failureAt, step(-2*time.Second))
+		f.at(failureAt+5*time.Second, step(2*time.Second))
 	})
 }
 
-// Any of these at any time, several at once.
-func TestLimitsInAnyTrouble(t *testing.T) {
-	eachFleet(t, beginsAt, endsAt, anyShare, func(f *simFleet) {
+// TestRandomFailures combines several of these failures at random times.
+func TestRandomFailures(t *testing.T) {
+	simulateFleets(t, startAt, endAt, anyShare, func(f *simFleet) {
 		rnd := rand.New(rand.NewPCG(f.rnd.Uint64(), 1))
 		from := 12*time.Second + time.Duration(rnd.Int64N(int64(5*time.Second)))
 		f.demand = surge(0.62, 1+4*rnd.Float64(), from, from+time.Duration(rnd.Int64N(int64(12*time.Second))))
 		for range 1 + rnd.IntN(4) {
-			f.randomTrouble(rnd, from+time.Duration(rnd.Int64N(int64(10*time.Second))))
+			f.randomFailure(rnd, from+time.Duration(rnd.Int64N(int64(10*time.Second))))
 		}
 	}, noCheck)
 }
 
-func (f *simFleet) randomTrouble(rnd *rand.Rand, at time.Duration) {
-	lasts := time.Duration(rnd.Int64N(int64(5 * time.Second)))
+// randomFailure schedules a random failure at a time since t0.
+func (f *simFleet) randomFailure(rnd *rand.Rand, at time.Duration) {
+	duration := time.Duration(rnd.Int64N(int64(5 * time.Second)))
 	switch rnd.IntN(4) {
 	case 0:
 		domain := rnd.IntN(f.domains)
-		f.at(at, func() { f.cut(func(n *simNode) bool { return n.domain == domain }) })
-		f.at(at+lasts, func() { f.cut(func(*simNode) bool { return false }) })
+		f.at(at, func() { f.partition(func(n *simNode) bool { return n.domain == domain }) })
+		f.at(at+duration, func() { f.partition(func(*simNode) bool { return false }) })
 	case 1:
 		domain := rnd.IntN(f.domains)
 		f.at(at, func() {
 			for _, n := range f.nodes {
 				if n.domain == domain {
 					f.kill(n)
-					f.after(lasts, func() { f.start(n) })
+					f.after(duration, func() { f.start(n) })
 				}
 			}
 		})
@@ -151,22 +157,23 @@
 		f.at(at, func() {
 			for _, n := range f.nodes {
 				f.kill(n)
-				f.after(lasts/4, func() { f.start(n) })
+				f.after(duration/4, func() { f.start(n) })
 			}
 		})
 	default:
 		n := f.nodes[rnd.IntN(2*f.domains)]
 		f.at(at, func() { f.kill(n) })
-		f.at(at+lasts, func() { f.start(n) })
+		f.at(at+duration, func() { f.start(n) })
 	}
 }
 
-// cut has the nodes that are inside hear only each other, and the others the same.
-func (f *simFleet) cut(inside func(n *simNode) bool) {
+// partition lets the nodes for which inside returns true reach only each other, and the other
+// nodes likewise.
+func (f *simFleet) partition(inside func(n *simNode) bool) {
 	for _, n := range f.nodes {
-		n.island = 0
+		n.partition = 0
 		if inside(n) {
-			n.island = 1
+			n.partition = 1
 		}
 	}
 }
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -11,66 +11,72 @@
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
-// This file has a fleet in virtual time: entries with their Limiters, which tell each other
-// by hubs over links that delay and lose messages.
+// This file simulates a fleet in virtual time: entries whose Limiters exchange reports through
+// hubs, over links that delay and lose messages.
 
 var t0 = time.Unix(1_800_000_000, 0)
 
 const (
-	reportEvery = 100 * time.Millisecond
-	idleEvery   = 500 * time.Millisecond
-	nearDelay   = time.Millisecond
-	farDelay    = 35 * time.Millisecond
-	lost        = 0.01
-	// ruleWindow is the length of the windows in which a limit binds.
-	ruleWindow = 5 * time.Second
-	testSlack  = 20.0
+	reportInterval     = 100 * time.Millisecond
+	idleReportInterval = 500 * time.Millisecond
+	// sameRegionDelay and crossRegionDelay are the one-way delays of the links, lossRate is the
+	// share of messages that are lost.
+	sameRegionDelay  = time.Millisecond
+	crossRegionDelay = 35 * time.Millisecond
+	lossRate         = 0.01
+	// limitWindow is the length of the windows over which a limit is checked.
+	limitWindow = 5 * time.Second
+	testSlack   = 20.0
 )
 
-// simNode is one entry. Only carriers get requests.
+// simNode is one simulated entry.
 type simNode struct {
 	id      int
 	name    string
 	domain  int
 	limiter *Limiter
 	dead    bool
-	// island is which part of a cut fleet the node is in.
-	island int
-	life   int
-	// shift is how far the node's clock is off.
-	shift time.Duration
+	// partition is the part of a partitioned fleet that the node is in.
+	partition int
+	// incarnation counts the starts of the node.
+	incarnation int
+	// clockOffset is the error of the node's clock.
+	clockOffset time.Duration
 }
 
-// simFleet is a fleet of one organisation with a limit.
+// simFleet is a simulated fleet that serves one organisation with a limit.
 type simFleet struct {
-	rnd     *rand.Rand
-	agenda  *agenda.Agenda
-	nodes   []*simNode
-	domains int
-	perDom  int
-	limit   model.Limit
-	table   *model.Organisations
-	// demand is in requests per second of the limit's rate; weight is each carrier's part.
+	rnd       *rand.Rand
+	agenda    *agenda.Agenda
+	nodes     []*simNode
+	domains   int
+	perDomain int
+	limit     model.Limit
+	table     *model.Organisations
+	// demand returns the request rate as a multiple of the limit's rate, weight each serving
+	// node's part of it.
 	demand func(at time.Duration) float64
 	weight func(node *simNode, at time.Duration) float64
-	// strays is set while callers turn to entries that are cut off, whichever these are.
-	strays bool
+	// isolatedServe is set if every isolated node receives requests, not only serving nodes.
+	isolatedServe bool
 	// admitted and refused are the times of requests since t0.
 	admitted, refused []time.Duration
-	bytes             int
+	// bytes is the approximate size of all reports that were not lost.
+	bytes int
 }
 
 const (
-	simDomains  = 6
-	simRegions  = 3
-	simCarriers = 2
+	simDomains = 6
+	simRegions = 3
+	// simServing is the number of nodes of each failure domain that receive requests.
+	simServing = 2
 )
 
-// newSimFleet returns a fleet of n nodes in six failure domains, with two carriers in each.
+// newSimFleet returns a fleet of n nodes in six failure domains, with two serving nodes in each.
 func newSimFleet(seed uint64, n int, limit model.Limit) *simFleet {
-	f := &simFleet{rnd: rand.New(rand.NewPCG(seed, 7)), agenda: agenda.New(t0), domains: simDomains, perDom: n / simDomains, limit: limit}
-	f.table = tableOf(limit)
-	for i := range f.domains * f.perDom {
+	f := &simFleet{rnd: rand.New(rand.NewPCG(seed, 7)), agenda: agenda.New(t0), domains: simDomains, perDomain: n / simDomains, limit: limit}
+	f.table = organisationTable(limit)
+	for i := range f.domains * f.perDomain {
 		node := &simNode{id: i, name: "n" + strconv.Itoa(i), domain: i % f.domains}
 		f.nodes = append(f.nodes, node)
 	}
@@ -83,7 +89,8 @@
 	return f
 }
 
-func tableOf(limit model.Limit) *model.Organisations {
+// organisationTable returns a table of one organisation named o.
+func organisationTable(limit model.Limit) *model.Organisations {
 	table, err := model.NewOrganisations([]*model.Organisation{{Name: "o", Limit: limit}}, nil)
 	if err != nil {
 		panic(err)
@@ -91,66 +98,75 @@
 	return table
 }
 
+// after schedules a call after a delay.
 func (f *simFleet) after(d time.Duration, do func()) { f.agenda.After(d, do) }
 
-// at schedules something at a time since t0.
+// at schedules a call at a time since t0.
 func (f *simFleet) at(d time.Duration, do func()) { f.agenda.At(t0.Add(d), do) }
 
-func (f *simFleet) since() time.Duration { return f.agenda.Now().Sub(t0) }
+// elapsed returns the virtual time since t0.
+func (f *simFleet) elapsed() time.Duration { return f.agenda.Now().Sub(t0) }
 
+// run runs the simulation until a time since t0.
 func (f *simFleet) run(until time.Duration) { f.agenda.RunUntil(t0.Add(until)) }
 
-func (f *simFleet) carries(n *simNode) bool { return n.id/f.domains < simCarriers }
+// serves reports whether a node is one of the serving nodes of its failure domain.
+func (f *simFleet) serves(n *simNode) bool { return n.id/f.domains < simServing }
 
-func (n *simNode) clock(now time.Time) time.Time { return now.Add(n.shift) }
+// clock returns the time that the node's clock shows.
+func (n *simNode) clock(now time.Time) time.Time { return now.Add(n.clockOffset) }
 
-// start begins a life of a node, which knows nothing.
+// start starts a node with an empty Limiter.
 func (f *simFleet) start(n *simNode) {
-	n.life++
+	n.incarnation++
 	n.dead = false
 	n.limiter = NewLimiter()
-	f.expect(n)
+	f.setSources(n)
 	n.limiter.Update(f.table, testSlack, n.clock(f.agenda.Now()))
-	life := n.life
+	incarnation := n.incarnation
 	var report func()
 	report = func() {
-		if n.dead || n.life != life {
+		if n.dead || n.incarnation != incarnation {
 			return
 		}
 		f.report(n)
-		f.after(f.period(n), report)
+		f.after(f.interval(n), report)
 	}
-	f.after(time.Duration(f.rnd.Int64N(int64(reportEvery))), report)
+	f.after(time.Duration(f.rnd.Int64N(int64(reportInterval))), report)
 }
 
+// kill stops a node without notice.
 func (f *simFleet) kill(n *simNode) { n.dead = true }
 
-// hub returns the hub of a domain as a node sees it: the first that lives.
-func (f *simFleet) hub(domain int, seenFrom *simNode) *simNode {
-	for i := range f.perDom {
+// hub returns the hub of a domain from a node's view: the first live node that it can reach, or
+// nil.
+func (f *simFleet) hub(domain int, viewer *simNode) *simNode {
+	for i := range f.perDomain {
 		h := f.nodes[i*f.domains+domain]
-		if !h.dead && h.island == seenFrom.island {
+		if !h.dead && h.partition == viewer.partition {
 			return h
 		}
 	}
 	return nil
 }
 
-// weigh is the weight of a node: those that are no carriers have a quarter together.
-func (f *simFleet) weigh(n *simNode) int {
-	const carrier = 1000
-	if f.carries(n) {
-		return carrier
+// nodeWeight returns the weight of a node. The nodes that do not serve have a quarter of the
+// total weight together.
+func (f *simFleet) nodeWeight(n *simNode) int {
+	const serving = 1000
+	if f.serves(n) {
+		return serving
 	}
-	return carrier / 3 * simCarriers / (f.perDom - simCarriers)
+	return serving / 3 * simServing / (f.perDomain - simServing)
 }
 
-func (f *simFleet) expect(n *simNode) {
+// setSources sets the sources of a node's Limiter for its present role, hub or not.
+func (f *simFleet) setSources(n *simNode) {
 	domain := 0
-	for i := range f.perDom {
-		domain += f.weigh(f.nodes[i*f.domains])
+	for i := range f.perDomain {
+		domain += f.nodeWeight(f.nodes[i*f.domains])
 	}
-	self := f.weigh(n)
+	self := f.nodeWeight(n)
 	if f.hub(n.domain, n) != n {
 		n.limiter.SetSources(self, []Source{{Name: "*", Weight: f.domains*domain - self, Complete: true}}, n.clock(f.agenda.Now()))
 		return
@@ -164,37 +180,40 @@
 	n.limiter.SetSources(self, list, n.clock(f.agenda.Now()))
 }
 
-// period is the time until a node's next report. One that has few requests reports seldom.
-func (f *simFleet) period(n *simNode) time.Duration {
-	if f.carries(n) || f.hub(n.domain, n) == n || n.limiter.InUse(n.clock(f.agenda.Now())) {
-		return reportEvery
+// interval returns the time until a node's next report, which is longer for a node with few
+// requests.
+func (f *simFleet) interval(n *simNode) time.Duration {
+	if f.serves(n) || f.hub(n.domain, n) == n || n.limiter.InUse(n.clock(f.agenda.Now())) {
+		return reportInterval
 	}
-	return idleEvery
+	return idleReportInterval
 }
 
+// report sends a node's reports: to its hub, or from a hub to the other hubs and to the nodes of
+// its failure domain.
 func (f *simFleet) report(n *simNode) {
-	f.expect(n)
+	f.setSources(n)
 	h := f.hub(n.domain, n)
 	if h != n {
-		f.tell(n, h, "peers", func(string) bool { return false })
+		f.send(n, h, "peers", func(string) bool { return false })
 		return
 	}
-	own := func(speaker string) bool { return f.named(speaker).domain == n.domain }
+	ownDomain := func(reporter string) bool { return f.nodeNamed(reporter).domain == n.domain }
 	for d := range f.domains {
 		if r := f.hub(d, n); d != n.domain && r != nil {
-			f.tell(n, r, "*"+strconv.Itoa(n.domain), own)
+			f.send(n, r, "*"+strconv.Itoa(n.domain), ownDomain)
 		}
 	}
-	for i := range f.perDom {
+	for i := range f.perDomain {
 		p := f.nodes[i*f.domains+n.domain]
-		if p != n && !p.dead && (f.carries(p) || p.limiter.InUse(p.clock(f.agenda.Now()))) {
-			f.tell(n, p, "*", func(s string) bool { return s != p.name })
+		if p != n && !p.dead && (f.serves(p) || p.limiter.InUse(p.clock(f.agenda.Now()))) {
+			f.send(n, p, "*", func(s string) bool { return s != p.name })
 		}
 	}
 }
 
-// named returns the node of a name.
-func (f *simFleet) named(name string) *simNode {
+// nodeNamed returns the node with a name.
+func (f *simFleet) nodeNamed(name string) *simNode {
 	i, err := strconv.Atoi(name[1:])
 	if err != nil {
 		panic(err)
@@ -202,28 +221,29 @@
 	return f.nodes[i]
 }
 
-func (f *simFleet) tell(from, to *simNode, source string, whose func(string) bool) {
+// send sends a report of a node's own usage and of that from the included reporters.
+func (f *simFleet) send(from, to *simNode, source string, include func(string) bool) {
 	now := from.clock(f.agenda.Now())
-	uses, covered := from.limiter.Usages(true, whose, now), f.weigh(from)+from.limiter.CoveredWeight(whose, now)
-	if f.rnd.Float64() < lost || from.island != to.island {
+	usages, covered := from.limiter.Usages(true, include, now), f.nodeWeight(from)+from.limiter.CoveredWeight(include, now)
+	if f.rnd.Float64() < lossRate || from.partition != to.partition {
 		return
 	}
-	f.bytes += 60 + 9*len(uses)
-	idle := f.period(from) == idleEvery
-	delay := nearDelay
+	f.bytes += 60 + 9*len(usages)
+	idle := f.interval(from) == idleReportInterval
+	delay := sameRegionDelay
 	if from.domain%simRegions != to.domain%simRegions {
-		delay = farDelay
+		delay = crossRegionDelay
 	}
 	f.after(delay, func() {
-		if !to.dead && to.island == from.island {
-			to.limiter.HandleReport(Report{Reporter: from.name, Source: source, CoveredWeight: covered, Idle: idle, Last: 1<<32 - 1, Usages: uses}, to.clock(f.agenda.Now()))
+		if !to.dead && to.partition == from.partition {
+			to.limiter.HandleReport(Report{Reporter: from.name, Source: source, CoveredWeight: covered, Idle: idle, Last: 1<<32 - 1, Usages: usages}, to.clock(f.agenda.Now()))
 		}
 	})
 }
 
-// arrive has one request come, and the next one after it.
+// arrive issues one request and schedules the next one.
 func (f *simFleet) arrive() {
-	at := f.since()
+	at := f.elapsed()
 	if rate := f.demand(at) * f.limit.Rate; rate > 0 {
 		f.request(at)
 		f.after(time.Duration(f.rnd.ExpFloat64()/rate*float64(time.Second)), f.arrive)
@@ -232,16 +252,17 @@
 	f.after(10*time.Millisecond, f.arrive)
 }
 
+// request sends one request to a node chosen at random by weight, and records the outcome.
 func (f *simFleet) request(at time.Duration) {
 	total := 0.0
 	for _, n := range f.nodes {
-		if f.takes(n) {
+		if f.receives(n) {
 			total += f.weight(n, at)
 		}
 	}
 	x := f.rnd.Float64() * total
 	for _, n := range f.nodes {
-		if !f.takes(n) {
+		if !f.receives(n) {
 			continue
 		}
 		if x -= f.weight(n, at); x >= 0 {
@@ -256,39 +277,40 @@
 	}
 }
 
-// takes reports whether a node gets requests: the carriers, and the others of a domain
-// whose carriers are dead.
-func (f *simFleet) takes(n *simNode) bool {
+// receives reports whether a node receives requests: a serving node, or one of four others of a
+// domain whose serving nodes are all dead.
+func (f *simFleet) receives(n *simNode) bool {
 	if n.dead {
 		return false
 	}
-	if f.carries(n) || f.strays && n.island != 0 {
+	if f.serves(n) || f.isolatedServe && n.partition != 0 {
 		return true
 	}
-	for i := range simCarriers {
+	for i := range simServing {
 		if !f.nodes[i*f.domains+n.domain].dead {
 			return false
 		}
 	}
-	return n.id/f.domains < simCarriers+4
+	return n.id/f.domains < simServing+4
 }
 
-// worst returns the most that was admitted in a window beyond the rate and the burst.
-func (f *simFleet) worst() (over float64, at time.Duration) {
+// maxExcess returns the largest number of requests that were admitted in a window beyond the
+// rate and the burst, and the end of that window.
+func (f *simFleet) maxExcess() (over float64, at time.Duration) {
 	over = -1
 	first := 0
 	for last, t := range f.admitted {
-		for t-f.admitted[first] > ruleWindow {
+		for t-f.admitted[first] > limitWindow {
 			first++
 		}
-		if x := float64(last-first+1) - (f.limit.Rate*ruleWindow.Seconds() + f.limit.Burst); x > over {
+		if x := float64(last-first+1) - (f.limit.Rate*limitWindow.Seconds() + f.limit.Burst); x > over {
 			over, at = x, t
 		}
 	}
 	return over, at
 }
 
-// count returns how many times lie in a span.
+// count returns how many of the times lie in the half-open interval [from, to).
 func count(times []time.Duration, from, to time.Duration) float64 {
 	n := 0.0
 	for _, t := range times {
@@ -299,9 +321,9 @@
 	return n
 }
 
-// beyond returns how many requests of a span one token bucket would have refused that all
-// entries asked at once.
-func (f *simFleet) beyond(from, to time.Duration) float64 {
+// refusedByOneBucket returns how many of the requests in [from, to) would have been refused by a
+// single token bucket that all entries use.
+func (f *simFleet) refusedByOneBucket(from, to time.Duration) float64 {
 	all := slices.Sorted(slices.Values(slices.Concat(f.admitted, f.refused)))
 	level, last, refused := f.limit.Burst, time.Duration(0), 0.0
 	for _, at := range all {
@@ -317,7 +339,8 @@
 	return refused
 }
 
+// String summarises the outcome of the simulation.
 func (f *simFleet) String() string {
-	over, at := f.worst()
+	over, at := f.maxExcess()
 	return fmt.Sprintf("%d nodes, limit %v: admitted %d, refused %d, at most %.0f over the limit at %v", len(f.nodes), f.limit, len(f.admitted), len(f.refused), over, at)
 }
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -1,11 +1,11 @@
-// Package quota keeps the requests of each organisation within its limit, over all
-// entries together and without a place that all of them ask.
+// Package quota enforces the request limits of organisations across all entries, without a
+// central service that each request has to ask.
 //
-// Entries tell each other at what rate they admit and are asked for the requests of each
-// organisation. Each follows the one token bucket that an organisation has in the whole
-// fleet and admits its part of what is there; see bucket. For entries that are not heard
-// their part is set aside, so that the halves of a fleet that is cut apart together admit no
-// more than the whole. It does no I/O and reads no clock.
+// Entries report to each other the rates at which they receive and admit the requests of each
+// organisation. Each entry keeps its own estimate of the one token bucket that an organisation
+// has in the whole fleet, and admits its share of the tokens; see bucket. The share of entries
+// that cannot be reached is reserved for them, so that the parts of a partitioned fleet
+// together keep to the limit. The package does no I/O and reads no clock.
 package quota
 
 import (
@@ -18,42 +18,42 @@
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
-// Usage is what a source tells of one organisation.
+// Usage is the reported usage of one organisation.
 type Usage struct {
-	// Organisation is the hash of its name; see HashName.
+	// Organisation is the hash of the organisation's name; see HashOrganisation.
 	Organisation uint32
-	// Admitted and Requested are in requests per second.
+	// Admitted and Requested are the rates of admitted and of all requests, per second.
 	Admitted, Requested float64
 }
 
-// HashOrganisation names an organisation in reports.
+// HashOrganisation returns the hash that identifies an organisation in reports.
 func HashOrganisation(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// Limiter has the limits of all organisations. It is safe for concurrent use; requests of
+// Limiter enforces the limits of all organisations. It is safe for concurrent use; requests of
 // different organisations share no lock.
 type Limiter struct {
 	buckets atomic.Pointer[map[string]*bucket]
 
-	// mu guards what follows and the replacement of the buckets.
+	// mu guards the fields below and the replacement of buckets.
 	mu      sync.Mutex
 	sources sources
 	byHash  map[uint32]*bucket
-	// active are the buckets that have requests, here or elsewhere.
+	// active holds the buckets of organisations with requests, here or at other entries.
 	active map[*bucket]bool
 	table  *model.Organisations
 	slack  float64
 }
 
-// NewLimiter returns a Limiter that limits nobody.
+// NewLimiter returns a Limiter without limits.
 func NewLimiter() *Limiter {
 	l := &Limiter{active: make(map[*bucket]bool)}
 	l.buckets.Store(&map[string]*bucket{})
 	return l
 }
 
-// Update takes in the organisations of a configuration, and the slack beyond each limit.
-// An organisation that was not there begins with nothing: what was admitted before this
-// entry started is not known.
+// Update replaces the organisations and the slack, the number of requests that may exceed each
+// limit. The bucket of a new organisation starts empty, because the requests that were admitted
+// before this entry started are unknown.
 func (l *Limiter) Update(table *model.Organisations, slack float64, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,16 +61,16 @@
 		return
 	}
 	l.table, l.slack = table, slack
-	was := *l.buckets.Load()
+	previous := *l.buckets.Load()
 	next := make(map[string]*bucket, len(table.All()))
 	l.byHash = make(map[uint32]*bucket, len(table.All()))
 	for _, o := range table.All() {
-		b := was[o.Name]
+		b := previous[o.Name]
 		if b == nil {
-			b = &bucket{name: o.Name, hash: HashOrganisation(o.Name), at: now}
+			b = &bucket{name: o.Name, hash: HashOrganisation(o.Name), updated: now}
 		}
-		b.set(o.Limit, slack, now)
-		b.settle(now, &l.sources)
+		b.setLimit(o.Limit, slack, now)
+		b.aggregate(now, &l.sources)
 		next[o.Name], l.byHash[b.hash] = b, b
 	}
 	for b := range l.active {
@@ -81,11 +81,11 @@
 	l.buckets.Store(&next)
 }
 
-// HasLimits reports whether there are organisations at all.
+// HasLimits reports whether there are any organisations.
 func (l *Limiter) HasLimits() bool { return len(*l.buckets.Load()) > 0 }
 
-// Take admits one request of an organisation, or returns after what time the caller may
-// come back.
+// Take admits one request of an organisation, or returns the delay after which the caller may
+// retry.
 func (l *Limiter) Take(organisation string, now time.Time) (ok bool, retryAfter time.Duration) {
 	b := l.bucket(organisation)
 	if b == nil {
@@ -94,22 +94,23 @@
 	return b.take(now)
 }
 
-// Charge counts one more request of an organisation, which is sent in any case: an
-// upstream may have run the request already, and another is to.
+// Charge counts one more request of an organisation without checking the limit, for an attempt
+// that is sent in any case after an upstream may already have executed the request.
 func (l *Limiter) Charge(organisation string, now time.Time) {
 	if b := l.bucket(organisation); b != nil {
 		b.charge(now, 1)
 	}
 }
 
-// Refund gives back a request that no upstream ran.
+// Refund gives back one request that no upstream executed.
 func (l *Limiter) Refund(organisation string, now time.Time) {
 	if b := l.bucket(organisation); b != nil {
 		b.charge(now, -1)
 	}
 }
 
-// bucket returns the bucket of an organisation that has a request, or nil.
+// bucket returns the bucket of an organisation that has a request and marks it as active, or
+// returns nil if the organisation is unknown.
 func (l *Limiter) bucket(organisation string) *bucket {
 	b := (*l.buckets.Load())[organisation]
 	if b != nil && !b.active.Load() {
@@ -120,119 +121,123 @@
 	return b
 }
 
-// activate has a bucket told of to others. The caller holds the lock.
+// activate includes a bucket in reports to other entries. The caller holds l.mu.
 func (l *Limiter) activate(b *bucket) {
 	if !b.active.Swap(true) {
 		l.active[b] = true
 	}
 }
 
-// SetSources sets the weight of the own entry, and which sources tell of the requests of others.
-func (l *Limiter) SetSources(self int, list []Source, now time.Time) {
+// SetSources sets the weight of this entry and the sources that report on the other entries.
+func (l *Limiter) SetSources(selfWeight int, list []Source, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.sources.expect(self, list, now) {
+	if !l.sources.set(selfWeight, list, now) {
 		return
 	}
 	for _, b := range l.byHash {
-		b.settle(now, &l.sources)
+		b.aggregate(now, &l.sources)
 	}
 }
 
-// CoveredWeight returns the weight of the entries beside the own one that the speakers tell of that
-// are asked for.
-func (l *Limiter) CoveredWeight(from func(speaker string) bool, now time.Time) int {
+// CoveredWeight returns the weight of the other entries that are covered by the current
+// reporters for which include returns true.
+func (l *Limiter) CoveredWeight(include func(reporter string) bool, now time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.sources.covered(from, now)
+	return l.sources.coveredWeight(include, now)
 }
 
-// Report is what a speaker tells of the organisations whose hashes lie from First to Last; one
-// that it does not name it has no requests of.
+// Report is the usage that an entry reports of the organisations whose hashes lie from First
+// to Last. An organisation of that range that is not in Usages has no requests.
 type Report struct {
-	// Reporter is the entry that tells, Source what it speaks for.
+	// Reporter is the entry that sent the report, Source the source that it reports for.
 	Reporter, Source string
-	// CoveredWeight is the weight of the entries that it speaks for.
+	// CoveredWeight is the weight of the entries that the report covers.
 	CoveredWeight int
-	// Idle is set if it has few requests, and so tells each half second only.
+	// Idle is set if the reporter has few requests and therefore reports every half second
+	// only.
 	Idle        bool
 	First, Last uint32
 	Usages      []Usage
 }
 
-// HandleReport takes in what a speaker tells.
-func (l *Limiter) HandleReport(t Report, now time.Time) {
+// HandleReport processes a report from another entry.
+func (l *Limiter) HandleReport(report Report, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.sources.heard(t, now) {
+	if !l.sources.record(report, now) {
 		return
 	}
-	named := make(map[*bucket]use, len(t.Usages))
-	for _, u := range t.Usages {
+	reported := make(map[*bucket]usage, len(report.Usages))
+	for _, u := range report.Usages {
 		if b := l.byHash[u.Organisation]; b != nil {
 			l.activate(b)
-			named[b] = use{u.Admitted, u.Requested}
+			reported[b] = usage{u.Admitted, u.Requested}
 		}
 	}
 	for b := range l.active {
-		if b.hash >= t.First && b.hash <= t.Last && b.hear(t.Reporter, named[b]) {
-			b.settle(now, &l.sources)
+		if b.hash >= report.First && b.hash <= report.Last && b.setReported(report.Reporter, reported[b]) {
+			b.aggregate(now, &l.sources)
 		}
 	}
 }
 
-// Usages returns what to tell of the organisations that have requests: of those that this
-// entry has itself if own is set, and of those that the speakers told of that are asked for.
-func (l *Limiter) Usages(own bool, from func(speaker string) bool, now time.Time) []Usage {
+// Usages returns the usage to report of each organisation with requests: the usage at this
+// entry if own is set, plus that from the current reporters for which include returns true.
+// Organisations without recent requests are no longer active afterwards.
+func (l *Limiter) Usages(own bool, include func(reporter string) bool, now time.Time) []Usage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	voices := l.sources.voices(now)
-	fresh := func(speaker string) bool { return voices[speaker] && from(speaker) }
+	current := l.sources.currentReporters(now)
+	includeCurrent := func(reporter string) bool { return current[reporter] && include(reporter) }
 	var out []Usage
 	for b := range l.active {
-		mine, told := b.uses(fresh, now)
-		if mine == (use{}) && b.idle(now) {
+		local, sum := b.usage(includeCurrent, now)
+		if local == (usage{}) && b.idle(now) {
 			b.active.Store(false)
 			delete(l.active, b)
 		}
 		if own {
-			told.admitted += mine.admitted
-			told.asked += mine.asked
+			sum.admitted += local.admitted
+			sum.requested += local.requested
 		}
-		if told != (use{}) {
-			out = append(out, Usage{Organisation: b.hash, Admitted: told.admitted, Requested: told.asked})
+		if sum != (usage{}) {
+			out = append(out, Usage{Organisation: b.hash, Admitted: sum.admitted, Requested: sum.requested})
 		}
 	}
 	return out
 }
 
-// someRequests is from how many requests in a second on an entry is one that others have to
-// hear of at once.
-const someRequests = 2
+// inUseRate is the rate of requests at an entry, per second, from which on the entry counts as
+// in use.
+const inUseRate = 2
 
-// InUse reports whether organisations have more than a stray request at this entry.
+// InUse reports whether this entry receives enough requests of organisations with limits that
+// other entries need its reports at the short interval.
 func (l *Limiter) InUse(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	asked := 0.0
+	requested := 0.0
 	for b := range l.active {
-		own, _ := b.uses(func(string) bool { return false }, now)
-		asked += own.asked
+		own, _ := b.usage(func(string) bool { return false }, now)
+		requested += own.requested
 	}
-	return asked >= someRequests
+	return requested >= inUseRate
 }
 
-// Status is the limit of one organisation as this entry sees it, for metrics and dumps.
+// Status is the state of one organisation's limit at this entry, for metrics and dumps.
 type Status struct {
 	Organisation string  `json:"organisation"`
 	Rate         float64 `json:"rate_per_s"`
 	Burst        float64 `json:"burst"`
-	// Level is how many requests the whole fleet may admit at once, Part the share of this
-	// entry in it.
+	// Level is the estimated number of tokens of the whole fleet, Share the part of them that
+	// this entry may use.
 	Level float64 `json:"level"`
 	Share float64 `json:"part"`
-	// OwnRate and Others are the rates at which this and the other entries admit requests, and
-	// Missing the share of the limit that is set aside for entries that are not heard.
+	// OwnRate and OthersRate are the rates at which this entry and the others admit requests,
+	// per second. MissingShare is the share of the limit that is reserved for entries without
+	// a current report.
 	OwnRate      float64 `json:"own_per_s"`
 	OthersRate   float64 `json:"others_per_s"`
 	MissingShare float64 `json:"missing_share"`
@@ -240,7 +245,7 @@
 	Refused int64 `json:"refused"`
 }
 
-// Status returns the state of the organisations that have a limit and requests, at most n.
+// Status returns the state of up to n organisations that have a limit and requests.
 func (l *Limiter) Status(n int, now time.Time) []Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/quota/sources.go
+++ b/internal/quota/sources.go
@@ -2,112 +2,115 @@
 
 import "time"
 
-// silentAfter is after what time without a report a speaker counts as one that is not heard,
-// idleSilentAfter the same for one that has few requests and reports each half second.
+// reportTimeout is the time without a report after which a reporter is considered unreachable.
+// idleReportTimeout applies to a reporter with few requests, which reports every half second.
 const (
-	silentAfter     = 400 * time.Millisecond
-	idleSilentAfter = 1500 * time.Millisecond
+	reportTimeout     = 400 * time.Millisecond
+	idleReportTimeout = 1500 * time.Millisecond
 )
 
-// Source is a part of the other entries: a failure domain, or all that the own hub tells of.
-// One or several entries speak for it.
+// Source is a group of other entries whose usage is reported together: a failure domain, or
+// all entries that this entry's hub reports on. One or several entries report for it.
 type Source struct {
 	Name string
-	// Weight is the sum of the weights of its entries; see Fleet in package inflight.
+	// Weight is the sum of the weights of the group's entries; see Fleet in package inflight.
 	Weight int
-	// Complete is set if each of its speakers tells of all of it. Else each tells of some, and
-	// they add up.
+	// Complete is set if each reporter covers the whole group. Otherwise each covers a part,
+	// and their reports add up.
 	Complete bool
 }
 
-// speaker is an entry that speaks for a source.
-type speaker struct {
+// reporter is an entry that reports for a source.
+type reporter struct {
 	source string
-	// covered is the weight of the entries that it last spoke for, at when.
-	covered int
-	at      time.Time
-	// idle is set if it said that it reports seldom.
+	// coveredWeight is the weight of the entries that the last report covered.
+	coveredWeight int
+	// lastReport is the time of the last report.
+	lastReport time.Time
+	// idle is set if the last report announced the longer interval of an entry with few
+	// requests.
 	idle bool
 }
 
-func (s *speaker) fresh(now time.Time) bool {
-	if s.idle {
-		return now.Sub(s.at) < idleSilentAfter
+// fresh reports whether the last report is recent enough to count.
+func (r *reporter) fresh(now time.Time) bool {
+	if r.idle {
+		return now.Sub(r.lastReport) < idleReportTimeout
 	}
-	return now.Sub(s.at) < silentAfter
+	return now.Sub(r.lastReport) < reportTimeout
 }
 
-// sources are those that are expected to tell, and who speaks for them.
+// sources holds the expected sources and the entries that report for them.
 type sources struct {
 	list []Source
-	// self is the weight of the own entry.
-	self     int
-	speakers map[string]*speaker
-	// counted is the share that was missing when the buckets were settled last.
-	counted float64
+	// selfWeight is the weight of this entry.
+	selfWeight int
+	reporters  map[string]*reporter
+	// lastMissing is the missing share when the buckets were last aggregated.
+	lastMissing float64
 }
 
-// expect replaces the sources. It reports whether the buckets have to be settled anew,
-// because sources have changed, fallen silent or are heard again.
-func (s *sources) expect(self int, list []Source, now time.Time) bool {
-	changed := len(list) != len(s.list) || self != s.self
-	was := make(map[Source]bool, len(s.list))
+// set replaces the sources. It reports whether the buckets have to be aggregated again,
+// because the sources have changed, have timed out or are reported on again.
+func (s *sources) set(selfWeight int, list []Source, now time.Time) bool {
+	changed := len(list) != len(s.list) || selfWeight != s.selfWeight
+	previous := make(map[Source]bool, len(s.list))
 	for _, src := range s.list {
-		was[src] = true
+		previous[src] = true
 	}
 	for _, src := range list {
-		changed = changed || !was[src]
+		changed = changed || !previous[src]
 	}
-	s.list, s.self = list, self
-	for name, sp := range s.speakers {
-		if !sp.fresh(now) {
-			delete(s.speakers, name)
+	s.list, s.selfWeight = list, selfWeight
+	for name, r := range s.reporters {
+		if !r.fresh(now) {
+			delete(s.reporters, name)
 			changed = true
 		}
 	}
-	missing, _ := s.missing(now)
-	if missing != s.counted {
-		s.counted = missing
+	missing, _ := s.missingShare(now)
+	if missing != s.lastMissing {
+		s.lastMissing = missing
 		changed = true
 	}
 	return changed
 }
 
-// heard records that a speaker tells. It reports whether its source is expected.
-func (s *sources) heard(t Report, now time.Time) bool {
+// record records the sender of a report. It reports whether the report's source is expected.
+func (s *sources) record(report Report, now time.Time) bool {
 	for _, src := range s.list {
-		if src.Name == t.Source {
-			if s.speakers == nil {
-				s.speakers = make(map[string]*speaker)
+		if src.Name == report.Source {
+			if s.reporters == nil {
+				s.reporters = make(map[string]*reporter)
 			}
-			s.speakers[t.Reporter] = &speaker{t.Source, t.CoveredWeight, now, t.Idle}
+			s.reporters[report.Reporter] = &reporter{report.Source, report.CoveredWeight, now, report.Idle}
 			return true
 		}
 	}
 	return false
 }
 
-// counts returns the speakers of a source whose word counts, with the weight that they
-// speak for together. Of those that each tell of all, it is the one that tells of most.
-func (s *sources) counts(src Source, now time.Time) (names []string, covered int) {
-	for name, sp := range s.speakers {
+// reportersOf returns the reporters of a source whose reports count, and the weight that they
+// cover together. For a Complete source only the reporter that covers the most counts.
+func (s *sources) reportersOf(src Source, now time.Time) (names []string, covered int) {
+	for name, r := range s.reporters {
 		switch {
-		case sp.source != src.Name || !sp.fresh(now):
+		case r.source != src.Name || !r.fresh(now):
 		case !src.Complete:
 			names = append(names, name)
-			covered += sp.covered
-		case names == nil || sp.covered > covered || sp.covered == covered && name < names[0]:
-			names, covered = []string{name}, sp.covered
+			covered += r.coveredWeight
+		case names == nil || r.coveredWeight > covered || r.coveredWeight == covered && name < names[0]:
+			names, covered = []string{name}, r.coveredWeight
 		}
 	}
 	return names, min(covered, src.Weight)
 }
 
-// voices returns all speakers whose word counts.
-func (s *sources) voices(now time.Time) map[string]bool {
-	out := make(map[string]bool, len(s.speakers))
+// currentReporters returns the set of reporters whose reports count, over all sources.
+func (s *sources) currentReporters(now time.Time) map[string]bool {
+	out := make(map[string]bool, len(s.reporters))
 	for _, src := range s.list {
-		names, _ := s.counts(src, now)
+		names, _ := s.reportersOf(src, now)
 		for _, name := range names {
 			out[name] = true
 		}
@@ -115,28 +118,29 @@
 	return out
 }
 
-// covered is the weight of the entries that the speakers tell of that are asked for.
-func (s *sources) covered(from func(speaker string) bool, now time.Time) int {
+// coveredWeight returns the weight of the entries that are covered by the current reporters
+// for which include returns true.
+func (s *sources) coveredWeight(include func(reporter string) bool, now time.Time) int {
 	n := 0
-	for name := range s.voices(now) {
-		if from(name) {
-			n += s.speakers[name].covered
+	for name := range s.currentReporters(now) {
+		if include(name) {
+			n += s.reporters[name].coveredWeight
 		}
 	}
 	return n
 }
 
-// missing is the share of the entries, by weight, that nobody speaks for, self that of the
-// own entry.
-func (s *sources) missing(now time.Time) (missing, self float64) {
-	all, silent := s.self, 0
+// missingShare returns the share of the total weight that no reporter covers, and that of this
+// entry.
+func (s *sources) missingShare(now time.Time) (missing, self float64) {
+	total, uncovered := s.selfWeight, 0
 	for _, src := range s.list {
-		_, covered := s.counts(src, now)
-		all += src.Weight
-		silent += src.Weight - covered
+		_, covered := s.reportersOf(src, now)
+		total += src.Weight
+		uncovered += src.Weight - covered
 	}
-	if all == 0 {
+	if total == 0 {
 		return 0, 1
 	}
-	return float64(silent) / float64(all), float64(s.self) / float64(all)
+	return float64(uncovered) / float64(total), float64(s.selfWeight) / float64(total)
 }
--- a/internal/quota/window.go
+++ b/internal/quota/window.go
@@ -3,20 +3,20 @@
 import "time"
 
 const (
-	// slotLength is the time that one slot of a window counts.
+	// slotLength is the length of time that one slot of a window covers.
 	slotLength = 50 * time.Millisecond
-	// slots is how many slots a window keeps.
+	// slots is the number of slots in a window.
 	slots = 28
 )
 
-// window counts events of the last 1.4 s. The zero value is empty.
+// window counts the events of the last 1.4 s in slots of time. The zero value is empty.
 type window struct {
 	counts [slots]float32
-	// newest is the number of the newest slot since the epoch of the clock.
+	// newest is the number of the newest slot, counted from the Unix epoch.
 	newest int64
 }
 
-// advance drops the slots that have become too old.
+// advance clears the slots that have become too old.
 func (w *window) advance(now time.Time) {
 	slot := now.UnixNano() / int64(slotLength)
 	if slot-w.newest >= slots {
@@ -30,13 +30,14 @@
 	}
 }
 
-// add counts n events. A clock that went back counts them in the newest slot.
+// add counts n events. If the clock was set back, they are counted in the newest slot.
 func (w *window) add(now time.Time, n float32) {
 	w.advance(now)
 	w.counts[w.newest%slots] += n
 }
 
-// sum returns the events that are at least from and less than to old.
+// sum returns the number of events whose age is at least from and less than to, in whole
+// slots.
 func (w *window) sum(now time.Time, from, to time.Duration) float64 {
 	w.advance(now)
 	total := float32(0)
