--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -7,91 +7,96 @@
 )
 
 const (
-	// trickle is the least rate in requests per second. An upstream that gets nothing could
-	// not tell that its limit has ended.
-	trickle = 0.25
-	// burstTokens and burstTime are how many tokens a full bucket has, and how many seconds of
-	// the rate beside.
-	burstTokens = 2.25
-	burstTime   = 0.1
-	// maxDebt is how many seconds of the rate the level may be below zero, beside the burst.
+	// minRate is the lowest rate in requests per second. An upstream that receives no requests
+	// could not announce that its limit has ended.
+	minRate = 0.25
+	// burstTokens and burstSeconds determine the capacity of a bucket: a number of tokens, plus
+	// the tokens of some seconds at the rate.
+	burstTokens  = 2.25
+	burstSeconds = 0.1
+	// maxDebt bounds how far the level falls below zero, in seconds of the rate, beyond the
+	// burst.
 	maxDebt = 1.0
-	// unheardAfter is after what time without a word a sender is silent. From its last word on
-	// its part of the rate is left to it.
-	unheardAfter = 450 * time.Millisecond
-	// maxGap is the longest time that the bucket fills for at once. An entry that did not look
-	// at it for longer stood still, and has not heard what the others sent.
-	maxGap = time.Second
-	// maxRetry is the longest time that a refused caller is told to wait.
-	maxRetry = 5 * time.Second
+	// peerTimeout is the time without a message after which a sender is considered unreachable.
+	// Its share of the rate is reserved for it from its last message on.
+	peerTimeout = 450 * time.Millisecond
+	// maxRefillTime is the longest time that is refilled at once. An entry that did not use the
+	// bucket for longer was suspended, and has not received the counts of the other senders.
+	maxRefillTime = time.Second
+	// maxRetryAfter is the longest delay after which a refused caller is told to retry.
+	maxRetryAfter = 5 * time.Second
 )
 
-// Bucket is the token bucket of one upstream as one of its senders sees it.
+// Bucket is one sender's view of the token bucket of an upstream.
 type Bucket struct {
 	// rate is in requests per second.
 	rate  float64
 	level float64
-	at    time.Time
-	// sender is set if this entry may send, peers are the others that may.
+	// updated is the time that level is valid for.
+	updated time.Time
+	// sender is set if this entry may send. peers holds the other senders.
 	sender bool
 	peers  []peer
-	// sent counts the own requests.
+	// sent counts the requests that this entry has sent.
 	sent uint32
-	// nextReturn is when the next refused caller is told to come back.
-	nextReturn time.Time
+	// nextRetry is the time at which the next refused caller is told to retry.
+	nextRetry time.Time
 }
 
 // peer is another sender.
 type peer struct {
 	id string
-	// sent is how many requests it told of last, in which of its lives; 0 means that it has
-	// not told yet.
-	sent  uint32
-	life  uint64
-	heard time.Time
-	// silent is set while it is not heard.
-	silent bool
+	// sent is the last count of requests that the peer reported, and incarnation the
+	// incarnation that it is of. An incarnation of 0 means that the peer has not reported yet.
+	sent        uint32
+	incarnation uint64
+	// lastSeen is the time of the last message from the peer.
+	lastSeen time.Time
+	// unreachable is set while the peer's last message is older than peerTimeout.
+	unreachable bool
 }
 
-// NewBucket returns an empty Bucket without senders, at the least rate.
-func NewBucket(now time.Time) *Bucket { return &Bucket{rate: trickle, at: now} }
+// NewBucket returns an empty Bucket without senders, at the lowest rate.
+func NewBucket(now time.Time) *Bucket { return &Bucket{rate: minRate, updated: now} }
 
-// DiscardTokens leaves no token in the bucket.
+// DiscardTokens removes all tokens from the bucket.
 func (b *Bucket) DiscardTokens(now time.Time) {
-	b.advance(now)
+	b.refill(now)
 	b.level = math.Min(b.level, 0)
 }
 
-// SetRate changes the limit.
+// SetRate changes the limit, in requests per second over all senders.
 func (b *Bucket) SetRate(perSecond float64, now time.Time) {
-	b.advance(now)
-	b.rate = math.Max(perSecond, trickle)
-	b.level = math.Min(b.level, b.burst())
+	b.refill(now)
+	b.rate = math.Max(perSecond, minRate)
+	b.level = math.Min(b.level, b.capacity())
 }
 
-// SetSenders sets the entries that may send. An entry that becomes one begins
-// with an empty bucket: it does not know what the others have sent of late.
+// SetSenders sets the ids of the entries that may send; self is the id of this entry. An entry
+// that becomes a sender starts with an empty bucket, because it does not know what the other
+// senders have sent recently.
 func (b *Bucket) SetSenders(self string, ids []string, now time.Time) {
-	b.advance(now)
-	was := b.sender
+	b.refill(now)
+	wasSender := b.sender
 	b.sender = slices.Contains(ids, self)
 	var peers []peer
 	for _, id := range ids {
 		if id == self {
 			continue
 		}
-		p := peer{id: id, heard: now}
+		p := peer{id: id, lastSeen: now}
 		if i := b.indexOf(id); i >= 0 {
 			p = b.peers[i]
 		}
 		peers = append(peers, p)
 	}
 	b.peers = peers
-	if !was {
+	if !wasSender {
 		b.level = math.Min(b.level, 0)
 	}
 }
 
+// indexOf returns the index of a peer, or -1.
 func (b *Bucket) indexOf(id string) int {
 	return slices.IndexFunc(b.peers, func(p peer) bool { return p.id == id })
 }
@@ -106,135 +111,139 @@
 	}
 }
 
-// Sent returns how many requests this entry has sent.
+// Sent returns the number of requests that this entry has sent.
 func (b *Bucket) Sent() uint32 { return b.sent }
 
-// MarkPeerAlive records that another sender is there.
+// MarkPeerAlive records that another sender is reachable.
 func (b *Bucket) MarkPeerAlive(id string, now time.Time) {
 	if i := b.indexOf(id); i >= 0 {
-		b.advance(now)
-		b.peers[i].heard, b.peers[i].silent = now, false
+		b.refill(now)
+		b.peers[i].lastSeen, b.peers[i].unreachable = now, false
 	}
 }
 
-// RecordPeerSent takes in how many requests another sender has sent in its life, which is a number
-// above 0 that grows with each start.
-func (b *Bucket) RecordPeerSent(id string, life uint64, sent uint32, now time.Time) {
+// RecordPeerSent takes off the requests that another sender has sent since its last report.
+// The count sent is that of the sender's incarnation, a number above 0 that grows with each
+// start.
+func (b *Bucket) RecordPeerSent(id string, incarnation uint64, sent uint32, now time.Time) {
 	i := b.indexOf(id)
 	if i < 0 {
 		return
 	}
-	b.advance(now)
+	b.refill(now)
 	p := &b.peers[i]
-	news := float64(sent)
+	unaccounted := float64(sent)
 	switch {
-	case life < p.life, life == p.life && sent < p.sent:
-		// Overtaken by a later word.
+	case incarnation < p.incarnation, incarnation == p.incarnation && sent < p.sent:
+		// A later report has overtaken this one.
 		return
-	case life == p.life:
-		news -= float64(p.sent)
-	case p.life == 0:
-		// Not all of them were sent of late.
-		news = math.Min(news, b.burst())
+	case incarnation == p.incarnation:
+		unaccounted -= float64(p.sent)
+	case p.incarnation == 0:
+		// Not all of them were sent recently.
+		unaccounted = math.Min(unaccounted, b.capacity())
 	}
-	if p.silent {
-		news = math.Max(0, news-b.part()*now.Sub(p.heard).Seconds())
+	if p.unreachable {
+		unaccounted = math.Max(0, unaccounted-b.share()*now.Sub(p.lastSeen).Seconds())
 	}
-	b.take(news)
-	p.sent, p.life, p.heard, p.silent = sent, life, now, false
+	b.take(unaccounted)
+	p.sent, p.incarnation, p.lastSeen, p.unreachable = sent, incarnation, now, false
 }
 
-// Wait returns after what time this entry may send a request: 0 if it may now. It is longer
-// than any request waits if the entry is no sender.
+// Wait returns the time until this entry may send a request, 0 if it may send now. For an entry
+// that is not a sender, it is longer than any request waits.
 func (b *Bucket) Wait(now time.Time) time.Duration {
-	return b.until(1, now)
+	return b.timeTo(1, now)
 }
 
-// WaitFull returns after what time the bucket is full, which shows that the senders do not use
-// the whole limit.
-func (b *Bucket) WaitFull(now time.Time) time.Duration { return b.until(b.burst(), now) }
+// WaitFull returns the time until the bucket is full. A full bucket shows that the senders do
+// not use the whole limit.
+func (b *Bucket) WaitFull(now time.Time) time.Duration { return b.timeTo(b.capacity(), now) }
 
-// until returns after what time the level is reached.
-func (b *Bucket) until(level float64, now time.Time) time.Duration {
+// timeTo returns the time until the bucket reaches a level.
+func (b *Bucket) timeTo(level float64, now time.Time) time.Duration {
 	if !b.sender {
 		return math.MaxInt64
 	}
-	b.advance(now)
+	b.refill(now)
 	missing := level - b.level
 	if missing <= 0 {
 		return 0
 	}
-	return time.Duration(missing / b.fills() * float64(time.Second))
+	return time.Duration(missing / b.refillRate() * float64(time.Second))
 }
 
 // Spend counts a request that this entry sends.
 func (b *Bucket) Spend(now time.Time) {
-	b.advance(now)
+	b.refill(now)
 	b.sent++
 	b.take(1)
 }
 
-// RetryAfter returns after what time a refused caller may come back whose request may go after a
-// wait: after that, and after those who were told so before.
+// RetryAfter returns the delay after which a refused caller may retry whose request could be
+// sent after wait. Retries are spaced, each after those of the callers that were refused before.
 func (b *Bucket) RetryAfter(wait time.Duration, now time.Time) time.Duration {
-	first := now.Add(min(wait, maxRetry))
-	if b.nextReturn.Before(first) {
-		b.nextReturn = first
+	first := now.Add(min(wait, maxRetryAfter))
+	if b.nextRetry.Before(first) {
+		b.nextRetry = first
 	}
-	wait = min(b.nextReturn.Sub(now), maxRetry)
-	b.nextReturn = b.nextReturn.Add(time.Duration(float64(time.Second) / b.fills()))
+	wait = min(b.nextRetry.Sub(now), maxRetryAfter)
+	b.nextRetry = b.nextRetry.Add(time.Duration(float64(time.Second) / b.refillRate()))
 	return wait
 }
 
-// Level returns how many requests all senders may send now, as this entry knows.
+// Level returns the number of tokens, which is how many requests all senders together may send
+// now as far as this entry knows.
 func (b *Bucket) Level(now time.Time) float64 {
-	b.advance(now)
+	b.refill(now)
 	return b.level
 }
 
+// take removes n tokens, down to the largest debt.
 func (b *Bucket) take(n float64) {
-	b.level = math.Max(b.level-n, -(b.burst() + maxDebt*b.rate))
+	b.level = math.Max(b.level-n, -(b.capacity() + maxDebt*b.rate))
 }
 
-// advance brings the level up to a time.
-func (b *Bucket) advance(now time.Time) {
-	elapsed := min(now.Sub(b.at), maxGap)
+// refill adds the tokens of the time up to now.
+func (b *Bucket) refill(now time.Time) {
+	elapsed := min(now.Sub(b.updated), maxRefillTime)
 	if elapsed <= 0 {
 		return
 	}
-	b.at = now
-	b.leaveSilent(now)
-	b.level = math.Min(b.level+b.fills()*elapsed.Seconds(), b.burst())
+	b.updated = now
+	b.checkPeers(now)
+	b.level = math.Min(b.level+b.refillRate()*elapsed.Seconds(), b.capacity())
 }
 
-// leaveSilent takes off the level what senders that have fallen silent may have sent since
-// their last word.
-func (b *Bucket) leaveSilent(now time.Time) {
+// checkPeers marks the peers that have timed out as unreachable, and takes off what they may
+// have sent since their last message.
+func (b *Bucket) checkPeers(now time.Time) {
 	for i := range b.peers {
 		p := &b.peers[i]
-		if !p.silent && now.Sub(p.heard) >= unheardAfter {
-			p.silent = true
-			b.take(b.part() * unheardAfter.Seconds())
+		if !p.unreachable && now.Sub(p.lastSeen) >= peerTimeout {
+			p.unreachable = true
+			b.take(b.share() * peerTimeout.Seconds())
 		}
 	}
 }
 
-// part is the rate that is left to a sender that is not heard.
-func (b *Bucket) part() float64 { return b.rate / float64(1+len(b.peers)) }
+// share returns the rate that is reserved for each unreachable sender: an equal part of the
+// whole, in requests per second.
+func (b *Bucket) share() float64 { return b.rate / float64(1+len(b.peers)) }
 
-// fills returns the rate at which the bucket fills: the whole, but for the parts of senders
-// that are not heard. They may go on with theirs.
-func (b *Bucket) fills() float64 {
-	heard := 1
+// refillRate returns the rate at which the bucket fills, in tokens per second: the limit without
+// the shares of unreachable senders, which may go on to use them.
+func (b *Bucket) refillRate() float64 {
+	reachable := 1
 	for i := range b.peers {
-		if !b.peers[i].silent {
-			heard++
+		if !b.peers[i].unreachable {
+			reachable++
 		}
 	}
-	return b.part() * float64(heard)
+	return b.share() * float64(reachable)
 }
 
-// burst is the highest level: how many requests may come at once.
-func (b *Bucket) burst() float64 {
-	return math.Min(burstTokens, 1+2*b.rate) + burstTime*b.rate
+// capacity returns the highest level, which is the largest burst.
+func (b *Bucket) capacity() float64 {
+	return math.Min(burstTokens, 1+2*b.rate) + burstSeconds*b.rate
 }
--- a/internal/ratelimit/bucket_test.go
+++ b/internal/ratelimit/bucket_test.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// sharers are the senders of an upstream by their ids, first is the one under test.
-var sharers = []string{"first", "second", "third", "fourth"}
+// senders are the ids of the senders of an upstream; the bucket under test belongs to first.
+var senders = []string{"first", "second", "third", "fourth"}
 
-// sharing returns a bucket of one of four senders, of whom all others are heard.
-func sharing(perSecond float64) *Bucket {
+// newSharedBucket returns the bucket of the first of four senders.
+func newSharedBucket(perSecond float64) *Bucket {
 	b := NewBucket(t0)
 	b.SetRate(perSecond, t0)
-	b.SetSenders("first", sharers, t0)
+	b.SetSenders("first", senders, t0)
 	return b
 }
 
-// hearAll has all others tell what they have sent.
-func hearAll(b *Bucket, sent uint32, now time.Time) {
-	for _, id := range sharers[1:] {
+// recordAllPeers reports the same count of sent requests for each of the other senders.
+func recordAllPeers(b *Bucket, sent uint32, now time.Time) {
+	for _, id := range senders[1:] {
 		b.RecordPeerSent(id, 1, sent, now)
 	}
 }
 
-// sends counts what a bucket lets through in a span in which callers ask all the time.
-func sends(b *Bucket, from, to int, each func(now time.Time)) (n int) {
+// countSent returns how many requests a bucket lets through between two times in milliseconds,
+// with a request waiting at every step of 10 ms. each, if set, is called before each step.
+func countSent(b *Bucket, from, to int, each func(now time.Time)) (n int) {
 	for ms := from; ms < to; ms += 10 {
 		if each != nil {
 			each(at(ms))
@@ -37,51 +38,51 @@
 	return n
 }
 
-func TestBucketBeginsEmpty(t *testing.T) {
-	b := sharing(4)
+func TestBucketStartsEmpty(t *testing.T) {
+	b := newSharedBucket(4)
 	if w := b.Wait(t0); w < 200*time.Millisecond || w > 300*time.Millisecond {
-		t.Errorf("the first request at a limit of 4 a second may go after %v", w)
+		t.Errorf("wait for the first request at a limit of 4 per second: %v, want 200ms to 300ms", w)
 	}
 }
 
-func TestSendersTakeOffWhatOthersSent(t *testing.T) {
-	b := sharing(10)
-	hearAll(b, 0, t0)
-	alone := sends(b, 0, 4000, func(now time.Time) { hearAll(b, 0, now) })
+func TestPeerRequestsAreTakenOff(t *testing.T) {
+	b := newSharedBucket(10)
+	recordAllPeers(b, 0, t0)
+	alone := countSent(b, 0, 4000, func(now time.Time) { recordAllPeers(b, 0, now) })
 	if alone < 38 || alone > 43 {
-		t.Errorf("%d requests in 4 s at a limit of 10 a second while the others send nothing", alone)
+		t.Errorf("%d requests in 4 s at a limit of 10 per second while the others send nothing", alone)
 	}
 	sent := uint32(0)
-	shared := sends(b, 4000, 8000, func(now time.Time) {
+	shared := countSent(b, 4000, 8000, func(now time.Time) {
 		if ms := now.Sub(t0).Milliseconds(); ms%500 == 0 {
 			sent++
 		}
-		hearAll(b, sent, now)
+		recordAllPeers(b, sent, now)
 	})
 	if shared < 14 || shared > 18 {
 		t.Errorf("%d requests in 4 s while the others send 24 of 40", shared)
 	}
 }
 
-// TestSilentSendersKeepTheirPart has three of four senders fall silent: what they may send is
-// left to them from their last word on.
-func TestSilentSendersKeepTheirPart(t *testing.T) {
-	b := sharing(10)
-	hearAll(b, 0, t0)
-	if n := sends(b, 0, 8000, nil); n < 17 || n > 20+3 {
-		t.Errorf("%d requests in 8 s by one of four senders at a limit of 10 a second", n)
+// TestUnreachableSendersKeepTheirShare checks that the share of three unreachable senders of four
+// is reserved for them from their last message on.
+func TestUnreachableSendersKeepTheirShare(t *testing.T) {
+	b := newSharedBucket(10)
+	recordAllPeers(b, 0, t0)
+	if n := countSent(b, 0, 8000, nil); n < 17 || n > 20+3 {
+		t.Errorf("%d requests in 8 s by one of four senders at a limit of 10 per second", n)
 	}
-	// Back, they have sent just their parts: nothing is taken off for that.
+	// Once reachable again, they have sent no more than their shares: nothing is taken off.
 	level := b.Level(at(8000))
-	hearAll(b, 20, at(8000))
+	recordAllPeers(b, 20, at(8000))
 	if got := b.Level(at(8000)); got < level-0.5 {
-		t.Errorf("level %v, %v before the others told that they sent their parts", got, level)
+		t.Errorf("level %v, want %v as before the others reported that they sent their shares", got, level)
 	}
 }
 
-func TestOvertakenAndRepeatedCountsTakeOffOnce(t *testing.T) {
-	b := sharing(10)
-	hearAll(b, 0, t0)
+func TestOvertakenAndRepeatedCountsAreTakenOffOnce(t *testing.T) {
+	b := newSharedBucket(10)
+	recordAllPeers(b, 0, t0)
 	level := b.Level(at(100))
 	b.RecordPeerSent("second", 1, 2, at(100))
 	b.RecordPeerSent("second", 1, 1, at(100))
@@ -91,60 +92,61 @@
 	}
 	b.RecordPeerSent("second", 2, 1, at(100))
 	if got := b.Level(at(100)); got != level-3 {
-		t.Errorf("level %v after one request of the next life, want %v", got, level-3)
+		t.Errorf("level %v after one request of the next incarnation, want %v", got, level-3)
 	}
 	b.RecordPeerSent("second", 1, 9, at(100))
 	if got := b.Level(at(100)); got != level-3 {
-		t.Errorf("level %v after a late word of the life before, want %v", got, level-3)
+		t.Errorf("level %v after a late count of the previous incarnation, want %v", got, level-3)
 	}
 }
 
-func TestNoSenderNeverSends(t *testing.T) {
+func TestOnlySendersSend(t *testing.T) {
 	b := NewBucket(t0)
 	b.SetRate(1000, t0)
-	b.SetSenders("fifth", sharers, t0)
-	if b.IsSender() || sends(b, 0, 5000, nil) > 0 {
-		t.Error("an entry that is no sender sends")
+	b.SetSenders("fifth", senders, t0)
+	if b.IsSender() || countSent(b, 0, 5000, nil) > 0 {
+		t.Error("an entry that is not a sender sends")
 	}
 }
 
-// TestTrickle has an upstream that takes nothing asked now and then whether that has ended.
-func TestTrickle(t *testing.T) {
+// TestMinimumRate checks that an upstream with a limit of zero or nearly zero still receives a
+// request now and then, whose response can announce that the limit has ended.
+func TestMinimumRate(t *testing.T) {
 	for _, perSecond := range []float64{0, 0.05} {
-		b := sharing(perSecond)
-		n := sends(b, 0, 60_000, func(now time.Time) { hearAll(b, 0, now) })
+		b := newSharedBucket(perSecond)
+		n := countSent(b, 0, 60_000, func(now time.Time) { recordAllPeers(b, 0, now) })
 		if n < 14 || n > 17 {
-			t.Errorf("%d requests in a minute at a limit of %v a second", n, perSecond)
+			t.Errorf("%d requests in a minute at a limit of %v per second", n, perSecond)
 		}
 	}
 }
 
-// TestPauseEarnsNothing has an entry stand still: it does not come back with what a full pause
-// would have filled the bucket with.
-func TestPauseEarnsNothing(t *testing.T) {
-	b := sharing(1)
-	hearAll(b, 0, t0)
+// TestSuspensionIsNotRefilled checks that an entry which was suspended does not refill its bucket
+// for the whole time of the suspension.
+func TestSuspensionIsNotRefilled(t *testing.T) {
+	b := newSharedBucket(1)
+	recordAllPeers(b, 0, t0)
 	b.Spend(t0)
 	b.Spend(t0)
 	if got := b.Level(at(60_000)); got > 0 {
-		t.Errorf("level %v after a minute in which nothing was heard", got)
+		t.Errorf("level %v after a suspension of a minute", got)
 	}
 }
 
-func TestRefusedCallersComeBackOneByOne(t *testing.T) {
-	b := sharing(2)
-	hearAll(b, 0, t0)
+func TestRetriesAreSpaced(t *testing.T) {
+	b := newSharedBucket(2)
+	recordAllPeers(b, 0, t0)
 	last := time.Duration(-1)
 	for range 5 {
 		wait := b.RetryAfter(b.Wait(t0), t0)
 		if wait <= last {
-			t.Errorf("told to come back after %v, the one before after %v", wait, last)
+			t.Errorf("retry after %v, not later than the previous caller's %v", wait, last)
 		}
 		last = wait
 	}
 	for range 100 {
-		if wait := b.RetryAfter(b.Wait(t0), t0); wait > maxRetry {
-			t.Fatalf("told to come back after %v", wait)
+		if wait := b.RetryAfter(b.Wait(t0), t0); wait > maxRetryAfter {
+			t.Fatalf("retry after %v, more than maxRetryAfter", wait)
 		}
 	}
 }
--- a/internal/ratelimit/register_test.go
+++ b/internal/ratelimit/register_test.go
@@ -11,31 +11,31 @@
 
 var t0 = time.Unix(1_800_000_000, 0)
 
-// at is a time in milliseconds since t0.
+// at returns the time that is a number of milliseconds after t0.
 func at(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 
-// TestOvertakenAnswersChangeNothing reads answers in another order than they were made in.
-func TestOvertakenAnswersChangeNothing(t *testing.T) {
-	type answer struct {
+// TestOvertakenResponsesAreIgnored observes responses in another order than they were sent in.
+func TestOvertakenResponsesAreIgnored(t *testing.T) {
+	type response struct {
 		perSecond  float64
 		sent, read int
 	}
 	for _, tt := range []struct {
-		name    string
-		answers []answer
-		want    float64
+		name      string
+		responses []response
+		want      float64
 	}{
-		{"named", []answer{{5, 0, 10}}, 5},
-		{"ended", []answer{{5, 0, 10}, {Unlimited, 20, 30}}, Unlimited},
-		{"an older answer does not end it", []answer{{5, 5, 10}, {Unlimited, 0, 30}}, 5},
-		{"an older answer does not bring it back", []answer{{5, 0, 10}, {Unlimited, 20, 30}, {5, 5, 40}}, Unlimited},
-		{"an older answer does not raise it", []answer{{5, 0, 10}, {5, 20, 60}, {9, 30, 70}}, 5},
-		{"raised", []answer{{5, 0, 10}, {9, 20, 30}}, 9},
-		{"lowered by one that was under way", []answer{{5, 0, 10}, {5, 15, 60}, {2, 20, 70}}, 2},
-		{"zero", []answer{{0, 0, 10}}, 0},
+		{"announced", []response{{5, 0, 10}}, 5},
+		{"ended", []response{{5, 0, 10}, {Unlimited, 20, 30}}, Unlimited},
+		{"an older response does not end it", []response{{5, 5, 10}, {Unlimited, 0, 30}}, 5},
+		{"an older response does not restore it", []response{{5, 0, 10}, {Unlimited, 20, 30}, {5, 5, 40}}, Unlimited},
+		{"an older response does not raise it", []response{{5, 0, 10}, {5, 20, 60}, {9, 30, 70}}, 5},
+		{"raised", []response{{5, 0, 10}, {9, 20, 30}}, 9},
+		{"lowered by a response in flight", []response{{5, 0, 10}, {5, 15, 60}, {2, 20, 70}}, 2},
+		{"zero", []response{{0, 0, 10}}, 0},
 	} {
 		r := new(Register)
-		for _, a := range tt.answers {
+		for _, a := range tt.responses {
 			r.Observe(a.perSecond, at(a.sent), at(a.read))
 		}
 		if got := r.PerSecond(); got != tt.want {
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestRegistersConverge merges what several entries learnt, in any order: all end with the
-// same.
+// TestRegistersConverge checks that registers which observed different limits converge when they
+// are merged in any order.
 func TestRegistersConverge(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(11))
 	properties.Property("same value and version", prop.ForAll(func(limits []int, order []int) bool {
@@ -78,28 +78,28 @@
 	properties.TestingRun(t)
 }
 
-func TestMergeTellsWhoIsBehind(t *testing.T) {
+func TestMergeResults(t *testing.T) {
 	r := new(Register)
 	r.Observe(5, at(0), at(10))
 	r.Observe(Unlimited, at(20), at(30))
 	if got := r.Merge(5, 1, at(40)); got != MergeStale || r.Limited() {
-		t.Errorf("an earlier version: %v, limited %v", got, r.Limited())
+		t.Errorf("merging an earlier version: %v, limited %v", got, r.Limited())
 	}
 	if got := r.Merge(4, 2, at(50)); got != MergeAdopted || r.PerSecond() != 4 {
-		t.Errorf("a lower limit of the same version: %v, %v", got, r.PerSecond())
+		t.Errorf("merging a lower limit of the same version: %v, %v", got, r.PerSecond())
 	}
 	if got := r.Merge(4, 2, at(60)); got != MergeSame {
-		t.Errorf("the same: %v", got)
+		t.Errorf("merging the same value: %v", got)
 	}
 }
 
-func TestRoundedLimitsCompareAlike(t *testing.T) {
+func TestRoundIsIdempotent(t *testing.T) {
 	for _, v := range []float64{0, 0.1, 0.0004, 6.2, 2.3456789, 1e9} {
 		if r := Round(v); Round(r) != r {
-			t.Errorf("%v is rounded to %v and that to %v", v, r, Round(r))
+			t.Errorf("Round(%v) = %v, rounded again %v", v, r, Round(r))
 		}
 	}
 	if Round(2e9) != Unlimited {
-		t.Error("a limit that nobody reaches is told apart from none")
+		t.Error("a limit above maxPerSecond is not rounded to Unlimited")
 	}
 }
