--- a/internal/poison/claims.go
+++ b/internal/poison/claims.go
@@ -8,23 +8,24 @@
 )
 
 const (
-	// maxCrashes is how many crashes one Claim tells. With those of another entry they are
-	// more than enough for a request to be held.
-	maxCrashes = 4
-	// maxRelayed is how many Claims of others about one request a hub passes on.
-	maxRelayed = quorum
-	// freshRounds is in how many rounds a change is told, so that peers hear of it though
-	// a datagram or two are lost.
-	freshRounds = 3
-	// repeatEvery is how often what holds is repeated, for nodes that start or were cut
-	// off. Repeated in each round, single ends would be most of the bytes between regions
-	// while upstreams crash.
-	repeatEvery = time.Second
+	// maxClaimCrashes is the largest number of crashes in a Claim. With those of another entry
+	// they are more than enough for a request to be held.
+	maxClaimCrashes = 4
+	// maxRelayedClaims is the largest number of other entries' Claims about one request that a
+	// hub relays.
+	maxRelayedClaims = quorum
+	// changeRounds is the number of rounds in which a change is sent, so that peers receive it
+	// although one or two datagrams are lost.
+	changeRounds = 3
+	// repeatInterval is the interval at which unchanged records are sent again, for nodes that
+	// start or were partitioned. Single crashes that were repeated in each round would be most
+	// of the bytes between regions while upstreams crash.
+	repeatInterval = time.Second
 )
 
-// Claims returns what to tell of the requests whose turn it is, at most n Claims. What
-// changed is told in a few rounds, and repeated seldom while there is something to learn
-// from it. A hub also passes on what others said.
+// Claims returns at most n Claims to send in this round. A changed record is sent in
+// changeRounds rounds, and then once in repeatInterval while other entries may need it. If
+// relay is set, as at a hub, the Claims of other entries are included.
 func (t *Tracker) Claims(now time.Time, n int, relay bool) []Claim {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -35,37 +36,39 @@
 			break
 		}
 		out = append(out, claims...)
-		r.fresh = max(0, r.fresh-1)
-		r.toldAt = now
+		r.roundsLeft = max(0, r.roundsLeft-1)
+		r.lastSent = now
 	}
 	return out
 }
 
-// due returns the records to tell of, those that were told longest ago first, and among
-// equals those that were made first: a caller's is to be held before that of anybody
-// everywhere.
+// due returns the records to send, least recently sent first. Records that were sent at the
+// same time are in order of creation, so that the record of a single caller is held before that
+// of all callers everywhere.
 func (t *Tracker) due(now time.Time) []*record {
 	var out []*record
 	for _, r := range t.records {
-		if r.fresh > 0 || now.Sub(r.toldAt) >= repeatEvery && t.telling(now, r) {
+		if r.roundsLeft > 0 || now.Sub(r.lastSent) >= repeatInterval && t.repeated(now, r) {
 			out = append(out, r)
 		}
 	}
 	slices.SortFunc(out, func(a, b *record) int {
-		if c := a.toldAt.Compare(b.toldAt); c != 0 {
+		if c := a.lastSent.Compare(b.lastSent); c != 0 {
 			return c
 		}
-		return cmp.Compare(a.order, b.order)
+		return cmp.Compare(a.sequence, b.sequence)
 	})
 	return out
 }
 
-// telling reports whether those that have not heard of a request are to hear of it: it is
-// held, or would be soon. Of one with a single end they hear once another has seen one.
-func (t *Tracker) telling(now time.Time, r *record) bool {
-	return now.Before(r.heldUntil) || len(t.crashes(now, r)) >= suspectAfter
+// repeated reports whether an unchanged record is sent again, because its request is held or
+// may soon be. A record with a single crash is not repeated; other entries receive it once a
+// second crash is seen.
+func (t *Tracker) repeated(now time.Time, r *record) bool {
+	return now.Before(r.heldUntil) || len(t.crashes(now, r)) >= suspectThreshold
 }
 
+// claimsOf returns the Claims to send about one request.
 func (t *Tracker) claimsOf(now time.Time, r *record, relay bool) []Claim {
 	var out []Claim
 	own := t.ownClaim(now, r)
@@ -76,41 +79,42 @@
 	if !relay {
 		return out
 	}
-	claims := slices.SortedFunc(maps.Values(r.peers), func(a, b peerClaim) int { return cmp.Compare(len(b.crashes), len(a.crashes)) })
-	for _, s := range claims[:min(len(claims), maxRelayed)] {
-		out = append(out, s.later(now))
+	claims := slices.SortedFunc(maps.Values(r.peerClaims), func(a, b peerClaim) int { return cmp.Compare(len(b.crashes), len(a.crashes)) })
+	for _, p := range claims[:min(len(claims), maxRelayedClaims)] {
+		out = append(out, p.relayed(now))
 	}
 	return out
 }
 
+// ownClaim returns this entry's own Claim about a request.
 func (t *Tracker) ownClaim(now time.Time, r *record) Claim {
-	w := Claim{Key: r.key, Head: r.head, Source: t.self, Crashes: crashesOf(now, r.own)}
-	if left := r.heldUntil.Sub(now); left > 0 {
-		w.HoldRemaining, w.HoldAge = left, now.Sub(r.heldSince)
+	c := Claim{Key: r.key, Head: r.head, Source: t.self, Crashes: newestCrashes(now, r.ownCrashes)}
+	if remaining := r.heldUntil.Sub(now); remaining > 0 {
+		c.HoldRemaining, c.HoldAge = remaining, now.Sub(r.heldSince)
 	}
-	if !r.ownAnswer.IsZero() {
-		w.Answered, w.AnsweredAge = true, now.Sub(r.ownAnswer)
+	if !r.ownResponse.IsZero() {
+		c.Answered, c.AnsweredAge = true, now.Sub(r.ownResponse)
 	}
-	return w
+	return c
 }
 
-// crashesOf returns the newest crashes with their ages.
-func crashesOf(now time.Time, at map[uint32]time.Time) []Crash {
+// newestCrashes returns the newest of the crashes, at most maxClaimCrashes, with their ages.
+func newestCrashes(now time.Time, crashes map[uint32]time.Time) []Crash {
 	var out []Crash
-	for upstream, when := range at {
-		out = append(out, Crash{upstream, now.Sub(when)})
+	for upstream, at := range crashes {
+		out = append(out, Crash{upstream, now.Sub(at)})
 	}
 	slices.SortFunc(out, func(a, b Crash) int { return cmp.Compare(a.Age, b.Age) })
-	return out[:min(len(out), maxCrashes)]
+	return out[:min(len(out), maxClaimCrashes)]
 }
 
-// later returns what was said as it is to be told now.
-func (s *peerClaim) later(now time.Time) Claim {
-	w := s.claim
-	w.Crashes = crashesOf(now, s.crashes)
-	w.HoldRemaining, w.HoldAge = max(0, s.heldUntil.Sub(now)), now.Sub(s.heldSince)
-	if w.Answered {
-		w.AnsweredAge += now.Sub(s.at)
+// relayed returns the Claim with its ages as of now.
+func (p *peerClaim) relayed(now time.Time) Claim {
+	c := p.claim
+	c.Crashes = newestCrashes(now, p.crashes)
+	c.HoldRemaining, c.HoldAge = max(0, p.heldUntil.Sub(now)), now.Sub(p.heldSince)
+	if c.Answered {
+		c.AnsweredAge += now.Sub(p.received)
 	}
-	return w
+	return c
 }
--- a/internal/poison/key.go
+++ b/internal/poison/key.go
@@ -1,10 +1,10 @@
-// Package poison finds requests under which upstreams end ("queries of death") and keeps
-// them from further upstreams.
+// Package poison detects requests that crash upstreams ("queries of death") and holds them:
+// a held request is refused instead of being sent to further upstreams.
 //
-// A caller that gets no answer sends its request again, with another id and mostly to
-// another entry, so that limits on the attempts of one request do not stop it. A Tracker
-// remembers which requests were under way when an upstream ended, and entries tell each
-// other (package inflight). It does no I/O and reads no clock.
+// A caller that receives no response sends its request again, with another id and mostly to
+// another entry, so that a limit on the attempts of one request does not stop it. A Tracker
+// records which requests were in flight when an upstream crashed, and entries exchange these
+// records (package inflight). The package does no I/O and reads no clock.
 package poison
 
 import (
@@ -13,33 +13,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key names what a request is, whatever id it has: the hash of its parts.
+// Key identifies equal requests, whatever their ids: it is a hash of the parts of a request.
 type Key uint64
 
-// Request is what makes two requests the same.
+// Request holds the parts of a request that its keys are computed from.
 type Request struct {
 	Method, Host string
-	// Target is the path with the query, as the caller wrote it.
+	// Target is the path with the query, as the caller sent it.
 	Target string
-	// Object is what the request is about, if it says so.
+	// Object names what the request is about, if the request states it.
 	Object string
-	// Caller names who sends it. Callers that share an address are taken for one.
+	// Caller identifies the sender. Callers that share an address are treated as one.
 	Caller string
-	// Length is that of the body in bytes, -1 if it is not known beforehand.
+	// Length is the length of the body in bytes, -1 if it is not known in advance.
 	Length int64
 }
 
-// Keys names a request twice: as that of anybody, and as that of its caller. A fault may
-// lie in what all callers ask for, or only in what one of them may see. Of a path that
-// everybody asks for, the answers to others must not speak for the one caller whose
-// requests end upstreams; nor may a caller with many addresses go unseen.
+// Keys holds two keys of a request: AnyCaller is the same for all callers, Caller includes the
+// caller. A fault may lie in what all callers request, or in data that only one of them has
+// access to. With the first key alone, responses to other callers of a popular path would clear
+// the one caller whose requests crash upstreams. With the second alone, a caller with many
+// addresses would go undetected.
 type Keys struct{ AnyCaller, Caller Key }
 
-// All returns both keys, that of the caller first: if the ends are of one caller's making,
-// it alone is to be held.
+// All returns both keys, that of the caller first: if only one caller's requests cause the
+// crashes, only that caller is to be held.
 func (k Keys) All() [2]Key { return [2]Key{k.Caller, k.AnyCaller} }
 
-// HeadKeys returns the keys without the body, which are known before any of it is read.
+// HeadKeys returns the keys without the body, which can be computed before any of it is read.
 func (r *Request) HeadKeys() Keys {
 	d := xxhash.New()
 	for _, s := range []string{r.Method, r.Host, r.Target, r.Object} {
@@ -48,13 +49,13 @@
 	var length [8]byte
 	binary.LittleEndian.PutUint64(length[:], uint64(r.Length))
 	_, _ = d.Write(length[:])
-	anyone := d.Sum64()
+	anyCaller := d.Sum64()
 	writePart(d, r.Caller)
-	return Keys{Key(anyone), Key(d.Sum64())}
+	return Keys{Key(anyCaller), Key(d.Sum64())}
 }
 
-// writePart adds a part with its length, so that no two lists of parts look alike. A
-// Digest never fails.
+// writePart adds a part, preceded by its length so that different lists of parts have different
+// encodings. A Digest returns no errors.
 func writePart(d *xxhash.Digest, s string) {
 	var n [4]byte
 	binary.LittleEndian.PutUint32(n[:], uint32(len(s)))
@@ -62,12 +63,13 @@
 	_, _ = d.WriteString(s)
 }
 
-// MaxBodyPrefix is how many bytes of a body belong to the keys. More would have to be kept,
-// or read before it is known whether to send the request at all; two requests that differ
-// only beyond it are taken for the same.
+// MaxBodyPrefix is the number of bytes at the start of a body that the keys include. More would
+// have to be buffered, or read before it is decided whether to send the request at all. Two
+// requests that differ only beyond the prefix have the same keys.
 const MaxBodyPrefix = 4 << 10
 
-// WithBody returns the keys of a request whose body begins with a prefix.
+// WithBody returns the keys of a request whose body starts with prefix. Bytes of prefix beyond
+// MaxBodyPrefix are ignored.
 func (k Keys) WithBody(prefix []byte) Keys {
 	if len(prefix) == 0 {
 		return k
@@ -76,7 +78,7 @@
 	return Keys{mix(k.AnyCaller, body), mix(k.Caller, body)}
 }
 
-// mix joins a key with another hash.
+// mix combines a key with another hash.
 func mix(k Key, h uint64) Key {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], uint64(k))
--- a/internal/poison/peers.go
+++ b/internal/poison/peers.go
@@ -5,91 +5,95 @@
 	"time"
 )
 
-// peerClaim is a Claim with its times.
+// peerClaim is the last Claim from another entry, with its ages converted to times.
 type peerClaim struct {
 	crashes              map[uint32]time.Time
 	heldSince, heldUntil time.Time
-	// answered is when an upstream answered the request there, zero if none did.
-	answered time.Time
-	at       time.Time
+	// responded is when an upstream last responded to the request there, zero if none did.
+	responded time.Time
+	// received is when the Claim was received.
+	received time.Time
 	claim    Claim
 }
 
-// HandleClaim takes in what another entry says.
-func (t *Tracker) HandleClaim(now time.Time, w Claim) {
-	if w.Source == t.self {
+// HandleClaim processes a Claim from another entry.
+func (t *Tracker) HandleClaim(now time.Time, c Claim) {
+	if c.Source == t.self {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.records[w.Key]
-	if r == nil && len(w.Crashes) == 0 && w.HoldRemaining == 0 {
+	r := t.records[c.Key]
+	if r == nil && len(c.Crashes) == 0 && c.HoldRemaining == 0 {
 		return
 	}
-	r = t.record(now, w.Head, w.Key)
-	before, known := r.peers[w.Source]
-	if !known && len(r.peers) >= maxSources {
+	r = t.record(now, c.Head, c.Key)
+	previous, known := r.peerClaims[c.Source]
+	if !known && len(r.peerClaims) >= maxSources {
 		return
 	}
-	next := t.peerClaimOf(now, w)
-	r.peers[w.Source] = next
-	if next.answersSince(&before) {
-		t.clear(now, r, next.answered)
+	next := t.peerClaimOf(now, c)
+	r.peerClaims[c.Source] = next
+	if next.respondedSince(&previous) {
+		t.clearBefore(now, r, next.responded)
 	}
-	if next.differs(&before) {
-		t.review(now, r)
+	if next.differs(&previous) {
+		t.reevaluate(now, r)
 	}
-	t.takeHold(now, r)
+	t.adoptHold(now, r)
 }
 
-// differs reports whether an entry says something else than before, but for ages.
-func (s *peerClaim) differs(before *peerClaim) bool {
-	if len(s.crashes) != len(before.crashes) || s.heldUntil.IsZero() != before.heldUntil.IsZero() {
+// differs reports whether a Claim differs from the previous one of the same entry in more than
+// its ages.
+func (p *peerClaim) differs(previous *peerClaim) bool {
+	if len(p.crashes) != len(previous.crashes) || p.heldUntil.IsZero() != previous.heldUntil.IsZero() {
 		return true
 	}
-	for upstream := range s.crashes {
-		if _, ok := before.crashes[upstream]; !ok {
+	for upstream := range p.crashes {
+		if _, ok := previous.crashes[upstream]; !ok {
 			return true
 		}
 	}
-	return s.answersSince(before)
+	return p.respondedSince(previous)
 }
 
-// answersSince reports whether there is an answer that was not told before. The same one
-// seems later if its report took longer.
-func (s *peerClaim) answersSince(before *peerClaim) bool {
-	return s.answered.Sub(before.answered) > echoSlack
+// respondedSince reports whether there is a response that is not in the previous Claim. The
+// same response seems more recent if its Claim was delayed, by up to delaySlack.
+func (p *peerClaim) respondedSince(previous *peerClaim) bool {
+	return p.responded.Sub(previous.responded) > delaySlack
 }
 
-// peerClaimOf turns ages into times. Ends soon after an answer here do not count.
-func (t *Tracker) peerClaimOf(now time.Time, w Claim) peerClaim {
-	s := peerClaim{crashes: make(map[uint32]time.Time, len(w.Crashes)), at: now, claim: w}
-	trustedUntil := t.answered.at(w.Key).Add(trustAnswerFor)
-	for _, crash := range w.Crashes {
+// peerClaimOf converts the ages of a Claim to times. It leaves out crashes and holds that are
+// within responseTrustTime of a response that this entry has seen.
+func (t *Tracker) peerClaimOf(now time.Time, c Claim) peerClaim {
+	p := peerClaim{crashes: make(map[uint32]time.Time, len(c.Crashes)), received: now, claim: c}
+	trustedUntil := t.responses.last(c.Key).Add(responseTrustTime)
+	for _, crash := range c.Crashes {
 		if at := now.Add(-crash.Age); at.After(trustedUntil) {
-			s.crashes[crash.Upstream] = at
+			p.crashes[crash.Upstream] = at
 		}
 	}
-	if w.Answered {
-		s.answered = now.Add(-w.AnsweredAge)
+	if c.Answered {
+		p.responded = now.Add(-c.AnsweredAge)
 	}
-	if w.HoldRemaining > echoSlack && now.After(trustedUntil) {
-		s.heldSince, s.heldUntil = now.Add(-w.HoldAge), now.Add(w.HoldRemaining)
+	if c.HoldRemaining > delaySlack && now.After(trustedUntil) {
+		p.heldSince, p.heldUntil = now.Add(-c.HoldAge), now.Add(c.HoldRemaining)
 	}
-	return s
+	return p
 }
 
-// takeHold holds a request that enough others hold, so that a node which starts, or was
-// cut off, learns what holds. A hold that is over here is not taken over from those at
-// which the same one lasts longer: all would let the request through at once in the end.
-func (t *Tracker) takeHold(now time.Time, r *record) {
+// adoptHold holds a request that a quorum of other entries hold, so that a node which starts or
+// was partitioned learns of the hold. A hold that has ended here is not adopted again from
+// entries where the same hold lasts longer: otherwise all entries would finally let the request
+// through at the same time.
+func (t *Tracker) adoptHold(now time.Time, r *record) {
 	if now.Before(r.heldUntil) {
 		return
 	}
 	var holding []peerClaim
-	for _, s := range r.peers {
-		if s.heldUntil.After(now) && s.heldSince.After(r.answered) && s.heldSince.After(r.heldUntil) {
-			holding = append(holding, s)
+	for _, p := range r.peerClaims {
+		if p.heldUntil.After(now) && p.heldSince.After(r.lastResponse) && p.heldSince.After(r.heldUntil) {
+			holding = append(holding, p)
 		}
 	}
 	if len(holding) < quorum {
@@ -97,7 +101,7 @@
 	}
 	slices.SortFunc(holding, func(a, b peerClaim) int { return b.heldUntil.Compare(a.heldUntil) })
 	last := holding[quorum-1]
-	r.heldSince, r.heldUntil = last.heldSince, last.heldUntil.Add(t.spread(r.key)-holdSpread)
+	r.heldSince, r.heldUntil = last.heldSince, last.heldUntil.Add(t.holdJitter(r.key)-maxHoldJitter)
 	r.holds = max(1, r.holds)
-	t.explain(now, r)
+	t.attributeCrashes(now, r)
 }
--- a/internal/poison/recent.go
+++ b/internal/poison/recent.go
@@ -2,27 +2,30 @@
 
 import "time"
 
-// maxRecent bounds each of the two halves of the answers that are remembered: at a
-// hundred requests a second, with two keys each, at least trustAnswerFor.
+// maxRecent is the capacity of each of the two generations of recent responses. At a hundred
+// requests per second with two keys each, they cover at least responseTrustTime.
 const maxRecent = 2048
 
-// recentKeys remembers when requests were last answered. Of two halves the older one is
-// dropped when the newer one is full.
-type recentKeys struct{ newer, older map[Key]time.Time }
+// recentResponses holds the times of the last responses to requests, in two generations. When
+// the newer one is full, the older one is dropped.
+type recentResponses struct{ newer, older map[Key]time.Time }
 
-func newRecentKeys() recentKeys {
-	return recentKeys{make(map[Key]time.Time), make(map[Key]time.Time)}
+// newRecentResponses returns an empty recentResponses.
+func newRecentResponses() recentResponses {
+	return recentResponses{make(map[Key]time.Time), make(map[Key]time.Time)}
 }
 
-func (r *recentKeys) put(key Key, now time.Time) {
+// put records a response to a request.
+func (r *recentResponses) put(key Key, now time.Time) {
 	if len(r.newer) >= maxRecent {
 		r.newer, r.older = make(map[Key]time.Time), r.newer
 	}
 	r.newer[key] = now
 }
 
-// at returns when a request was last answered; the zero time if it is not remembered.
-func (r *recentKeys) at(key Key) time.Time {
+// last returns the time of the last response to a request, or the zero time if none is
+// recorded.
+func (r *recentResponses) last(key Key) time.Time {
 	if at, ok := r.newer[key]; ok {
 		return at
 	}
--- a/internal/poison/tracker.go
+++ b/internal/poison/tracker.go
@@ -8,92 +8,96 @@
 )
 
 const (
-	// heldAfter is how many upstreams must have ended under a request, with no answer to
-	// it meanwhile, for it to be kept from others. One ends under whatever else was under
-	// way there, and a caller that tries again may meet a second of a failure domain that
-	// is lost.
-	heldAfter = 3
-	// suspectAfter is from how many on a request comes one at a time.
-	suspectAfter = 2
-	// quorum is how many entries must have seen such an end: the word of one alone,
-	// mistaken or forged, turns no caller away. An entry that has seen all itself needs
-	// no other.
+	// holdThreshold is the number of upstreams that must have crashed under a request, with no
+	// response to it meanwhile, for the request to be held. A single crash affects everything
+	// that was in flight at the upstream, and a retry may meet a second crash when a failure
+	// domain is lost.
+	holdThreshold = 3
+	// suspectThreshold is the number of crashes from which on an entry has no more than one
+	// attempt of a request in flight.
+	suspectThreshold = 2
+	// quorum is the number of entries that must have observed such crashes, so that no single
+	// entry can have a request refused by mistaken or forged claims. An entry that has observed
+	// holdThreshold crashes itself needs no other.
 	quorum = 2
-	// crashFor is how long an end counts: callers that come back every few minutes are
-	// found too.
-	crashFor = 10 * time.Minute
-	// trustAnswerFor is how long an answer speaks for the requests after it. What many callers
-	// ask for is under way at most of the upstreams that are lost with a failure domain,
-	// and has been answered all the time before.
-	trustAnswerFor = 10 * time.Second
-	// refuteWithin is within what time of an end an answer by the same upstream shows
-	// that just the connection broke; upstreams take seconds to start again.
-	refuteWithin = time.Second
-	// holdFor is for how long a request is kept from upstreams after the last that ended.
-	// It doubles each time that the next one ends under it too. It is how long callers of
-	// a request are refused after a release has mended what it met.
-	holdFor = 2 * time.Minute
-	// longestHold bounds the doubling.
-	longestHold = time.Hour
-	// holdSpread is within what time after the hold the entries let the request through
-	// again, each at a moment of its own: the first that tries it tells the others before
-	// they do.
-	holdSpread = 30 * time.Second
-	// echoSlack is how much longer than nothing a hold that peers tell must have left to be
-	// taken over: it is told with the time left, so that the way lengthens it, and two
-	// entries would go on telling each other one that has ended.
-	echoSlack = time.Second
-	// maxRecords bounds the requests that are remembered. Some thirty are under way at an
-	// upstream that ends; a region of a large fleet may lose dozens at once.
+	// crashLifetime is how long a crash counts. It also covers callers that retry every few
+	// minutes.
+	crashLifetime = 10 * time.Minute
+	// responseTrustTime is how long crashes under a request are ignored after a response to it.
+	// A request that many callers send is in flight at most of the upstreams that are lost with
+	// a failure domain, and has regularly been responded to before.
+	responseTrustTime = 10 * time.Second
+	// refuteWindow is the time after a presumed crash within which a response from the same
+	// upstream shows that only the connection broke. Upstreams take seconds to restart.
+	refuteWindow = time.Second
+	// firstHoldTime is how long a request is held after the last crash. The time doubles each
+	// time that the next attempt crashes an upstream too. It is also how long callers are
+	// refused after a release has fixed the fault.
+	firstHoldTime = 2 * time.Minute
+	// maxHoldTime bounds the doubling.
+	maxHoldTime = time.Hour
+	// maxHoldJitter is the time after a hold within which the entries let the request through
+	// again, each at a moment of its own. The first entry that sends it can report a crash
+	// before the others send it too.
+	maxHoldJitter = 30 * time.Second
+	// delaySlack is the time that must remain of a peer's hold for it to be adopted. Holds are
+	// reported by the time remaining, which the delay of the report extends: without the slack
+	// two entries would keep reporting to each other a hold that has ended.
+	delaySlack = time.Second
+	// maxRecords bounds the number of records. Some thirty requests are in flight at an upstream
+	// that crashes, and a region of a large fleet may lose dozens of upstreams at once.
 	maxRecords = 1024
-	// maxSources bounds the entries whose claims about one request are remembered: many more
-	// than it takes, and few enough that a hub which speaks for entries that do not exist
-	// fills no memory.
+	// maxSources bounds the number of entries whose claims about one request are stored: many
+	// more than a quorum, and few enough that a hub which relays claims of entries that do not
+	// exist cannot fill the memory.
 	maxSources = 32
-	// keepFor is how long a request is remembered after there is nothing against it any
-	// more, so that peers hear of it.
-	keepFor = 5 * time.Second
-	// holdMemory is how long it is remembered after a hold that it was held.
-	holdMemory = 10 * time.Minute
+	// recordRetention is how long a record is kept after the last crash or hold has expired, so
+	// that peers receive the change.
+	recordRetention = 5 * time.Second
+	// holdRetention is how long a record is kept after a hold.
+	holdRetention = 10 * time.Minute
 )
 
-// Crash is an upstream that ended under a request.
+// Crash is the crash of an upstream while a request was in flight there.
 type Crash struct {
-	// Upstream names the life of the upstream; see balance.LifeKey.
+	// Upstream identifies the incarnation of the upstream; see balance.LifeKey.
 	Upstream uint32
-	// Age is how long ago it ended.
+	// Age is the time since the crash.
 	Age time.Duration
 }
 
-// Claim is what one entry says of one request. Times are told as ages, since the clocks of
-// entries differ.
+// Claim is what one entry reports about one request. Times are given as ages, since the clocks
+// of entries differ.
 type Claim struct {
+	// Key is the key of the request, Head the key without the body.
 	Key, Head Key
-	// Source is the hash of the id of the entry that says it.
+	// Source is the hash of the id of the entry that makes the claim; see HashEntry.
 	Source uint32
-	// Crashes are the last upstreams that ended under the request at that entry.
+	// Crashes are the last crashes under the request that this entry observed.
 	Crashes []Crash
-	// HoldRemaining is for how long that entry will keep it from upstreams, 0 if it does not, and
-	// HoldAge since how long it has.
+	// HoldRemaining is how long the entry will still hold the request, 0 if it does not hold
+	// it. HoldAge is the time since the start of the hold.
 	HoldRemaining, HoldAge time.Duration
-	// Answered is set if an upstream has answered it there, AnsweredAge how long ago.
+	// Answered is set if the entry has received a response to the request, AnsweredAge is the
+	// time since then.
 	Answered    bool
 	AnsweredAge time.Duration
 }
 
-// HashEntry returns the hash of an entry's id, which names it in reports.
+// HashEntry returns the hash of an entry's id, which identifies the entry in claims and reports.
 func HashEntry(entry string) uint32 { return uint32(xxhash.Sum64String(entry)) }
 
-// Decision is what to do with a request.
+// Decision is the decision on a request.
 type Decision struct {
-	// Held is set if it is to be refused, and RetryAfter when it may come back.
+	// Held is set if the request is to be refused, RetryAfter is the delay after which the
+	// caller may retry.
 	Held       bool
 	RetryAfter time.Duration
-	// Suspect is set if upstreams ended under it, but not enough of them.
+	// Suspect is set if upstreams crashed under the request, but too few for a hold.
 	Suspect bool
 }
 
-// Tracker remembers requests under which upstreams ended. It is safe for concurrent use.
+// Tracker tracks requests under which upstreams crashed. It is safe for concurrent use.
 type Tracker struct {
 	self uint32
 
@@ -101,132 +105,138 @@
 	records map[Key]*record
 	// heads counts the records by their keys without the body.
 	heads map[Key]int
-	// explained names for each upstream that ended the held request under which it did.
-	explained map[uint32]Key
-	answered  recentKeys
-	made      uint64
+	// attributed maps crashed upstreams to the held request that the crash is attributed to.
+	attributed map[uint32]Key
+	responses  recentResponses
+	// lastSequence is the sequence number of the newest record.
+	lastSequence uint64
 }
 
-// record is what is known of one request.
+// record holds the state of one request.
 type record struct {
 	key, head Key
-	// own are the upstreams that ended under it here, by when.
-	own map[uint32]time.Time
-	// peers is what the other entries said last.
-	peers map[uint32]peerClaim
-	// answered is when an upstream last answered it, anywhere; ownAnswer when one did here.
-	answered, ownAnswer time.Time
-	// heldSince and heldUntil bound the last hold.
+	// ownCrashes holds the crashes that this entry observed, by upstream.
+	ownCrashes map[uint32]time.Time
+	// peerClaims holds the last claim of each other entry, by source.
+	peerClaims map[uint32]peerClaim
+	// lastResponse is the time of the last response at any entry, ownResponse of that at this
+	// entry.
+	lastResponse, ownResponse time.Time
+	// heldSince and heldUntil are the start and the end of the last hold.
 	heldSince, heldUntil time.Time
-	// holds is how often it was held.
+	// holds is the number of holds so far.
 	holds int
-	// underWay is how many of them are at upstreams while it is suspect.
-	underWay int
-	changed  time.Time
-	// fresh is in how many rounds the last change is still to be told, toldAt when the
-	// request was last told of, claimed whether this entry ever said anything of it.
-	fresh   int
-	toldAt  time.Time
-	claimed bool
-	// order is that in which the records were made.
-	order uint64
+	// inFlight is the number of these requests that are at upstreams.
+	inFlight int
+	// changed is the time of the last change.
+	changed time.Time
+	// roundsLeft is the number of rounds in which the last change is still to be sent, lastSent
+	// is when the record was last sent. claimed is set once this entry has made a claim of its
+	// own.
+	roundsLeft int
+	lastSent   time.Time
+	claimed    bool
+	// sequence numbers the records in order of creation.
+	sequence uint64
 }
 
-// NewTracker returns the Tracker of an entry.
+// NewTracker returns the Tracker of the entry with the id self.
 func NewTracker(self string) *Tracker {
 	return &Tracker{
 		self: HashEntry(self), records: make(map[Key]*record), heads: make(map[Key]int),
-		explained: make(map[uint32]Key), answered: newRecentKeys(),
+		attributed: make(map[uint32]Key), responses: newRecentResponses(),
 	}
 }
 
-// HasRecord reports whether anything is held against a request with these keys without body,
-// so that its body has to be looked at before it is sent.
+// HasRecord reports whether there is a record of a request with these keys without the body, so
+// that its body has to be read before the request is sent.
 func (t *Tracker) HasRecord(head Keys) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.heads[head.AnyCaller] > 0 || t.heads[head.Caller] > 0
 }
 
-// RecordCrash records that an upstream ended under a request. It reports what to do with the
-// request now.
+// RecordCrash records that an upstream crashed under a request with the given keys, without and
+// with the body. It returns the decision on the request now.
 func (t *Tracker) RecordCrash(now time.Time, head, keys Keys, upstream uint32) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i, key := range keys.All() {
-		if now.Sub(t.answered.at(key)) < trustAnswerFor {
+		if now.Sub(t.responses.last(key)) < responseTrustTime {
 			continue
 		}
 		r := t.record(now, head.All()[i], key)
-		r.own[upstream] = now
-		t.review(now, r)
+		r.ownCrashes[upstream] = now
+		t.reevaluate(now, r)
 	}
 	return t.decide(now, keys)
 }
 
-// RecordResponse records that an upstream answered a request.
+// RecordResponse records that an upstream responded to a request.
 func (t *Tracker) RecordResponse(now time.Time, keys Keys) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, key := range keys.All() {
-		t.answered.put(key, now)
+		t.responses.put(key, now)
 		if r := t.records[key]; r != nil {
-			r.ownAnswer = now
-			t.clear(now, r, now)
+			r.ownResponse = now
+			t.clearBefore(now, r, now)
 		}
 	}
 }
 
-// RecordAlive records that an upstream answered a request that was sent to it at a time. An end
-// just before was none: its connection broke.
+// RecordAlive records that an upstream responded to any request that was sent to it at sent. A
+// crash of that upstream before sent is withdrawn if it is less than refuteWindow ago: only the
+// connection broke.
 func (t *Tracker) RecordAlive(now time.Time, upstream uint32, sent time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.records {
-		at, ok := r.own[upstream]
-		if ok && sent.After(at) && now.Sub(at) < refuteWithin {
-			delete(r.own, upstream)
-			t.review(now, r)
+		at, ok := r.ownCrashes[upstream]
+		if ok && sent.After(at) && now.Sub(at) < refuteWindow {
+			delete(r.ownCrashes, upstream)
+			t.reevaluate(now, r)
 		}
 	}
 }
 
-// Begin decides on a request before it goes to an upstream. If it may, End must be called
-// when it has come back.
+// Begin decides on a request before it is sent to an upstream. Unless the request is held, the
+// caller must call End when the request has finished.
 func (t *Tracker) Begin(now time.Time, keys Keys) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	d := t.decide(now, keys)
-	if d.Suspect && !d.Held && t.busy(keys) {
-		d.Held, d.RetryAfter = true, suspectRetry
+	if d.Suspect && !d.Held && t.hasInFlight(keys) {
+		d.Held, d.RetryAfter = true, suspectRetryAfter
 	}
 	if d.Held {
 		return d
 	}
 	for _, key := range keys.All() {
 		if r := t.records[key]; r != nil {
-			r.underWay++
+			r.inFlight++
 		}
 	}
 	return d
 }
 
-// End records that a request which Begin let through has come back.
+// End records that a request which Begin let through has finished.
 func (t *Tracker) End(keys Keys) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, key := range keys.All() {
-		if r := t.records[key]; r != nil && r.underWay > 0 {
-			r.underWay--
+		if r := t.records[key]; r != nil && r.inFlight > 0 {
+			r.inFlight--
 		}
 	}
 }
 
-// suspectRetry is when a request may come back of which another try is under way: work
-// seldom takes longer, and the end of an upstream is known at once.
-const suspectRetry = time.Second
+// suspectRetryAfter is the delay after which a suspect request may be retried while another
+// attempt is in flight. Requests seldom take longer, and the crash of an upstream is noticed at
+// once.
+const suspectRetryAfter = time.Second
 
-// decide says what to do with a request. The caller holds the lock.
+// decide returns the decision on a request. The caller holds t.mu.
 func (t *Tracker) decide(now time.Time, keys Keys) Decision {
 	var d Decision
 	for _, key := range keys.All() {
@@ -238,41 +248,43 @@
 		case now.Before(r.heldUntil):
 			d.Held = true
 			d.RetryAfter = max(d.RetryAfter, r.heldUntil.Sub(now))
-		case len(r.own) > 0 && len(t.crashes(now, r)) >= suspectAfter:
+		case len(r.ownCrashes) > 0 && len(t.crashes(now, r)) >= suspectThreshold:
 			d.Suspect = true
 		}
 	}
 	return d
 }
 
-// busy reports whether a request with one of the keys is at an upstream. The caller holds
-// the lock.
-func (t *Tracker) busy(keys Keys) bool {
+// hasInFlight reports whether a request with one of the keys is at an upstream. The caller
+// holds t.mu.
+func (t *Tracker) hasInFlight(keys Keys) bool {
 	for _, key := range keys.All() {
-		if r := t.records[key]; r != nil && r.underWay > 0 {
+		if r := t.records[key]; r != nil && r.inFlight > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// record returns the record of a request, or makes one. The caller holds the lock.
+// record returns the record of a request, and creates it if there is none. If there are
+// maxRecords already, one of them is evicted. The caller holds t.mu.
 func (t *Tracker) record(now time.Time, head, key Key) *record {
 	r := t.records[key]
 	if r != nil {
 		return r
 	}
 	if len(t.records) >= maxRecords {
-		t.drop(t.least(now))
+		t.drop(t.evictionCandidate(now))
 	}
-	r = &record{key: key, head: head, own: make(map[uint32]time.Time), peers: make(map[uint32]peerClaim), changed: now}
-	t.made++
-	r.order = t.made
+	r = &record{key: key, head: head, ownCrashes: make(map[uint32]time.Time), peerClaims: make(map[uint32]peerClaim), changed: now}
+	t.lastSequence++
+	r.sequence = t.lastSequence
 	t.records[key] = r
 	t.heads[head]++
 	return r
 }
 
+// drop removes a record. The caller holds t.mu.
 func (t *Tracker) drop(r *record) {
 	delete(t.records, r.key)
 	if t.heads[r.head]--; t.heads[r.head] <= 0 {
@@ -280,72 +292,74 @@
 	}
 }
 
-// least returns the record to give up for another: of those that only peers spoke of, or
-// of all if there is none, the one that changed longest ago. So a peer that speaks of
-// many requests cannot push out what was seen here.
-func (t *Tracker) least(now time.Time) *record {
-	var least *record
+// evictionCandidate returns the record to evict for a new one: the one that changed the longest
+// ago among those of the lowest rank. A peer that claims many requests therefore cannot evict
+// what this entry observed itself.
+func (t *Tracker) evictionCandidate(now time.Time) *record {
+	var candidate *record
 	for _, r := range t.records {
-		if least == nil || r.worth(now) < least.worth(now) || r.worth(now) == least.worth(now) && r.changed.Before(least.changed) {
-			least = r
+		if candidate == nil || r.rank(now) < candidate.rank(now) || r.rank(now) == candidate.rank(now) && r.changed.Before(candidate.changed) {
+			candidate = r
 		}
 	}
-	return least
+	return candidate
 }
 
-// worth ranks records: those that are held come before those with own crashes.
-func (r *record) worth(now time.Time) int {
+// rank orders records by their worth: 2 for those of held requests, 1 for those with own
+// crashes, and 0 for others.
+func (r *record) rank(now time.Time) int {
 	switch {
 	case now.Before(r.heldUntil):
 		return 2
-	case len(r.own) > 0:
+	case len(r.ownCrashes) > 0:
 		return 1
 	}
 	return 0
 }
 
-// clear drops what speaks against a request from before an answer to it.
-func (t *Tracker) clear(now time.Time, r *record, answered time.Time) {
-	if !answered.After(r.answered) {
+// clearBefore ends the hold of a request that was responded to, and removes its crashes from
+// before the response.
+func (t *Tracker) clearBefore(now time.Time, r *record, responded time.Time) {
+	if !responded.After(r.lastResponse) {
 		return
 	}
-	r.answered = answered
-	for upstream, at := range r.own {
-		if !at.After(answered) {
-			delete(r.own, upstream)
+	r.lastResponse = responded
+	for upstream, at := range r.ownCrashes {
+		if !at.After(responded) {
+			delete(r.ownCrashes, upstream)
 		}
 	}
 	r.heldSince, r.heldUntil, r.holds = time.Time{}, time.Time{}, 0
-	for upstream, by := range t.explained {
-		if by == r.key {
-			delete(t.explained, upstream)
+	for upstream, culprit := range t.attributed {
+		if culprit == r.key {
+			delete(t.attributed, upstream)
 		}
 	}
-	r.news(now)
+	r.markChanged(now)
 }
 
-// Expire drops the requests that nothing speaks against any more. It is called every now
-// and then.
+// Expire drops the records that are no longer needed. It is to be called from time to time.
 func (t *Tracker) Expire(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.records {
-		keep := keepFor
+		retention := recordRetention
 		if r.holds > 0 {
-			keep = holdMemory
+			retention = holdRetention
 		}
-		if now.Before(r.heldUntil) || len(t.crashes(now, r)) > 0 || now.Sub(latest(r.changed, r.heldUntil)) < keep {
+		if now.Before(r.heldUntil) || len(t.crashes(now, r)) > 0 || now.Sub(latest(r.changed, r.heldUntil)) < retention {
 			continue
 		}
 		t.drop(r)
 	}
-	for upstream, by := range t.explained {
-		if t.records[by] == nil {
-			delete(t.explained, upstream)
+	for upstream, culprit := range t.attributed {
+		if t.records[culprit] == nil {
+			delete(t.attributed, upstream)
 		}
 	}
 }
 
+// latest returns the later of two times.
 func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -353,14 +367,14 @@
 	return b
 }
 
-// Status is what is known of requests under which upstreams ended, for dumps and metrics.
+// Status holds the numbers of requests with a record, for dumps and metrics.
 type Status struct {
-	// Remembered are all of them, Held those that are refused.
+	// Remembered counts all of them, Held those that are refused.
 	Remembered int `json:"remembered"`
 	Held       int `json:"held"`
 }
 
-// Status returns how many requests are remembered and held.
+// Status returns how many requests have a record, and how many of them are held.
 func (t *Tracker) Status(now time.Time) Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
