--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -73,8 +73,8 @@
 }
 
 // SetSenders sets the ids of the entries that may send; self is the id of this entry. An entry
-// that becomes a sender starts with an empty bucket, because it does not know what the other
-// senders have sent recently.
+// that becomes a sender starts with an empty bucket, because it has not received the recent
+// counts of the other senders.
 func (b *Bucket) SetSenders(self string, ids []string, now time.Time) {
 	b.refill(now)
 	wasSender := b.sender
@@ -192,8 +192,8 @@
 	return wait
 }
 
-// Level returns the number of tokens, which is how many requests all senders together may send
-// now as far as this entry knows.
+// Level returns the number of tokens, which is this entry's estimate of how many requests all
+// senders together may send now.
 func (b *Bucket) Level(now time.Time) float64 {
 	b.refill(now)
 	return b.level
--- a/internal/ratelimit/register.go
+++ b/internal/ratelimit/register.go
@@ -69,7 +69,7 @@
 	return true
 }
 
-// MergeResult tells how the value of another entry compares to the one of this entry.
+// MergeResult is how the value of another entry compares to the one of this entry.
 type MergeResult int
 
 // The results of Merge.
