--- a/Makefile
+++ b/Makefile
@@ -4,7 +4,7 @@
 TEST_TIMEOUT ?= 40m
 export GOTOOLCHAIN = local
 
-.PHONY: build run up test known-red lint generate overhead slopes measure ablate play
+.PHONY: build run up upgrade test known-red lint generate overhead slopes measure ablate play
 
 build:
 	$(GO) build -o bin/ ./cmd/...
@@ -17,6 +17,11 @@
 up: build
 	$(GO) run ./test/quickstart -bin bin -keep
 
+# Replaces the programs of a running deployment, one instance after the other, by those of
+# this tree, and puts those of another build back: make upgrade OLD=DIR
+upgrade: build
+	$(GO) run ./test/upgrade -from $(OLD) -to bin
+
 lint:
 	@test -z "$$(gofmt -l .)" || { gofmt -l .; echo "gofmt: files above are not formatted"; exit 1; }
 	$(GO) vet ./...
