--- a/internal/agent/node.go
+++ b/internal/agent/node.go
@@ -109,7 +109,7 @@
 	_, t, _ := a.log.View()
 	switch f.process {
 	case ProcessDirector:
-		return model.Places(list)
+		return model.OnePerServiceRegion(list)
 	case ProcessEntry:
 		return model.Reachable(t, a.opt.Self.Region, list)
 	}
--- a/internal/balance/peers.go
+++ b/internal/balance/peers.go
@@ -12,10 +12,10 @@
 // one is not taken for news of it.
 func LifeKey(u *model.Upstream) uint32 {
 	id := xxhash.Sum64String(u.ID)
-	if u.Born == 0 {
+	if u.StartedAt == 0 {
 		return uint32(id)
 	}
-	return uint32(mix(id ^ uint64(u.Born)))
+	return uint32(mix(id ^ uint64(u.StartedAt)))
 }
 
 // Counted says whose requests are asked for.
--- a/internal/balance/restart_test.go
+++ b/internal/balance/restart_test.go
@@ -10,7 +10,7 @@
 // restartable returns an update of a group to one upstream in a given life.
 func restartable(born int64) Input {
 	return Input{
-		Service:  &model.Service{Warmup: 3 * time.Second, Upstreams: []model.Upstream{{ID: "u1", Region: "m", Domain: "m1", Address: "10.0.0.1:80", Slots: 4, Born: born}}},
+		Service:  &model.Service{Warmup: 3 * time.Second, Upstreams: []model.Upstream{{ID: "u1", Region: "m", Domain: "m1", Address: "10.0.0.1:80", Slots: 4, StartedAt: born}}},
 		Draining: func(*model.Upstream, time.Time) bool { return false },
 		Self:     "e1", Home: "m", Domain: "m1",
 		Entries: []model.Member{{ID: "e1", Region: "m", Domain: "m1"}},
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -84,7 +84,7 @@
 		return
 	}
 	service := q.Get("service")
-	if !t.Knows(service) {
+	if !t.HasService(service) {
 		d.refuse(w, http.StatusNotFound, Failure{"unknown-service", "service " + service + " is not known", 0})
 		return
 	}
--- a/internal/forward/broken.go
+++ b/internal/forward/broken.go
@@ -77,7 +77,7 @@
 	d := c.poison.Broke(now, cl.head, keys, balance.LifeKey(&to.Upstream))
 	if left, allowed := brokenLines.Allow(now, "broken"); allowed {
 		klog.InfoS("upstream broke off", "request", cl.ID, "key", uint64(keys.Anyone), "caller_key", uint64(keys.Caller),
-			"upstream", to.ID, "born", to.Born, "under_way", now.Sub(to.Picked), "suspect", d.Suspect, "held", d.Held, "err", err, "left_out", left)
+			"upstream", to.ID, "born", to.StartedAt, "under_way", now.Sub(to.Picked), "suspect", d.Suspect, "held", d.Held, "err", err, "left_out", left)
 	}
 	return d.Held
 }
--- a/internal/forward/budget_test.go
+++ b/internal/forward/budget_test.go
@@ -21,7 +21,7 @@
 
 // Parse implements Protocol.
 func (p routed) Parse(r *http.Request, _ *model.Snapshot) (Ask, *Fault) {
-	return Ask{ID: r.Header.Get(header.RequestID), Route: p.route, Safe: p.route.Safe, Object: r.URL.Path}, nil
+	return Ask{ID: r.Header.Get(header.RequestID), Route: p.route, Safe: p.route.Idempotent, Object: r.URL.Path}, nil
 }
 
 // newRouted returns one of several entries with one route to fakes.
@@ -65,8 +65,8 @@
 				f.always = cuts
 			}
 			route := &model.Route{
-				Name: "r", Safe: true, Attempts: 3, Timeout: time.Minute, Affinity: true,
-				Parts: []model.Part{{Service: "orders", Weight: 1}},
+				Name: "r", Idempotent: true, Attempts: 3, Timeout: time.Minute, Affinity: true,
+				Services: []model.WeightedService{{Service: "orders", Weight: 1}},
 			}
 			var all []*entry
 			for range entries {
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -68,7 +68,7 @@
 
 // rankOf returns how urgent a request with a route is; 0 is the most urgent.
 func rankOf(ask *Ask) int {
-	if o := ask.Organisation; o != nil && o.Priority != model.RoutePriority {
+	if o := ask.Organisation; o != nil && o.Priority != model.PriorityFromRoute {
 		return o.Priority
 	}
 	return ask.Route.Priority
--- a/internal/forward/carrier.go
+++ b/internal/forward/carrier.go
@@ -169,10 +169,10 @@
 
 // entriesOf returns the entries that carry requests to the upstreams.
 func entriesOf(s *model.Snapshot) []model.Member {
-	if s.Carriers != nil {
-		return s.Carriers
+	if s.Advertised != nil {
+		return s.Advertised
 	}
-	return s.HomeEntries()
+	return s.LocalEntries()
 }
 
 // owned returns the upstreams of a service that this entry uses first. Requests of routes
@@ -182,7 +182,7 @@
 		return nil
 	}
 	var entries []string
-	for _, m := range s.HomeEntries() {
+	for _, m := range s.LocalEntries() {
 		entries = append(entries, m.ID)
 	}
 	return balance.Owned(svc.Upstreams, s.Region, c.opt.Self, entries)
@@ -335,7 +335,7 @@
 		f.reason = "entry-starting"
 		return f
 	}
-	for _, m := range snap.HomeEntries() {
+	for _, m := range snap.LocalEntries() {
 		f.entries = append(f.entries, m.Entry)
 	}
 	return f
--- a/internal/forward/deadline_test.go
+++ b/internal/forward/deadline_test.go
@@ -31,8 +31,8 @@
 	})
 	route := func(name string, limit time.Duration) *model.Route {
 		return &model.Route{
-			Name: name, Host: "127.0.0.1", Prefix: "/" + name + "/", Attempts: 1, Timeout: limit, Objective: limit, Safe: true,
-			Parts: []model.Part{{Service: "orders", Weight: 1}},
+			Name: name, Host: "127.0.0.1", Prefix: "/" + name + "/", Attempts: 1, Timeout: limit, Objective: limit, Idempotent: true,
+			Services: []model.WeightedService{{Service: "orders", Weight: 1}},
 		}
 	}
 	c.Update(model.CompileRouted(model.RoutedInput{
--- a/internal/forward/home_test.go
+++ b/internal/forward/home_test.go
@@ -28,7 +28,7 @@
 	if route == nil {
 		return Ask{}, &Fault{Status: http.StatusNotFound, Reason: "no-route"}
 	}
-	return Ask{ID: r.Header.Get(header.RequestID), Route: route, Safe: route.Safe, Object: r.URL.Path}, nil
+	return Ask{ID: r.Header.Get(header.RequestID), Route: route, Safe: route.Idempotent, Object: r.URL.Path}, nil
 }
 
 // homes is an entry in muscat with two upstreams in each of three regions.
@@ -58,8 +58,8 @@
 	t.Cleanup(srv.Close)
 	h.url = srv.URL
 	h.route = model.Route{
-		Name: "r", Host: "127.0.0.1", Prefix: "/", Attempts: 3, Timeout: time.Minute, Safe: true, Affinity: true,
-		Parts: []model.Part{{Service: "orders", Weight: 1}}, Regions: regions,
+		Name: "r", Host: "127.0.0.1", Prefix: "/", Attempts: 3, Timeout: time.Minute, Idempotent: true, Affinity: true,
+		Services: []model.WeightedService{{Service: "orders", Weight: 1}}, Regions: regions,
 	}
 	h.in = model.RoutedInput{
 		Region: "muscat", RetryBudget: 1, RetryBurst: 100,
--- a/internal/forward/shed_test.go
+++ b/internal/forward/shed_test.go
@@ -34,7 +34,7 @@
 		a, b := newFake(t), newFake(t)
 		route := &model.Route{
 			Name: "r", Attempts: tt.attempts, Timeout: time.Minute, Affinity: true,
-			Parts: []model.Part{{Service: "orders", Weight: 1}},
+			Services: []model.WeightedService{{Service: "orders", Weight: 1}},
 		}
 		e := newRouted(t, 1, route, []*fake{a, b})
 		e.send(t, http.MethodPost, "/x", "", header.RequestID, "r0")
--- a/internal/forward/split.go
+++ b/internal/forward/split.go
@@ -30,30 +30,30 @@
 // choose returns the service that takes a request. Requests for one object go to
 // one part as long as the shares of all parts keep to their weights.
 func (s *splits) choose(r *model.Route, object string) string {
-	if len(r.Parts) == 1 {
-		return r.Parts[0].Service
+	if len(r.Services) == 1 {
+		return r.Services[0].Service
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sp := s.byRoute[r.Name]
 	if sp == nil || sp.route != r {
-		sp = &split{route: r, credit: make([]float64, len(r.Parts))}
+		sp = &split{route: r, credit: make([]float64, len(r.Services))}
 		s.byRoute[r.Name] = sp
 	}
-	return r.Parts[sp.next(object)].Service
+	return r.Services[sp.next(object)].Service
 }
 
 // next counts one request and returns the part that takes it.
 func (sp *split) next(object string) int {
 	total := 0.0
-	for _, p := range sp.route.Parts {
+	for _, p := range sp.route.Services {
 		total += p.Weight
 	}
 	if total <= 0 {
 		return 0
 	}
 	most := 0
-	for i, p := range sp.route.Parts {
+	for i, p := range sp.route.Services {
 		sp.credit[i] += p.Weight / total
 		if sp.credit[i] > sp.credit[most] {
 			most = i
@@ -74,7 +74,7 @@
 	}
 	const mantissa = 53
 	u := float64(balance.HashObject(sp.route.Name, object)>>(64-mantissa)) / (1 << mantissa) * total
-	for i, p := range sp.route.Parts {
+	for i, p := range sp.route.Services {
 		if u -= p.Weight; u < 0 && p.Weight > 0 {
 			return i
 		}
--- a/internal/forward/split_test.go
+++ b/internal/forward/split_test.go
@@ -18,7 +18,7 @@
 	params := gopter.DefaultTestParametersWithSeed(5)
 	props := gopter.NewProperties(params)
 	props.Property("shares", prop.ForAll(func(a, b, objects int) string {
-		r := &model.Route{Name: "r", Parts: []model.Part{{Service: "x", Weight: float64(a)}, {Service: "y", Weight: float64(b)}}}
+		r := &model.Route{Name: "r", Services: []model.WeightedService{{Service: "x", Weight: float64(a)}, {Service: "y", Weight: float64(b)}}}
 		s := newSplits()
 		got := make(map[string]int)
 		for i := 1; i <= 500; i++ {
@@ -35,7 +35,7 @@
 
 // TestSplitKeepsObjectsTogether counts how often an object changes its part.
 func TestSplitKeepsObjectsTogether(t *testing.T) {
-	r := &model.Route{Name: "r", Parts: []model.Part{{Service: "x", Weight: 50}, {Service: "y", Weight: 50}}}
+	r := &model.Route{Name: "r", Services: []model.WeightedService{{Service: "x", Weight: 50}, {Service: "y", Weight: 50}}}
 	s := newSplits()
 	home := make(map[string]string)
 	moved := 0
--- a/internal/model/strong.go
+++ b/internal/model/capacity.go
@@ -14,12 +14,12 @@
 	fairShare = 1.0 / 3
 )
 
-// Strongest returns the members that are about as strong as the strongest, if there are
+// HighCapacity returns the members that are about as strong as the strongest, if there are
 // enough of them and they hold a fair share of the strength of all; else all. Callers are
 // told of these alone: few members that see many requests each know the upstreams better
 // and use connections to them again, where each of many would open one for nearly every
 // request.
-func Strongest(members []Member) []Member {
+func HighCapacity(members []Member) []Member {
 	best := best(members)
 	var out []Member
 	sum, total := 0.0, 0.0
@@ -60,9 +60,9 @@
 	return s
 }
 
-// Carriers returns the strongest members of each failure domain, which carry nearly all
+// Advertised returns the strongest members of each failure domain, which carry nearly all
 // requests.
-func Carriers(members []Member) []Member {
+func Advertised(members []Member) []Member {
 	byDomain := make(map[string][]Member)
 	var domains []string
 	for _, m := range members {
@@ -73,7 +73,7 @@
 	}
 	var out []Member
 	for _, domain := range domains {
-		out = append(out, Strongest(byDomain[domain])...)
+		out = append(out, HighCapacity(byDomain[domain])...)
 	}
 	return out
 }
--- a/internal/model/strong_test.go
+++ b/internal/model/capacity_test.go
@@ -23,7 +23,7 @@
 }
 
 func TestCarriersOfEachDomain(t *testing.T) {
-	got := Carriers(unlike())
+	got := Advertised(unlike())
 	if len(got) != 6 {
 		t.Fatalf("%d carriers", len(got))
 	}
@@ -45,7 +45,7 @@
 		}
 		members = append(members, m)
 	}
-	if got := Strongest(members); len(got) != len(members) {
+	if got := HighCapacity(members); len(got) != len(members) {
 		t.Errorf("%d of %d named", len(got), len(members))
 	}
 }
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -23,15 +23,17 @@
 	Connections int    `json:"connections"`
 	// Leaving is set when the platform's list says so, or the upstream itself.
 	Leaving bool `json:"leaving,omitempty"`
-	// Born is the Unix millisecond at which the upstream started; 0 if it does not tell.
+	// StartedAt is the Unix millisecond at which the upstream started; 0 if it does not tell.
 	// One that starts again under its id knows nothing of its earlier life.
-	Born int64 `json:"born,omitempty"`
+	StartedAt int64 `json:"born,omitempty"`
 	// ColdUntil is until when the upstream is known to be cold; zero if it is not.
 	ColdUntil time.Time `json:"cold_until,omitzero"`
 }
 
 // RestartOf reports whether u is a later life of an upstream than known is.
-func (u *Upstream) RestartOf(known *Upstream) bool { return known.Born > 0 && u.Born > known.Born }
+func (u *Upstream) RestartOf(known *Upstream) bool {
+	return known.StartedAt > 0 && u.StartedAt > known.StartedAt
+}
 
 // Drain and Member are used throughout the snapshot.
 type (
@@ -108,8 +110,8 @@
 	Drains     []tree.Drain
 	Moves      []tree.Move
 	// Members are the live instances, and Carriers those of them that callers are told of.
-	Members  []membership.Member
-	Carriers []membership.Member
+	Members    []membership.Member
+	Advertised []membership.Member
 	// Regions lists the regions by the latency from the own one, which is first.
 	Regions []string
 }
@@ -142,7 +144,7 @@
 			s.Members = append(s.Members, m)
 		}
 	}
-	s.Carriers = s.Members
+	s.Advertised = s.Members
 	s.compileRegions(in)
 	for _, u := range in.Directory.Upstreams {
 		svc := s.Services[u.Service]
@@ -229,8 +231,8 @@
 	return svc
 }
 
-// HomeEntries returns the live instances of the own region whose entry is up.
-func (s *Snapshot) HomeEntries() []membership.Member {
+// LocalEntries returns the live instances of the own region whose entry is up.
+func (s *Snapshot) LocalEntries() []membership.Member {
 	var out []membership.Member
 	for _, m := range s.Members {
 		if m.Entry != "" && m.Region == s.Region {
--- a/internal/model/organisation.go
+++ b/internal/model/organisation.go
@@ -17,8 +17,8 @@
 	Regions []string
 }
 
-// RoutePriority is the priority of an organisation that does not set one.
-const RoutePriority = -1
+// PriorityFromRoute is the priority of an organisation that does not set one.
+const PriorityFromRoute = -1
 
 // Limit bounds the requests of an organisation that upstreams run, over all entries together.
 type Limit struct {
@@ -29,7 +29,7 @@
 }
 
 // Anonymous stands for callers without a key on routes that ask for none.
-var Anonymous = &Organisation{Priority: RoutePriority}
+var Anonymous = &Organisation{Priority: PriorityFromRoute}
 
 // Allows reports whether a region may serve the organisation's requests. Nil allows all.
 func (o *Organisation) Allows(region string) bool {
--- a/internal/model/scope.go
+++ b/internal/model/reachable.go
@@ -13,8 +13,8 @@
 // all of them; with many it bounds what an entry has to hold.
 const maxOverflow = 8
 
-// Places returns a directory with one upstream of each service in each region.
-func Places(list Directory) Directory {
+// OnePerServiceRegion returns a directory with one upstream of each service in each region.
+func OnePerServiceRegion(list Directory) Directory {
 	out := Directory{Version: list.Version}
 	seen := make(map[[2]string]bool)
 	for _, u := range list.Upstreams {
--- a/internal/model/route.go
+++ b/internal/model/route.go
@@ -15,10 +15,10 @@
 	// Host and Prefix select the requests; the longest prefix of a host wins.
 	Host   string
 	Prefix string
-	// Parts are the services that share the requests. There is at least one.
-	Parts []Part
-	// Safe is set if a request may run more than once.
-	Safe bool
+	// Services are the services that share the requests. There is at least one.
+	Services []WeightedService
+	// Idempotent is set if a request may run more than once.
+	Idempotent bool
 	// Timeout is the longest time that a request may take; 0 means no bound but
 	// the caller's own.
 	Timeout time.Duration
@@ -33,12 +33,12 @@
 	Affinity bool
 	// Regions are those that may serve the requests; empty means all.
 	Regions []string
-	// Open is set if a request needs no key.
-	Open bool
+	// AllowAnonymous is set if a request needs no key.
+	AllowAnonymous bool
 }
 
-// Part is one service's share of a route.
-type Part struct {
+// WeightedService is one service's share of a route.
+type WeightedService struct {
 	Service string
 	// Weight is relative to the other parts of the route.
 	Weight float64
@@ -83,10 +83,10 @@
 	return nil
 }
 
-// Homes returns the regions that may serve the requests of a host: those that all of its
+// ServingRegions returns the regions that may serve the requests of a host: those that all of its
 // routes allow which do not allow every region, or if they have none in common those that any
 // of them allows. It is empty if every route allows every region.
-func (t *Routes) Homes(host string) []string {
+func (t *Routes) ServingRegions(host string) []string {
 	var all, common []string
 	first := true
 	for _, r := range t.byHost[strings.ToLower(host)] {
@@ -176,11 +176,11 @@
 		Links:         make(map[string]Link),
 		Drains:        in.Drains,
 		Members:       in.Members,
-		Carriers:      Carriers(in.Members),
+		Advertised:    Advertised(in.Members),
 		Regions:       []string{in.Region},
 	}
 	for name, c := range in.Config.Services {
-		s.Services[name] = routedService(name, c, in, s.Carriers)
+		s.Services[name] = routedService(name, c, in, s.Advertised)
 	}
 	for _, u := range in.Upstreams {
 		if svc := s.Services[u.Service]; svc != nil {
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -32,7 +32,7 @@
 func fleetOf(self model.Member, members []model.Member) inflight.Fleet {
 	var f inflight.Fleet
 	carries := make(map[string]bool)
-	for _, m := range model.Carriers(members) {
+	for _, m := range model.Advertised(members) {
 		carries[m.ID] = true
 	}
 	f.Carries = carries[self.ID]
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -131,7 +131,7 @@
 	if snap == nil {
 		return nil
 	}
-	return snap.Routes.Homes(host)
+	return snap.Routes.ServingRegions(host)
 }
 
 // Named returns the nodes to name to callers: the live ones but for those that are
--- a/internal/route/lookup.go
+++ b/internal/route/lookup.go
@@ -112,8 +112,8 @@
 	return &r.groups[len(r.groups)-1]
 }
 
-// Knows reports whether a service exists.
-func (t *Table) Knows(service string) bool {
+// HasService reports whether a service exists.
+func (t *Table) HasService(service string) bool {
 	_, ok := t.services[service]
 	return ok
 }
--- a/internal/route/nearest.go
+++ b/internal/route/nearest.go
@@ -19,15 +19,15 @@
 	inRegion := func(m *model.Member) bool { return m.Region == region }
 	inDomain := func(m *model.Member) bool { return m.Region == region && m.Domain == domain }
 	if beside := named(members, inDomain); len(beside) >= enough {
-		return model.Strongest(beside)
+		return model.HighCapacity(beside)
 	}
 	if near := named(members, inRegion); len(near) > 0 {
-		return model.Strongest(near)
+		return model.HighCapacity(near)
 	}
 	if serving := atHome(members, homes); len(serving) > 0 {
-		return model.Strongest(serving)
+		return model.HighCapacity(serving)
 	}
-	return model.Strongest(named(members, func(*model.Member) bool { return true }))
+	return model.HighCapacity(named(members, func(*model.Member) bool { return true }))
 }
 
 // atHome returns the live members with an entry in the homes.
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -131,7 +131,7 @@
 	if known, ok := v.upstreams[u.ID]; ok && known.RestartOf(&u) {
 		return false
 	}
-	if u.Born > 0 && u.Born < v.ended[u.ID].born {
+	if u.StartedAt > 0 && u.StartedAt < v.ended[u.ID].born {
 		return false
 	}
 	u.Region = v.opt.Regions[u.Domain]
@@ -161,8 +161,8 @@
 	delete(v.upstreams, id)
 	v.sorted.ids, v.sorted.upstreams = nil, nil
 	maps.DeleteFunc(v.ended, func(_ string, e ended) bool { return now.Sub(e.at) >= rememberEnded })
-	if u.Born > 0 {
-		v.ended[id] = ended{u.Born, now}
+	if u.StartedAt > 0 {
+		v.ended[id] = ended{u.StartedAt, now}
 	}
 }
 
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -157,7 +157,7 @@
 	v := newView()
 	life := func(born int64, address string) model.Upstream {
 		u := upstream("u1", "mus-a")
-		u.Born, u.Address = born, address
+		u.StartedAt, u.Address = born, address
 		return u
 	}
 	v.PutUpstream(life(2000, "second"))
@@ -180,9 +180,9 @@
 func TestWithoutBirthAsBefore(t *testing.T) {
 	v := newView()
 	born := upstream("u1", "mus-a")
-	born.Born = 1000
+	born.StartedAt = 1000
 	v.PutUpstream(born)
-	if !v.PutUpstream(upstream("u1", "mus-a")) || v.upstreams["u1"].Born != 0 {
+	if !v.PutUpstream(upstream("u1", "mus-a")) || v.upstreams["u1"].StartedAt != 0 {
 		t.Error("an entry without a birth is not taken in")
 	}
 }
@@ -198,7 +198,7 @@
 		switch rnd.IntN(12) {
 		case 0, 1, 2:
 			u := upstream(id, []string{"mus-a", "soh-a"}[rnd.IntN(2)])
-			u.Born, u.Leaving = int64(rnd.IntN(5)), rnd.IntN(3) == 0
+			u.StartedAt, u.Leaving = int64(rnd.IntN(5)), rnd.IntN(3) == 0
 			v.PutUpstream(u)
 		case 3:
 			v.RemoveUpstream(id, now)
