--- a/internal/inflight/claim_test.go
+++ b/internal/inflight/claim_test.go
@@ -64,10 +64,10 @@
 	heard := 0
 	peer := Peer{ID: "p", Address: netip.MustParseAddrPort("10.0.0.2:7200")}
 	x := &Exchange{hubs: newHubs("self"), presence: newPresence(), opt: Options{
-		Entry:    "self",
-		Fleet:    func() Fleet { return Fleet{Peers: []Peer{peer}} },
-		Heard:    func(_ string, r *Report) { heard += len(r.Claims) },
-		Stranger: func(netip.AddrPort) {},
+		Entry:           "self",
+		Fleet:           func() Fleet { return Fleet{Peers: []Peer{peer}} },
+		OnReport:        func(_ string, r *Report) { heard += len(r.Claims) },
+		OnUnknownSender: func(netip.AddrPort) {},
 	}}
 	claim := func(of string) poison.Claim { return poison.Claim{Key: 1, Head: 1, Source: poison.SourceOf(of)} }
 	x.take(&Report{Entry: "p", Scope: ScopeNone, Claims: []poison.Claim{claim("p"), claim("q"), claim("self")}}, peer.Address, t0)
--- a/internal/inflight/exchange.go
+++ b/internal/inflight/exchange.go
@@ -44,8 +44,8 @@
 	Fleet func() Fleet
 	// Counts returns what to report.
 	Counts func(balance.Counted) []Count
-	// Doubt returns the Doubt and DoubtLeft of reports.
-	Doubt func() (rest, left time.Duration)
+	// MaxConnIdle returns the MaxConnIdle and DoubtLeft of reports.
+	MaxConnIdle func() (rest, left time.Duration)
 	// Claims returns what to tell of requests under which upstreams ended, at most n Claims;
 	// nil means nothing. A hub also relays those of others.
 	Claims func(n int, relay bool) []poison.Claim
@@ -60,10 +60,10 @@
 	// Busy reports whether the own entry carries more than a few requests; nil means
 	// always.
 	Busy func() bool
-	// Heard takes in a report. Peer names whose requests it counts.
-	Heard func(peer string, r *Report)
-	// Stranger is told of reports by entries that are not in the fleet.
-	Stranger func(from netip.AddrPort)
+	// OnReport takes in a report. Peer names whose requests it counts.
+	OnReport func(peer string, r *Report)
+	// OnUnknownSender is told of reports by entries that are not in the fleet.
+	OnUnknownSender func(from netip.AddrPort)
 }
 
 // Exchange sends the own reports and receives those of others.
@@ -131,7 +131,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if len(fleet.Peers) > maxDirect {
-		return x.absentByHub(fleet.Hubs, now)
+		return x.absentByHub(fleet.HubCandidates, now)
 	}
 	x.presence.list(fleet.Peers, now)
 	return x.presence.absent(x.hubs.heard, now)
@@ -237,11 +237,11 @@
 		silence = idleHubSilence
 	}
 	x.mu.Lock()
-	hub := x.hubs.pick(fleet.Hubs, silence, now)
+	hub := x.hubs.pick(fleet.HubCandidates, silence, now)
 	busy, idle := x.hubs.reporting(now)
-	absent := x.absentOf(fleet.Hubs, now)
-	remote := make([]Peer, len(fleet.Remote))
-	for i, c := range fleet.Remote {
+	absent := x.absentOf(fleet.HubCandidates, now)
+	remote := make([]Peer, len(fleet.RemoteHubs))
+	for i, c := range fleet.RemoteHubs {
 		remote[i] = x.hubs.speaker(c, now)
 	}
 	x.mu.Unlock()
@@ -297,7 +297,7 @@
 	far := x.farDue()
 	due := make([]netip.AddrPort, 0, len(peers))
 	for _, p := range peers {
-		if p.Near || far {
+		if p.SameRegion || far {
 			due = append(due, p.Address)
 		}
 	}
@@ -307,7 +307,7 @@
 	whole.Entry, whole.Incarnation, whole.Sequence = x.opt.Entry, x.opt.Incarnation, x.seq
 	whole.Counts = x.opt.Counts(whose)
 	whole.Leaving = x.opt.Leaving()
-	whole.Doubt, whole.DoubtLeft = x.opt.Doubt()
+	whole.MaxConnIdle, whole.MaxConnIdleLeft = x.opt.MaxConnIdle()
 	for _, r := range whole.split() {
 		x.buf = r.Append(x.buf[:0])
 		for _, addr := range due {
@@ -385,7 +385,7 @@
 		}
 		if r.Scope == ScopeNone {
 			r.Claims = trusted(r, len(fleet.Peers) > maxDirect)
-			x.opt.Heard(r.Entry, r)
+			x.opt.OnReport(r.Entry, r)
 			return
 		}
 		x.mu.Lock()
@@ -395,10 +395,10 @@
 			x.absent, x.absentAt = r.Absent, now
 		}
 		x.mu.Unlock()
-		x.opt.Heard(nameOf(r), r)
+		x.opt.OnReport(nameOf(r), r)
 		return
 	}
-	x.opt.Stranger(from)
+	x.opt.OnUnknownSender(from)
 }
 
 // sameAddress compares addresses, of which one may be IPv4 written as IPv6.
--- a/internal/inflight/hub.go
+++ b/internal/inflight/hub.go
@@ -31,22 +31,22 @@
 	ID      string
 	Address netip.AddrPort
 	Domain  string
-	// Near is set for peers of the own region.
-	Near bool
-	// Carries is set for those that look-ups name.
-	Carries bool
+	// SameRegion is set for peers of the own region.
+	SameRegion bool
+	// Advertised is set for those that look-ups name.
+	Advertised bool
 }
 
 // Fleet is the other entries, and who may be the hub of which failure domain.
 type Fleet struct {
 	Peers []Peer
-	// Carries is set if look-ups name the own entry.
-	Carries bool
-	// Hubs are the candidates for hub of the own failure domain, the best first, the
+	// Advertised is set if look-ups name the own entry.
+	Advertised bool
+	// HubCandidates are the candidates for hub of the own failure domain, the best first, the
 	// own entry among them.
-	Hubs []Peer
-	// Remote are the first candidates of the other failure domains.
-	Remote []Peer
+	HubCandidates []Peer
+	// RemoteHubs are the first candidates of the other failure domains.
+	RemoteHubs []Peer
 }
 
 // hubs follows which entries work as hubs. It decides; Exchange sends. The caller
--- a/internal/inflight/hub_test.go
+++ b/internal/inflight/hub_test.go
@@ -80,7 +80,7 @@
 }
 
 func TestSplitCoversAllUpstreamsOnce(t *testing.T) {
-	r := Report{Entry: "e", Doubt: time.Minute, DoubtLeft: time.Minute, Leaving: true, Idle: true, Incarnation: 1 << 60, Sequence: 1 << 30}
+	r := Report{Entry: "e", MaxConnIdle: time.Minute, MaxConnIdleLeft: time.Minute, Leaving: true, Idle: true, Incarnation: 1 << 60, Sequence: 1 << 30}
 	for i := range maxAbsent {
 		r.Absent = append(r.Absent, uint32(i))
 	}
@@ -237,11 +237,11 @@
 	for _, domain := range []string{"d1", "d2"} {
 		for i := range each {
 			e := &entry{heard: make(map[string]int), heardAt: make(map[string]time.Time), gone: make(map[string]bool), changed: make(chan struct{}, 1)}
-			e.peer = Peer{ID: fmt.Sprint(domain, "-", i), Domain: domain, Near: true}
+			e.peer = Peer{ID: fmt.Sprint(domain, "-", i), Domain: domain, SameRegion: true}
 			e.tracker = poison.NewTracker(e.peer.ID)
 			e.limits = newLimitBook()
 			x, err := Listen(Options{
-				Address: "127.0.0.1:0", Entry: e.peer.ID, Counts: e.counts, Heard: e.take, Doubt: noDoubt, Leaving: func() bool { return false }, Stranger: func(netip.AddrPort) {},
+				Address: "127.0.0.1:0", Entry: e.peer.ID, Counts: e.counts, OnReport: e.take, MaxConnIdle: noDoubt, Leaving: func() bool { return false }, OnUnknownSender: func(netip.AddrPort) {},
 				Fleet:  func() Fleet { return fleetFor(e, all) },
 				Claims: func(n int, relay bool) []poison.Claim { return e.tracker.Claims(time.Now(), n, relay) },
 				Busy:   func() bool { return !e.idle.Load() },
@@ -273,9 +273,9 @@
 		}
 		switch {
 		case e.peer.Domain == self.peer.Domain:
-			f.Hubs = append(f.Hubs, e.peer)
-		case len(f.Remote) == 0:
-			f.Remote = append(f.Remote, e.peer)
+			f.HubCandidates = append(f.HubCandidates, e.peer)
+		case len(f.RemoteHubs) == 0:
+			f.RemoteHubs = append(f.RemoteHubs, e.peer)
 		}
 	}
 	return f
--- a/internal/inflight/report.go
+++ b/internal/inflight/report.go
@@ -52,10 +52,10 @@
 	// Sequence orders the reports of one life of an entry, Incarnation its lives.
 	Incarnation uint64
 	Sequence    uint64
-	// Doubt is the longest rest after which connections to upstreams are trusted, and
-	// DoubtLeft for how long that holds; 0 if there is no doubt. Both are sent in
+	// MaxConnIdle is the longest rest after which connections to upstreams are trusted, and
+	// MaxConnIdleLeft for how long that holds; 0 if there is no doubt. Both are sent in
 	// whole milliseconds.
-	Doubt, DoubtLeft time.Duration
+	MaxConnIdle, MaxConnIdleLeft time.Duration
 	// Leaving is set while the sender stops.
 	Leaving bool
 	// Idle is set while the sender has carried few requests for a while. It is told less
@@ -161,11 +161,11 @@
 	b = protowire.AppendVarint(b, r.Sequence)
 	b = protowire.AppendTag(b, fieldScope, protowire.VarintType)
 	b = protowire.AppendVarint(b, uint64(r.Scope))
-	if r.DoubtLeft > 0 {
+	if r.MaxConnIdleLeft > 0 {
 		b = protowire.AppendTag(b, fieldDoubt, protowire.VarintType)
-		b = protowire.AppendVarint(b, uint64(r.Doubt.Milliseconds()))
+		b = protowire.AppendVarint(b, uint64(r.MaxConnIdle.Milliseconds()))
 		b = protowire.AppendTag(b, fieldDoubtLeft, protowire.VarintType)
-		b = protowire.AppendVarint(b, uint64(r.DoubtLeft.Milliseconds()))
+		b = protowire.AppendVarint(b, uint64(r.MaxConnIdleLeft.Milliseconds()))
 	}
 	if r.Leaving {
 		b = protowire.AppendTag(b, fieldLeaving, protowire.VarintType)
@@ -320,7 +320,7 @@
 		return nil, errMalformed
 	}
 	r.Scope, r.Leaving, r.Idle = Scope(scope), leaving != 0, idle != 0
-	r.Doubt, r.DoubtLeft = time.Duration(doubt)*time.Millisecond, time.Duration(doubtLeft)*time.Millisecond
+	r.MaxConnIdle, r.MaxConnIdleLeft = time.Duration(doubt)*time.Millisecond, time.Duration(doubtLeft)*time.Millisecond
 	if err := r.decodeCounts(upstreams, requests); err != nil {
 		return nil, err
 	}
--- a/internal/inflight/uses.go
+++ b/internal/inflight/uses.go
@@ -123,8 +123,8 @@
 	}
 	w := fleet.weigh()
 	x.weight = w.self
-	mine := make(map[string]bool, 2*len(fleet.Hubs))
-	for _, p := range fleet.Hubs {
+	mine := make(map[string]bool, 2*len(fleet.HubCandidates))
+	for _, p := range fleet.HubCandidates {
 		mine[p.ID] = p.ID != hub.ID
 	}
 	below := func(speaker string) bool { return mine[speaker] }
@@ -182,7 +182,7 @@
 
 // carriersOf is 1 for a peer that carries requests.
 func carriersOf(p Peer) int {
-	if p.Carries {
+	if p.Advertised {
 		return 1
 	}
 	return 0
@@ -190,7 +190,7 @@
 
 // carriersAmong returns the peers that carry requests.
 func carriersAmong(peers []Peer) []Peer {
-	return slices.DeleteFunc(slices.Clone(peers), func(p Peer) bool { return !p.Carries })
+	return slices.DeleteFunc(slices.Clone(peers), func(p Peer) bool { return !p.Advertised })
 }
 
 const (
@@ -216,7 +216,7 @@
 		weak += 1 - carriersOf(p)
 	}
 	carriers := len(f.Peers) - weak
-	if f.Carries {
+	if f.Advertised {
 		carriers++
 	} else {
 		weak++
@@ -224,7 +224,7 @@
 	if carriers > 0 && weak > 0 {
 		w.weak = max(1, int(weakShare/(1-weakShare)*carrierWeight*float64(carriers)/float64(weak)))
 	}
-	if !f.Carries {
+	if !f.Advertised {
 		w.self = w.weak
 	}
 	return w
@@ -232,7 +232,7 @@
 
 // of is the weight of a peer.
 func (w weights) of(p Peer) int {
-	if p.Carries {
+	if p.Advertised {
 		return carrierWeight
 	}
 	return w.weak
@@ -251,8 +251,8 @@
 // failure domains.
 func (f *Fleet) hubSources(w weights) []quota.Source {
 	byDomain := make(map[string]int)
-	own := make(map[string]bool, len(f.Hubs))
-	for _, p := range f.Hubs {
+	own := make(map[string]bool, len(f.HubCandidates))
+	for _, p := range f.HubCandidates {
 		own[p.ID] = true
 	}
 	mine := 0
@@ -275,8 +275,8 @@
 	if x.opt.Limits == nil {
 		return
 	}
-	own := make(map[string]bool, len(fleet.Hubs))
-	for _, p := range fleet.Hubs {
+	own := make(map[string]bool, len(fleet.HubCandidates))
+	for _, p := range fleet.HubCandidates {
 		own[p.ID] = true
 	}
 	t := quota.Told{Covered: r.Covered, Idle: r.Idle, First: r.First, Last: r.Last, Uses: r.Uses}
--- a/internal/inflight/uses_hub_test.go
+++ b/internal/inflight/uses_hub_test.go
@@ -74,13 +74,13 @@
 	peers := make(map[string]Peer)
 	fleet := func(self string) func() Fleet {
 		return func() Fleet {
-			f := Fleet{Carries: true}
+			f := Fleet{Advertised: true}
 			for i, id := range ids {
 				if id != self {
 					f.Peers = append(f.Peers, peers[id])
 				}
 				if id == self {
-					f.Hubs = []Peer{peers[ids[(i+1)%3]], peers[ids[(i+2)%3]], {ID: self}}
+					f.HubCandidates = []Peer{peers[ids[(i+1)%3]], peers[ids[(i+2)%3]], {ID: self}}
 				}
 			}
 			for i := range maxDirect {
@@ -93,14 +93,14 @@
 		ledgers[id] = &ledger{told: make(map[string]quota.Told), changed: make(chan struct{}, 1)}
 		x, err := Listen(Options{
 			Address: "127.0.0.1:0", Entry: id, Fleet: fleet(id), Limits: ledgers[id],
-			Counts: func(balance.Counted) []Count { return nil }, Doubt: func() (rest, left time.Duration) { return 0, 0 },
-			Leaving: func() bool { return false }, Heard: func(string, *Report) {}, Stranger: func(netip.AddrPort) {},
+			Counts: func(balance.Counted) []Count { return nil }, MaxConnIdle: func() (rest, left time.Duration) { return 0, 0 },
+			Leaving: func() bool { return false }, OnReport: func(string, *Report) {}, OnUnknownSender: func(netip.AddrPort) {},
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 		exchanges[id] = x
-		peers[id] = Peer{ID: id, Address: x.conn.LocalAddr().(*net.UDPAddr).AddrPort(), Domain: "d", Near: true, Carries: true}
+		peers[id] = Peer{ID: id, Address: x.conn.LocalAddr().(*net.UDPAddr).AddrPort(), Domain: "d", SameRegion: true, Advertised: true}
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -125,7 +125,7 @@
 // An entry that was cut off from all others, and whose registrations then lapsed, is alone:
 // nothing of the limits is set aside for anybody any more.
 func TestAloneHasTheWholeLimit(t *testing.T) {
-	peers := []Peer{{ID: "b", Carries: true}}
+	peers := []Peer{{ID: "b", Advertised: true}}
 	x := &Exchange{hubs: newHubs("a"), presence: newPresence()}
 	limits := quota.NewLimiter()
 	table, err := model.NewOrganisations([]*model.Organisation{{Name: "o", Limit: model.Limit{Rate: 100, Burst: 100}}}, nil)
@@ -134,8 +134,8 @@
 	}
 	limits.Update(table, 0, t0)
 	x.opt = Options{
-		Entry: "a", Limits: limits, Fleet: func() Fleet { return Fleet{Peers: peers, Carries: true} }, Busy: func() bool { return false },
-		Counts: func(balance.Counted) []Count { return nil }, Doubt: func() (rest, left time.Duration) { return 0, 0 },
+		Entry: "a", Limits: limits, Fleet: func() Fleet { return Fleet{Peers: peers, Advertised: true} }, Busy: func() bool { return false },
+		Counts: func(balance.Counted) []Count { return nil }, MaxConnIdle: func() (rest, left time.Duration) { return 0, 0 },
 		Leaving: func() bool { return false }, Claims: func(int, bool) []poison.Claim { return nil },
 	}
 	if x.conn, err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
--- a/internal/inflight/uses_test.go
+++ b/internal/inflight/uses_test.go
@@ -59,10 +59,10 @@
 func TestSourcesOfAHub(t *testing.T) {
 	f := Fleet{
 		Peers: []Peer{
-			{ID: "a1", Domain: "a", Carries: true}, {ID: "a2", Domain: "a"},
-			{ID: "b1", Domain: "b", Carries: true}, {ID: "b2", Domain: "b", Carries: true}, {ID: "c1", Domain: "c"},
+			{ID: "a1", Domain: "a", Advertised: true}, {ID: "a2", Domain: "a"},
+			{ID: "b1", Domain: "b", Advertised: true}, {ID: "b2", Domain: "b", Advertised: true}, {ID: "c1", Domain: "c"},
 		},
-		Hubs: []Peer{{ID: "self"}, {ID: "a1"}, {ID: "a2"}},
+		HubCandidates: []Peer{{ID: "self"}, {ID: "a1"}, {ID: "a2"}},
 	}
 	got := make(map[string]int)
 	for _, s := range f.hubSources(f.weigh()) {
@@ -74,7 +74,7 @@
 	if w := f.weigh(); w.self != 333 || w.all() != 3666 {
 		t.Errorf("weights %d and %d", w.self, w.all())
 	}
-	f.Carries = true
+	f.Advertised = true
 	if w := f.weigh(); w.self != carrierWeight || w.weak != 666 {
 		t.Errorf("weights %d and %d", w.self, w.weak)
 	}
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -35,14 +35,14 @@
 	for _, m := range model.Advertised(members) {
 		carries[m.ID] = true
 	}
-	f.Carries = carries[self.ID]
+	f.Advertised = carries[self.ID]
 	byDomain := map[string][]model.Member{self.Domain: {self}}
 	for _, m := range members {
 		if m.ID == self.ID {
 			continue
 		}
 		if p, ok := peerOf(self, m); ok {
-			p.Carries = carries[m.ID]
+			p.Advertised = carries[m.ID]
 			f.Peers = append(f.Peers, p)
 			byDomain[m.Domain] = append(byDomain[m.Domain], m)
 		}
@@ -51,12 +51,12 @@
 		ordered := relay.Order(domain, list)
 		if domain != self.Domain {
 			p, _ := peerOf(self, ordered[0])
-			f.Remote = append(f.Remote, p)
+			f.RemoteHubs = append(f.RemoteHubs, p)
 			continue
 		}
 		for _, m := range ordered {
 			p, _ := peerOf(self, m)
-			f.Hubs = append(f.Hubs, p)
+			f.HubCandidates = append(f.HubCandidates, p)
 		}
 	}
 	return f
@@ -64,5 +64,5 @@
 
 func peerOf(self, m model.Member) (inflight.Peer, bool) {
 	addr, err := netip.ParseAddrPort(m.Agent)
-	return inflight.Peer{ID: m.ID, Address: addr, Domain: m.Domain, Near: m.Region == self.Region}, err == nil
+	return inflight.Peer{ID: m.ID, Address: addr, Domain: m.Domain, SameRegion: m.Region == self.Region}, err == nil
 }
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -20,12 +20,12 @@
 		member("near", "m2", 10), member("far", "s1", 10), member("far-fast", "s1", 50),
 	})
 	var hubs, remote []string
-	for _, p := range f.Hubs {
+	for _, p := range f.HubCandidates {
 		hubs = append(hubs, p.ID)
 	}
-	for _, p := range f.Remote {
+	for _, p := range f.RemoteHubs {
 		remote = append(remote, p.ID)
-		if near := p.Domain == "m2"; p.Near != near {
+		if near := p.Domain == "m2"; p.SameRegion != near {
 			t.Errorf("%+v", p)
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -279,20 +279,20 @@
 // Reports sets up the exchange of reports with the other nodes.
 func (n *Node) Reports(self model.Member) inflight.Options {
 	return inflight.Options{
-		Address:     self.Agent,
-		Entry:       self.ID,
-		Incarnation: self.Incarnation,
-		Fleet:       func() inflight.Fleet { return n.fleet.of(self, n.members.Load()) },
-		Counts:      n.counts,
-		Doubt:       n.doubt,
-		Claims:      n.Entry.Carrier.Claims,
-		Limits:      n.Entry.Carrier.Limits(),
-		Rates:       n.Entry.Carrier,
-		Leaving:     n.stopping.Load,
-		Busy:        n.busy,
-		Heard:       n.heard,
-		Now:         n.check,
-		Stranger:    func(from netip.AddrPort) { n.Strangers.Heard(from.String(), n.now()) },
+		Address:         self.Agent,
+		Entry:           self.ID,
+		Incarnation:     self.Incarnation,
+		Fleet:           func() inflight.Fleet { return n.fleet.of(self, n.members.Load()) },
+		Counts:          n.counts,
+		MaxConnIdle:     n.doubt,
+		Claims:          n.Entry.Carrier.Claims,
+		Limits:          n.Entry.Carrier.Limits(),
+		Rates:           n.Entry.Carrier,
+		Leaving:         n.stopping.Load,
+		Busy:            n.busy,
+		OnReport:        n.heard,
+		Now:             n.check,
+		OnUnknownSender: func(from netip.AddrPort) { n.Strangers.Heard(from.String(), n.now()) },
 	}
 }
 
@@ -320,8 +320,8 @@
 		load.At[c.Upstream] = balance.Load{Requests: c.Requests, Outcomes: balance.Outcomes{Failed: c.Failed, Answered: c.Answered}}
 	}
 	n.Entry.Carrier.Heard(load)
-	if r.DoubtLeft > 0 {
-		n.Entry.Carrier.HeardDoubt(forward.Doubt{Rest: r.Doubt, Until: n.now().Add(r.DoubtLeft)})
+	if r.MaxConnIdleLeft > 0 {
+		n.Entry.Carrier.HeardDoubt(forward.Doubt{Rest: r.MaxConnIdle, Until: n.now().Add(r.MaxConnIdleLeft)})
 	}
 }
 
