--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -36,16 +36,16 @@
 type Input struct {
 	Now      time.Time
 	Deadline time.Time
-	// Expected is how long the answer is likely to take once sent, 0 if unknown.
-	Expected time.Duration
-	// Waiting is the number of requests in the service's queue, Limit how many
+	// ExpectedLatency is how long the answer is likely to take once sent, 0 if unknown.
+	ExpectedLatency time.Duration
+	// Queued is the number of requests in the service's queue, QueueLimit how many
 	// may be.
-	Waiting, Limit int
-	// Wait is the longest wait for a slot.
-	Wait time.Duration
-	// InFlight is the number of requests in the entry, Room how many it has room
+	Queued, QueueLimit int
+	// MaxWait is the longest wait for a slot.
+	MaxWait time.Duration
+	// InFlight is the number of requests in the entry, Capacity how many it has room
 	// for.
-	InFlight, Room int
+	InFlight, Capacity int
 	// Priority is that of the service, from 0 to 9.
 	Priority int
 }
@@ -54,29 +54,29 @@
 type Decision struct {
 	// Reason is empty if the request is taken.
 	Reason Reason
-	// GiveUp is until when the request may wait for a slot.
-	GiveUp time.Time
+	// WaitUntil is until when the request may wait for a slot.
+	WaitUntil time.Time
 	// RetryAfter is when a refused caller should come back.
 	RetryAfter time.Duration
 }
 
 // Decide takes or refuses a request.
 func Decide(in Input) Decision {
-	latest := in.Deadline.Add(-in.Expected)
+	latest := in.Deadline.Add(-in.ExpectedLatency)
 	if latest.Before(in.Now) {
 		return refuse(in, ReasonDeadline)
 	}
-	if in.InFlight >= roomFor(in.Priority, in.Room) {
+	if in.InFlight >= roomFor(in.Priority, in.Capacity) {
 		return refuse(in, ReasonPriority)
 	}
-	if in.Waiting > in.Limit {
+	if in.Queued > in.QueueLimit {
 		return refuse(in, ReasonQueueFull)
 	}
-	giveUp := in.Now.Add(in.Wait)
+	giveUp := in.Now.Add(in.MaxWait)
 	if latest.Before(giveUp) {
 		giveUp = latest
 	}
-	return Decision{GiveUp: giveUp}
+	return Decision{WaitUntil: giveUp}
 }
 
 // PriorityOf returns the priority of a request by its rank, of which 0 is the most urgent.
@@ -89,7 +89,7 @@
 }
 
 func refuse(in Input, r Reason) Decision {
-	return Decision{Reason: r, RetryAfter: RetryAfter(in.Waiting, in.Expected)}
+	return Decision{Reason: r, RetryAfter: RetryAfter(in.Queued, in.ExpectedLatency)}
 }
 
 // RetryAfter is the advice to a caller who was refused while others wait.
@@ -104,17 +104,17 @@
 	waiters list.List
 }
 
-// Ticket is a place in a Queue.
-type Ticket struct {
+// Waiter is a place in a Queue.
+type Waiter struct {
 	ready chan struct{}
 	at    *list.Element
 }
 
 // Ready receives a value when it is the ticket's turn to look for a slot.
-func (t *Ticket) Ready() <-chan struct{} { return t.ready }
+func (t *Waiter) Ready() <-chan struct{} { return t.ready }
 
-// Pass gives the present turn up, if it is the ticket's.
-func (t *Ticket) Pass() {
+// DiscardTurn gives the present turn up, if it is the ticket's.
+func (t *Waiter) DiscardTurn() {
 	select {
 	case <-t.ready:
 	default:
@@ -128,14 +128,14 @@
 	return q.waiters.Len()
 }
 
-// Join takes the last place, or reports false if limit wait already.
-func (q *Queue) Join(limit int) (*Ticket, bool) {
+// Enqueue takes the last place, or reports false if limit wait already.
+func (q *Queue) Enqueue(limit int) (*Waiter, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.waiters.Len() >= limit {
 		return nil, false
 	}
-	t := &Ticket{ready: make(chan struct{}, 1)}
+	t := &Waiter{ready: make(chan struct{}, 1)}
 	t.at = q.waiters.PushBack(t)
 	if q.waiters.Len() == 1 {
 		q.wake()
@@ -143,8 +143,8 @@
 	return t, true
 }
 
-// Leave gives a place up and gives the next in the queue a turn.
-func (q *Queue) Leave(t *Ticket) {
+// Remove gives a place up and gives the next in the queue a turn.
+func (q *Queue) Remove(t *Waiter) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.waiters.Remove(t.at)
@@ -165,7 +165,7 @@
 		return
 	}
 	select {
-	case front.Value.(*Ticket).ready <- struct{}{}:
+	case front.Value.(*Waiter).ready <- struct{}{}:
 	default:
 	}
 }
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -8,7 +8,7 @@
 var t0 = time.Unix(1_800_000_000, 0)
 
 func TestDecide(t *testing.T) {
-	base := Input{Now: t0, Deadline: t0.Add(time.Second), Expected: 100 * time.Millisecond, Limit: 4, Wait: 50 * time.Millisecond, Room: 100, Priority: 5}
+	base := Input{Now: t0, Deadline: t0.Add(time.Second), ExpectedLatency: 100 * time.Millisecond, QueueLimit: 4, MaxWait: 50 * time.Millisecond, Capacity: 100, Priority: 5}
 	tests := []struct {
 		name   string
 		change func(in *Input)
@@ -16,9 +16,9 @@
 		giveUp time.Duration
 	}{
 		{"taken", func(*Input) {}, "", 50 * time.Millisecond},
-		{"too late to be answered", func(in *Input) { in.Expected = 2 * time.Second }, ReasonDeadline, 0},
-		{"waits no longer than helps", func(in *Input) { in.Expected = 970 * time.Millisecond }, "", 30 * time.Millisecond},
-		{"queue full", func(in *Input) { in.Waiting = 5 }, ReasonQueueFull, 0},
+		{"too late to be answered", func(in *Input) { in.ExpectedLatency = 2 * time.Second }, ReasonDeadline, 0},
+		{"waits no longer than helps", func(in *Input) { in.ExpectedLatency = 970 * time.Millisecond }, "", 30 * time.Millisecond},
+		{"queue full", func(in *Input) { in.Queued = 5 }, ReasonQueueFull, 0},
 		{"room left for the urgent", func(in *Input) { in.InFlight, in.Priority = 75, 0 }, ReasonPriority, 0},
 		{"the urgent gets it", func(in *Input) { in.InFlight, in.Priority = 75, 9 }, "", 50 * time.Millisecond},
 		{"no room at all", func(in *Input) { in.InFlight, in.Priority = 100, 9 }, ReasonPriority, 0},
@@ -31,8 +31,8 @@
 			if d.Reason != tt.reason {
 				t.Fatalf("reason %q, want %q", d.Reason, tt.reason)
 			}
-			if d.Reason == "" && d.GiveUp.Sub(t0) != tt.giveUp {
-				t.Errorf("gives up after %v, want %v", d.GiveUp.Sub(t0), tt.giveUp)
+			if d.Reason == "" && d.WaitUntil.Sub(t0) != tt.giveUp {
+				t.Errorf("gives up after %v, want %v", d.WaitUntil.Sub(t0), tt.giveUp)
 			}
 			if d.Reason != "" && d.RetryAfter < minRetry {
 				t.Errorf("advice %v", d.RetryAfter)
@@ -41,7 +41,7 @@
 	}
 }
 
-func ready(t *Ticket) bool {
+func ready(t *Waiter) bool {
 	select {
 	case <-t.Ready():
 		return true
@@ -52,9 +52,9 @@
 
 func TestQueueIsInOrder(t *testing.T) {
 	var q Queue
-	a, _ := q.Join(2)
-	b, _ := q.Join(2)
-	if _, ok := q.Join(2); ok {
+	a, _ := q.Enqueue(2)
+	b, _ := q.Enqueue(2)
+	if _, ok := q.Enqueue(2); ok {
 		t.Error("a third joined a queue of two")
 	}
 	if !ready(a) || ready(b) {
@@ -64,11 +64,11 @@
 	if !ready(a) || ready(b) {
 		t.Error("a freed slot is the first one's")
 	}
-	q.Leave(a)
+	q.Remove(a)
 	if !ready(b) {
 		t.Error("the next has the turn when the first leaves")
 	}
-	q.Leave(b)
+	q.Remove(b)
 	if q.Len() != 0 {
 		t.Errorf("%d still wait", q.Len())
 	}
--- a/internal/admit/patience.go
+++ b/internal/admit/retry.go
@@ -9,20 +9,22 @@
 // spent some of it on an earlier try.
 const returnedBelow = 0.98
 
-// Patience knows how long the callers of each class of requests usually wait, and
+// RetryDetector knows how long the callers of each class of requests usually wait, and
 // so tells a first try from one that comes back after a refusal: the latter has
 // less time left. It is safe for concurrent use.
-type Patience struct {
+type RetryDetector struct {
 	mu      sync.Mutex
 	longest map[string]time.Duration
 }
 
-// NewPatience returns a Patience that knows no class.
-func NewPatience() *Patience { return &Patience{longest: make(map[string]time.Duration)} }
+// NewRetryDetector returns a Patience that knows no class.
+func NewRetryDetector() *RetryDetector {
+	return &RetryDetector{longest: make(map[string]time.Duration)}
+}
 
-// Returned takes in how long the caller of a request waits, and reports whether
+// IsRetry takes in how long the caller of a request waits, and reports whether
 // the request has been tried before. One whose caller does not say has not.
-func (p *Patience) Returned(class string, left time.Duration) bool {
+func (p *RetryDetector) IsRetry(class string, left time.Duration) bool {
 	if left <= 0 {
 		return false
 	}
--- a/internal/balance/affinity.go
+++ b/internal/balance/affinity.go
@@ -43,15 +43,15 @@
 	Regions func(region string) bool
 	// Tried holds the ids of upstreams that must not be picked again.
 	Tried []string
-	// Spread is set if there is no object to stay with, so that any upstream will
+	// NoAffinity is set if there is no object to stay with, so that any upstream will
 	// do.
-	Spread bool
+	NoAffinity bool
 }
 
 // PickObject chooses among the upstreams of an object the one that is expected
 // to answer first, and takes one of its slots. All entries order the upstreams
 // of an object alike, so that requests for it meet at the same few.
-func (g *Group) PickObject(now time.Time, req ObjectRequest) (Choice, error) {
+func (g *Balancer) PickObject(now time.Time, req ObjectRequest) (Choice, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	ranked := g.rank(now, req)
@@ -62,11 +62,11 @@
 	if best == nil {
 		return Choice{}, g.full(now, req, ranked)
 	}
-	c := Choice{Upstream: best.Upstream, Picked: now, Rank: rank, class: req.Class, object: req.Object, to: best}
+	c := Choice{Upstream: best.Upstream, PickedAt: now, Rank: rank, class: req.Class, object: req.Object, to: best}
 	c.Warm = best.warmFor(req.Object, now)
-	c.Ahead = g.estimate(best, now)
-	c.Expected = g.expected(best, now, req, rank)
-	c.unqueued = c.Ahead+1 <= float64(best.Slots)
+	c.Outstanding = g.estimate(best, now)
+	c.ExpectedLatency = g.expected(best, now, req, rank)
+	c.unqueued = c.Outstanding+1 <= float64(best.Slots)
 	if g.cold(best, now) {
 		best.coldTokens--
 	}
@@ -82,10 +82,10 @@
 
 // rank returns the upstreams that share an object, at most replicas, by place. A
 // request that may go anywhere gets all usable upstreams.
-func (g *Group) rank(now time.Time, req ObjectRequest) []candidate {
+func (g *Balancer) rank(now time.Time, req ObjectRequest) []candidate {
 	t := g.times(req.Class)
 	switch {
-	case req.Spread:
+	case req.NoAffinity:
 		return g.byPlace(now, req)
 	case t.huge():
 		return g.withOwnDomain(g.settledFirst(now, g.byPlace(now, req)))
@@ -100,7 +100,7 @@
 // that are neither. One that has just joined knows no object and is slow, and the upstreams
 // after it still have at hand what it would take over. Placed first, upstreams that join have
 // requests refused while most slots are free, since most entries may not send to cold ones.
-func (g *Group) settledFirst(now time.Time, cs []candidate) []candidate {
+func (g *Balancer) settledFirst(now time.Time, cs []candidate) []candidate {
 	for i := range cs {
 		cs[i].unsettled = g.unsettled(cs[i], now)
 	}
@@ -108,7 +108,7 @@
 	return cs
 }
 
-func (g *Group) unsettled(c candidate, now time.Time) bool {
+func (g *Balancer) unsettled(c candidate, now time.Time) bool {
 	return g.cold(c.m, now) || c.rateWait(now) > 0
 }
 
@@ -126,7 +126,7 @@
 // withOwnDomain returns the first upstream, and the first of the own failure domain
 // if there is one in the region that the object belongs to. So an object has as many
 // replicas as there are failure domains that ask for it.
-func (g *Group) withOwnDomain(usable []candidate) []candidate {
+func (g *Balancer) withOwnDomain(usable []candidate) []candidate {
 	if len(usable) <= replicas {
 		return usable
 	}
@@ -173,13 +173,13 @@
 // the object at hand come first. Only if none of them can take the request another
 // one may that is idle. Large requests begin a replica in the own failure domain
 // as soon as an upstream there has a slot to spare.
-func (g *Group) quickest(now time.Time, req ObjectRequest, ranked []candidate) (*member, int) {
+func (g *Balancer) quickest(now time.Time, req ObjectRequest, ranked []candidate) (*member, int) {
 	large := g.times(req.Class).large()
 	tiers := []func(i int, m *member) bool{
 		func(_ int, m *member) bool {
 			return large && m.Domain == g.domain && !m.warmFor(req.Object, now) && g.idle(m, now, spareShare)
 		},
-		func(i int, m *member) bool { return i == 0 || req.Spread || m.warmFor(req.Object, now) },
+		func(i int, m *member) bool { return i == 0 || req.NoAffinity || m.warmFor(req.Object, now) },
 		func(_ int, m *member) bool { return g.idle(m, now, 1) },
 	}
 	for _, tier := range tiers {
@@ -192,13 +192,13 @@
 
 // idle reports whether an upstream uses at most a share of its slots with one more
 // request.
-func (g *Group) idle(m *member, now time.Time, share float64) bool {
+func (g *Balancer) idle(m *member, now time.Time, share float64) bool {
 	return g.estimate(m, now)+1 <= share*float64(m.Slots)
 }
 
 // least returns the candidate with the least expected time among those that may be
 // used, and its rank.
-func (g *Group) least(now time.Time, req ObjectRequest, ranked []candidate, may func(int, *member) bool) (*member, int) {
+func (g *Balancer) least(now time.Time, req ObjectRequest, ranked []candidate, may func(int, *member) bool) (*member, int) {
 	var best *member
 	var least time.Duration
 	rank := 0
@@ -216,7 +216,7 @@
 
 // expected is the time until an upstream's answer: the way there and back, the
 // wait for a slot, and the work.
-func (g *Group) expected(m *member, now time.Time, req ObjectRequest, rank int) time.Duration {
+func (g *Balancer) expected(m *member, now time.Time, req ObjectRequest, rank int) time.Duration {
 	t := g.times(req.Class)
 	work := t.unknown[min(rank, len(t.unknown)-1)]
 	if m.warmFor(req.Object, now) {
@@ -227,7 +227,7 @@
 
 // crossing is the time that a request would rather wait than have its bytes cross
 // to another failure domain.
-func (g *Group) crossing(m *member, t *times) time.Duration {
+func (g *Balancer) crossing(m *member, t *times) time.Duration {
 	if m.Domain == g.domain {
 		return 0
 	}
--- a/internal/balance/affinity_test.go
+++ b/internal/balance/affinity_test.go
@@ -34,13 +34,13 @@
 	return s, entries
 }
 
-func groupAt(s *model.Service, entries []model.Member, e model.Member) *Group {
-	g := NewGroup()
-	g.Update(Input{Service: s, Draining: never, Self: e.ID, Home: e.Region, Domain: e.Domain, Entries: entries}, t0)
+func groupAt(s *model.Service, entries []model.Member, e model.Member) *Balancer {
+	g := NewBalancer()
+	g.Update(ServiceState{Service: s, Draining: never, Self: e.ID, Region: e.Region, Domain: e.Domain, Entries: entries}, t0)
 	return g
 }
 
-func pickObject(t *testing.T, g *Group, now time.Time, object int) Choice {
+func pickObject(t *testing.T, g *Balancer, now time.Time, object int) Choice {
 	t.Helper()
 	c, err := g.PickObject(now, ObjectRequest{Object: HashObject("r", fmt.Sprint(object)), Class: "r", Objective: time.Second})
 	if err != nil {
@@ -50,10 +50,10 @@
 }
 
 // serve picks an upstream for an object and has it answer after took.
-func serve(t *testing.T, g *Group, now time.Time, object int, took time.Duration) Choice {
+func serve(t *testing.T, g *Balancer, now time.Time, object int, took time.Duration) Choice {
 	t.Helper()
 	c := pickObject(t, g, now, object)
-	g.Done(now.Add(took), c, Report{Result: OK, Load: 0, Waiting: 0, Bytes: 400})
+	g.Done(now.Add(took), c, DoneInfo{Result: OK, Load: 0, Waiting: 0, Bytes: 400})
 	return c
 }
 
@@ -187,7 +187,7 @@
 	if c := pickObject(t, g, late, 1); c.ID == first.ID {
 		t.Error("a silent upstream was picked")
 	}
-	g.Done(late, first, Report{Result: OK, Load: 0})
+	g.Done(late, first, DoneInfo{Result: OK, Load: 0})
 	if c := pickObject(t, g, late, 1); c.ID != first.ID {
 		t.Error("still passed over after an answer")
 	}
@@ -204,11 +204,11 @@
 		first = serve(t, g, t0, object, 300*time.Millisecond)
 	}
 	full := map[uint32]Load{uint32(g.byID[first.ID].hash): {Requests: 6}}
-	g.Heard(t0, PeerLoad{Peer: "peer", Last: math.MaxUint32, At: full})
+	g.ApplyPeerLoad(t0, PeerLoad{Peer: "peer", Last: math.MaxUint32, Loads: full})
 	if c := serve(t, g, t0, object, 0); c.ID == first.ID {
 		t.Error("sent to an upstream that a peer has filled")
 	}
-	g.Heard(t0.Add(2*peerFresh), PeerLoad{Peer: "other", Last: math.MaxUint32})
+	g.ApplyPeerLoad(t0.Add(2*peerFresh), PeerLoad{Peer: "other", Last: math.MaxUint32})
 	if c := serve(t, g, t0.Add(2*peerFresh), object, 0); c.ID != first.ID {
 		t.Error("a silent peer's requests still count")
 	}
@@ -224,7 +224,7 @@
 		for o := range 50 {
 			c := pickObject(t, g, now, o)
 			now = now.Add(time.Second)
-			g.Done(now, c, Report{Result: OK, Load: 0, Bytes: 60_000})
+			g.Done(now, c, DoneInfo{Result: OK, Load: 0, Bytes: 60_000})
 			if o > 0 && c.Domain != e.Domain {
 				t.Errorf("entry in %s sent object %d to %s", e.Domain, o, c.Domain)
 			}
@@ -248,7 +248,7 @@
 		crossed := 0
 		for o := range 200 {
 			c := pickObject(t, g, t0, o)
-			g.Done(t0, c, Report{Result: OK, Load: 0, Waiting: 0, Bytes: tt.bytes})
+			g.Done(t0, c, DoneInfo{Result: OK, Load: 0, Waiting: 0, Bytes: tt.bytes})
 			if o > 0 && c.Domain != third.Domain {
 				crossed++
 			}
@@ -263,14 +263,14 @@
 // each of ten entries sends one. None of them could tell alone.
 func TestPartialFailuresArePassedOver(t *testing.T) {
 	s, entries := site(3, 8)
-	groups := make([]*Group, 10)
+	groups := make([]*Balancer, 10)
 	for i := range groups {
 		groups[i] = groupAt(s, entries, entries[0])
 	}
 	sick := serve(t, groups[0], t0, 1, 0).ID
 	for i, g := range groups {
 		c := pickObject(t, g, t0, 1)
-		g.Done(t0, c, Report{Result: OK, Errored: i%2 == 0, Load: 0, Waiting: 0})
+		g.Done(t0, c, DoneInfo{Result: OK, ServerError: i%2 == 0, Load: 0, Waiting: 0})
 	}
 	if c := serve(t, groups[0], t0, 1, 0); c.ID != sick {
 		t.Fatalf("one failure of one entry moves an object from %s to %s", sick, c.ID)
@@ -302,7 +302,7 @@
 		s, entries := site(3, 8)
 		g := groupAt(s, entries, entries[0])
 		c := pickObject(t, g, t0, 1)
-		result := g.Done(t0, c, Report{Result: Shed, Load: tt.load, Waiting: tt.waiting})
+		result := g.Done(t0, c, DoneInfo{Result: Shed, Load: tt.load, Waiting: tt.waiting})
 		if idle := result == ShedIdle; idle != tt.again {
 			t.Errorf("%s: slots to spare is %v, want %v", tt.name, idle, tt.again)
 		}
@@ -322,7 +322,7 @@
 		if c.ID != sick {
 			t.Fatalf("moved to %s after %d requests", c.ID, i)
 		}
-		g.Done(t0, c, Report{Result: OK, Errored: i%10 == 9, Load: 0, Waiting: 0})
+		g.Done(t0, c, DoneInfo{Result: OK, ServerError: i%10 == 9, Load: 0, Waiting: 0})
 	}
 }
 
@@ -337,7 +337,7 @@
 		if c.ID != sick {
 			t.Fatalf("moved to %s after %d requests", c.ID, i)
 		}
-		g.Done(t0, c, Report{Result: []Result{OK, Failed}[i%2], Load: 0, Waiting: 0})
+		g.Done(t0, c, DoneInfo{Result: []Result{OK, Failed}[i%2], Load: 0, Waiting: 0})
 	}
 }
 
@@ -347,7 +347,7 @@
 	g := groupAt(s, entries, entries[0])
 	for o := range 300 {
 		c := pickObject(t, g, t0, o)
-		g.Done(t0, c, Report{Result: OK, Errored: true, Load: 0, Waiting: 0})
+		g.Done(t0, c, DoneInfo{Result: OK, ServerError: true, Load: 0, Waiting: 0})
 	}
 }
 
@@ -363,7 +363,7 @@
 		for _, step := range steps {
 			now = now.Add(time.Duration(step%7) * 20 * time.Millisecond)
 			c, err := g.PickObject(now, ObjectRequest{
-				Object: HashObject("r", fmt.Sprint(step%11)), Class: "r", Objective: time.Second, Regions: allowed, Spread: step%5 == 0,
+				Object: HashObject("r", fmt.Sprint(step%11)), Class: "r", Objective: time.Second, Regions: allowed, NoAffinity: step%5 == 0,
 			})
 			if err != nil {
 				continue
@@ -372,7 +372,7 @@
 				return "picked " + c.ID
 			}
 			if step%3 > 0 {
-				g.Done(now, c, Report{Result: []Result{OK, Shed, Failed, Unreachable}[step%4], Load: step % 4, Waiting: 0, Bytes: int64(step)})
+				g.Done(now, c, DoneInfo{Result: []Result{OK, Shed, Failed, Unreachable}[step%4], Load: step % 4, Waiting: 0, Bytes: int64(step)})
 			}
 		}
 		return ""
@@ -410,13 +410,13 @@
 }
 
 // tellAll has every entry hear of what each other one knows itself.
-func tellAll(groups []*Group, now time.Time) {
+func tellAll(groups []*Balancer, now time.Time) {
 	for i, from := range groups {
-		p := PeerLoad{Peer: fmt.Sprint("peer-", i), Last: math.MaxUint32, At: make(map[uint32]Load)}
-		from.LoadAt(now, Counted{Own: true}, func(upstream uint32, l Load) { p.At[upstream] = l })
+		p := PeerLoad{Peer: fmt.Sprint("peer-", i), Last: math.MaxUint32, Loads: make(map[uint32]Load)}
+		from.VisitLoads(now, EntryFilter{Own: true}, func(upstream uint32, l Load) { p.Loads[upstream] = l })
 		for j, to := range groups {
 			if i != j {
-				to.Heard(now, p)
+				to.ApplyPeerLoad(now, p)
 			}
 		}
 	}
@@ -439,7 +439,7 @@
 			entries = append(entries, model.Member{ID: fmt.Sprint("e", i), Region: domain[:len(domain)-2], Domain: domain})
 		}
 		var sent []time.Duration
-		groups := make([]*Group, len(entries))
+		groups := make([]*Balancer, len(entries))
 		for i, e := range entries {
 			groups[i] = groupAt(s, entries, e)
 		}
@@ -451,7 +451,7 @@
 				c, err := g.PickObject(t0.Add(at), ObjectRequest{Object: 1, Class: "r"})
 				if err == nil {
 					sent = append(sent, at)
-					g.Done(t0.Add(at), c, Report{Result: Abandoned, Load: -1})
+					g.Done(t0.Add(at), c, DoneInfo{Result: Abandoned, Load: -1})
 				}
 			}
 		}
@@ -494,7 +494,7 @@
 		joined.Upstreams = append(joined.Upstreams, u)
 	}
 	update := func(now time.Time) {
-		g.Update(Input{Service: &joined, Draining: never, Self: entries[0].ID, Home: entries[0].Region, Domain: entries[0].Domain, Entries: entries}, now)
+		g.Update(ServiceState{Service: &joined, Draining: never, Self: entries[0].ID, Region: entries[0].Region, Domain: entries[0].Domain, Entries: entries}, now)
 	}
 	// What this entry knows of warm objects is too old to help.
 	now := t0.Add(time.Hour)
@@ -507,7 +507,7 @@
 		if c.ID != was[o] {
 			t.Errorf("object %d moved from %s to %s", o, was[o], c.ID)
 		}
-		g.Done(now, c, Report{Result: Abandoned, Load: -1})
+		g.Done(now, c, DoneInfo{Result: Abandoned, Load: -1})
 	}
 	// When they have warmed up they take over their part.
 	used := 0
@@ -536,7 +536,7 @@
 		c, err := g.PickObject(now, ObjectRequest{Object: HashObject("r", fmt.Sprint(o)), Class: "r", Objective: time.Second})
 		if err == nil {
 			served++
-			g.Done(now, c, Report{Result: Abandoned, Load: -1})
+			g.Done(now, c, DoneInfo{Result: Abandoned, Load: -1})
 		}
 	}
 	if served < 20 {
--- a/internal/balance/group.go
+++ b/internal/balance/balancer.go
@@ -122,8 +122,8 @@
 	limitNewsUntil time.Time
 }
 
-// Group balances one service. It is safe for concurrent use.
-type Group struct {
+// Balancer balances one service. It is safe for concurrent use.
+type Balancer struct {
 	mu       sync.Mutex
 	warmup   time.Duration
 	byID     map[string]*member
@@ -165,9 +165,9 @@
 	scratch scratch
 }
 
-// NewGroup returns an empty Group.
-func NewGroup() *Group {
-	return &Group{
+// NewBalancer returns an empty Group.
+func NewBalancer() *Balancer {
+	return &Balancer{
 		byID:      make(map[string]*member),
 		inFlight:  make(map[string]int),
 		probeAt:   make(map[string]time.Time),
@@ -177,17 +177,17 @@
 	}
 }
 
-// Input is what a Group is brought up to date with.
-type Input struct {
+// ServiceState is what a Group is brought up to date with.
+type ServiceState struct {
 	Service *model.Service
 	// Draining reports whether an upstream is to get no new work.
 	Draining func(*model.Upstream, time.Time) bool
-	// Owned are the ids of the upstreams that this entry uses first; see Owned.
-	Owned map[string]bool
+	// Subset are the ids of the upstreams that this entry uses first; see Subset.
+	Subset map[string]bool
 	// Self is the id of this entry, Home its region, Domain its failure domain,
 	// and Entries are those that carry requests.
 	Self    string
-	Home    string
+	Region  string
 	Domain  string
 	Entries []model.Member
 }
@@ -195,13 +195,13 @@
 // Update takes in a new snapshot of the service. Upstreams that were not in the
 // one before are cold, unless it is the first, and so are those that have started again:
 // nothing that was known of the earlier life holds. It returns the addresses of these.
-func (g *Group) Update(in Input, now time.Time) (restarted []string) {
+func (g *Balancer) Update(in ServiceState, now time.Time) (restarted []string) {
 	svc := in.Service
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	first := len(g.byID) == 0
 	g.warmup, g.coldRate, g.draining = svc.Warmup, svc.ColdRate, in.Draining
-	g.self, g.home, g.domain, g.entries = in.Self, in.Home, in.Domain, in.Entries
+	g.self, g.home, g.domain, g.entries = in.Self, in.Region, in.Domain, in.Entries
 	g.regions, g.all = make(map[string][]*member), nil
 	seen := make(map[string]bool)
 	for _, u := range svc.Upstreams {
@@ -214,13 +214,13 @@
 			m = nil
 		}
 		if m == nil {
-			m = &member{hash: xxhash.Sum64String(u.ID), key: LifeKey(&u)}
+			m = &member{hash: xxhash.Sum64String(u.ID), key: IncarnationKey(&u)}
 			if !first {
 				m.coldSince = now
 			}
 			g.byID[u.ID] = m
 		}
-		m.Upstream, m.gone, m.owned = u, false, in.Owned[u.ID]
+		m.Upstream, m.gone, m.owned = u, false, in.Subset[u.ID]
 		m.sender = nil
 		g.all = append(g.all, m)
 		g.regions[u.Region] = append(g.regions[u.Region], m)
@@ -233,12 +233,12 @@
 		}
 	}
 	g.setSenders(now)
-	g.weigh(now, in.Home, demandByRegion(in.Entries))
+	g.weigh(now, in.Region, demandByRegion(in.Entries))
 	return restarted
 }
 
 // forget drops an upstream that is gone once its last request has ended.
-func (g *Group) forget(id string, m *member) {
+func (g *Balancer) forget(id string, m *member) {
 	if m.gone && m.inFlight == 0 {
 		delete(g.byID, id)
 	}
@@ -258,16 +258,16 @@
 // Choice is a picked upstream. Every Choice must be given to Done once.
 type Choice struct {
 	model.Upstream
-	Picked time.Time
+	PickedAt time.Time
 	// Warm is set if this entry knows that the upstream has the object at hand.
 	Warm bool
 
 	// Rank is the upstream's place among those of the object, from 0.
 	Rank int
-	// Ahead is how many requests were thought to be at the upstream, and Expected
+	// Outstanding is how many requests were thought to be at the upstream, and Expected
 	// after what time its answer was expected.
-	Ahead    float64
-	Expected time.Duration
+	Outstanding     float64
+	ExpectedLatency time.Duration
 
 	// class and object are those of an ObjectRequest.
 	class  string
@@ -280,7 +280,7 @@
 }
 
 // Pick chooses an upstream and takes one of its slots.
-func (g *Group) Pick(now time.Time, rnd *rand.Rand, req Request) (Choice, error) {
+func (g *Balancer) Pick(now time.Time, rnd *rand.Rand, req Request) (Choice, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	usable := false
@@ -295,7 +295,7 @@
 			m.sent++
 			g.spendRate(m, now)
 			g.inFlight[region]++
-			return Choice{Upstream: m.Upstream, Picked: now, to: m}, nil
+			return Choice{Upstream: m.Upstream, PickedAt: now, to: m}, nil
 		}
 	}
 	if usable {
@@ -305,7 +305,7 @@
 }
 
 // candidates returns the upstreams of a region that may get work.
-func (g *Group) candidates(region string, tried []string, now time.Time) []*member {
+func (g *Balancer) candidates(region string, tried []string, now time.Time) []*member {
 	all := g.regions[region]
 	out := make([]*member, 0, len(all))
 	for _, m := range all {
@@ -316,14 +316,14 @@
 	return out
 }
 
-func (g *Group) leaves(m *member, now time.Time) bool {
+func (g *Balancer) leaves(m *member, now time.Time) bool {
 	return now.Before(m.drainUntil) || g.draining(&m.Upstream, now)
 }
 
 // choose takes one of the entry's own upstreams that has a free slot, else one of
 // the others; nil if all are full. Entries that each begin with different
 // upstreams seldom meet at the last slot of one.
-func (g *Group) choose(ms []*member, now time.Time, rnd *rand.Rand) *member {
+func (g *Balancer) choose(ms []*member, now time.Time, rnd *rand.Rand) *member {
 	others := ms[:0:0]
 	owned := ms[:0:0]
 	for _, m := range ms {
@@ -341,7 +341,7 @@
 
 // chooseAmong takes the less loaded of two random upstreams, or the least loaded
 // of all if both are full.
-func (g *Group) chooseAmong(ms []*member, now time.Time, rnd *rand.Rand) *member {
+func (g *Balancer) chooseAmong(ms []*member, now time.Time, rnd *rand.Rand) *member {
 	if len(ms) == 0 {
 		return nil
 	}
@@ -383,8 +383,8 @@
 	Abandoned
 )
 
-// Report is what one request told of its upstream.
-type Report struct {
+// DoneInfo is what one request told of its upstream.
+type DoneInfo struct {
 	Result Result
 	// Load is the requests in flight that the upstream reported, or -1.
 	Load int
@@ -392,16 +392,16 @@
 	Waiting int
 	// Draining is set if the upstream said that it drains.
 	Draining bool
-	// Errored is set if the answer is the upstream's own failure.
-	Errored bool
+	// ServerError is set if the answer is the upstream's own failure.
+	ServerError bool
 	// Bytes is the size of the bodies of the request and the answer, 0 if unknown.
 	Bytes int64
-	// Connect is how long the connection took to be made; 0 if it was there.
-	Connect time.Duration
+	// ConnectTime is how long the connection took to be made; 0 if it was there.
+	ConnectTime time.Duration
 }
 
 // Done ends a Choice and frees its slot. It returns the result as it counts.
-func (g *Group) Done(now time.Time, c Choice, r Report) Result {
+func (g *Balancer) Done(now time.Time, c Choice, r DoneInfo) Result {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := c.to
@@ -418,17 +418,17 @@
 	if r.Draining {
 		m.drainUntil = now.Add(drainingFor)
 	}
-	if best := g.roundTrip[c.Region]; r.Connect > 0 && (best == 0 || r.Connect < best) {
-		g.roundTrip[c.Region] = r.Connect
+	if best := g.roundTrip[c.Region]; r.ConnectTime > 0 && (best == 0 || r.ConnectTime < best) {
+		g.roundTrip[c.Region] = r.ConnectTime
 	}
 	if r.Result == Shed && g.shedForNothing(m, now, c, r) {
 		r.Result = ShedIdle
 	}
 	if r.Result == OK || r.Result == Unreachable {
-		m.countOutcome(now, r.Errored || r.Result == Unreachable)
+		m.countOutcome(now, r.ServerError || r.Result == Unreachable)
 	}
 	g.learn(m, now, c, r)
-	g.judge(m, now, now.Sub(c.Picked), r.Result)
+	g.judge(m, now, now.Sub(c.PickedAt), r.Result)
 	g.updateMean(now)
 	g.forget(c.ID, m)
 	return r.Result
--- a/internal/balance/group_test.go
+++ b/internal/balance/balancer_test.go
@@ -31,14 +31,14 @@
 
 // rig is a Group with its clock and randomness.
 type rig struct {
-	*Group
+	*Balancer
 	now time.Time
 	rnd *rand.Rand
 }
 
 func newRig(s *model.Service) *rig {
-	r := &rig{Group: NewGroup(), now: t0, rnd: rand.New(rand.NewPCG(1, 1))}
-	r.Update(Input{Service: s, Draining: never}, r.now)
+	r := &rig{Balancer: NewBalancer(), now: t0, rnd: rand.New(rand.NewPCG(1, 1))}
+	r.Update(ServiceState{Service: s, Draining: never}, r.now)
 	return r
 }
 
@@ -51,7 +51,7 @@
 	return c
 }
 
-func (r *rig) fail(c Choice) { r.Done(r.now, c, Report{Result: Failed, Load: -1}) }
+func (r *rig) fail(c Choice) { r.Done(r.now, c, DoneInfo{Result: Failed, Load: -1}) }
 
 func TestLocalFirstThenOverflow(t *testing.T) {
 	r := newRig(service(2, 3, "muscat", "sohar"))
@@ -79,7 +79,7 @@
 func TestShedIsNotContagious(t *testing.T) {
 	r := newRig(service(2, 4, "muscat"))
 	first := r.pick(t, "muscat")
-	r.Done(r.now, first, Report{Result: Shed, Load: -1})
+	r.Done(r.now, first, DoneInfo{Result: Shed, Load: -1})
 	second := r.pick(t, "muscat")
 	if second.ID == first.ID {
 		t.Error("the upstream that shed was picked again at once")
@@ -91,12 +91,12 @@
 func TestOwnedFirst(t *testing.T) {
 	s := service(4, 2, "muscat")
 	entries := []string{"n2", "n1"}
-	mine, theirs := Owned(s.Upstreams, "muscat", "n1", entries), Owned(s.Upstreams, "muscat", "n2", entries)
+	mine, theirs := Subset(s.Upstreams, "muscat", "n1", entries), Subset(s.Upstreams, "muscat", "n2", entries)
 	if len(mine) != 2 || len(theirs) != 2 {
 		t.Fatalf("owned %v and %v", mine, theirs)
 	}
 	r := newRig(s)
-	r.Update(Input{Service: s, Draining: never, Owned: mine}, r.now)
+	r.Update(ServiceState{Service: s, Draining: never, Subset: mine}, r.now)
 	for i := range 8 {
 		if c := r.pick(t, "muscat"); mine[c.ID] != (i < 4) {
 			t.Errorf("request %d went to %s", i, c.ID)
@@ -108,7 +108,7 @@
 	r := newRig(service(2, 4, "muscat"))
 	c := r.pick(t, "muscat")
 	// Its own request and four of other entries.
-	r.Done(r.now, c, Report{Load: 5})
+	r.Done(r.now, c, DoneInfo{Load: 5})
 	for range 2 {
 		if got := r.pick(t, "muscat"); got.ID == c.ID {
 			t.Fatalf("%s was picked, though it reports to be full", c.ID)
@@ -125,9 +125,9 @@
 		c := r.pick(t, "muscat")
 		if c.ID == "muscat-0" {
 			bad++
-			r.Done(r.now, c, Report{Result: Failed, Load: 0})
+			r.Done(r.now, c, DoneInfo{Result: Failed, Load: 0})
 		} else {
-			r.Done(r.now, c, Report{Load: 2})
+			r.Done(r.now, c, DoneInfo{Load: 2})
 		}
 		r.now = r.now.Add(10 * time.Millisecond)
 	}
@@ -169,9 +169,9 @@
 		c := r.pick(t, "muscat", "sohar")
 		if c.Region == "muscat" {
 			local++
-			r.Done(r.now, c, Report{Result: Unreachable, Load: -1})
+			r.Done(r.now, c, DoneInfo{Result: Unreachable, Load: -1})
 		} else {
-			r.Done(r.now, c, Report{Load: 1})
+			r.Done(r.now, c, DoneInfo{Load: 1})
 		}
 		r.now = r.now.Add(time.Millisecond)
 	}
@@ -181,7 +181,7 @@
 	}
 	for range 100 {
 		c := r.pick(t, "muscat", "sohar")
-		r.Done(r.now, c, Report{Load: 1})
+		r.Done(r.now, c, DoneInfo{Load: 1})
 		r.now = r.now.Add(probeEvery)
 	}
 	if c := r.pick(t, "muscat", "sohar"); c.Region != "muscat" {
@@ -193,7 +193,7 @@
 	s := service(1, 10, "muscat")
 	r := newRig(s)
 	s.Upstreams = append(s.Upstreams, model.Upstream{ID: "new", Region: "muscat", Slots: 10})
-	r.Update(Input{Service: s, Draining: never}, r.now)
+	r.Update(ServiceState{Service: s, Draining: never}, r.now)
 	count := func() int {
 		var held []Choice
 		n := 0
@@ -208,7 +208,7 @@
 			held = append(held, c)
 		}
 		for _, c := range held {
-			r.Done(r.now, c, Report{Result: Abandoned, Load: -1})
+			r.Done(r.now, c, DoneInfo{Result: Abandoned, Load: -1})
 		}
 		return n
 	}
@@ -238,7 +238,7 @@
 					held = append(held, c)
 				}
 			} else if len(held) > 0 {
-				r.Done(r.now, held[0], Report{Result: Result(op % 4), Load: op%7 - 1})
+				r.Done(r.now, held[0], DoneInfo{Result: Result(op % 4), Load: op%7 - 1})
 				held = held[1:]
 			}
 			for _, s := range r.Dump(r.now) {
@@ -248,7 +248,7 @@
 			}
 		}
 		for _, c := range held {
-			r.Done(r.now, c, Report{Load: -1})
+			r.Done(r.now, c, DoneInfo{Load: -1})
 		}
 		return r.InFlight("muscat") == 0 && r.InFlight("sohar") == 0
 	}, gen.SliceOfN(60, gen.IntRange(0, 300))))
@@ -257,19 +257,19 @@
 
 func TestBudget(t *testing.T) {
 	const budgetBurst = 10
-	b := NewBudget(budgetBurst)
+	b := NewRetryBudget(budgetBurst)
 	taken := 0
-	for b.Take() {
+	for b.TryWithdraw() {
 		taken++
 	}
 	if taken != budgetBurst {
 		t.Errorf("%d retries before any success, want %d", taken, budgetBurst)
 	}
 	for range 100 {
-		b.Earn(0.1)
+		b.Deposit(0.1)
 	}
 	taken = 0
-	for b.Take() {
+	for b.TryWithdraw() {
 		taken++
 	}
 	if taken < 9 || taken > budgetBurst {
--- a/internal/balance/cold.go
+++ b/internal/balance/cold.go
@@ -17,7 +17,7 @@
 const coldPerSender = 3.0
 
 // cold reports whether an upstream has not warmed up since its start.
-func (g *Group) cold(m *member, now time.Time) bool {
+func (g *Balancer) cold(m *member, now time.Time) bool {
 	if now.Before(m.ColdUntil) {
 		return true
 	}
@@ -28,7 +28,7 @@
 // upstream. The upstream's bound is divided evenly among a few entries that all
 // work out alike; each may send one request at once and the rest at its part of
 // the rate, so that the sum in any second stays under the bound.
-func (g *Group) takesCold(m *member, now time.Time) bool {
+func (g *Balancer) takesCold(m *member, now time.Time) bool {
 	if g.coldRate <= 0 {
 		return true
 	}
@@ -43,7 +43,7 @@
 }
 
 // isSender is sendsCold, worked out once for the present entries.
-func (g *Group) isSender(m *member, senders int) bool {
+func (g *Balancer) isSender(m *member, senders int) bool {
 	if m.sender == nil {
 		is := g.sendsCold(m, senders)
 		m.sender = &is
@@ -54,13 +54,13 @@
 // sendsCold reports whether this entry is among the first to send to a cold
 // upstream: those of its failure domain come before those of its region and these
 // before others, each in the order that the upstream's id gives them.
-func (g *Group) sendsCold(m *member, senders int) bool {
+func (g *Balancer) sendsCold(m *member, senders int) bool {
 	return slices.ContainsFunc(g.nearest(m)[:senders], func(e model.Member) bool { return e.ID == g.self })
 }
 
 // nearest returns the entries in an order that is the same at all of them: those of the
 // upstream's failure domain, those of its region, and the others.
-func (g *Group) nearest(m *member) []model.Member {
+func (g *Balancer) nearest(m *member) []model.Member {
 	distance := func(e model.Member) int {
 		switch {
 		case e.Domain == m.Domain:
--- a/internal/balance/health.go
+++ b/internal/balance/health.go
@@ -13,7 +13,7 @@
 // order returns the regions with those last of which most upstreams fail. Every
 // probeEvery one request still tries such a region in its turn, to see whether
 // it is well again.
-func (g *Group) order(regions []string, now time.Time) []string {
+func (g *Balancer) order(regions []string, now time.Time) []string {
 	var last []string
 	for i, r := range regions {
 		if !g.unwell(r, now) {
@@ -37,7 +37,7 @@
 
 // unwell reports whether more than half of a region's upstreams are ejected or
 // fail again and again.
-func (g *Group) unwell(region string, now time.Time) bool {
+func (g *Balancer) unwell(region string, now time.Time) bool {
 	bad := 0
 	all := g.regions[region]
 	for _, m := range all {
@@ -53,7 +53,7 @@
 // silent reports whether an upstream has requests of this entry and has answered
 // none for longer than they should take. Its instance may be dead or cut off; its
 // entry in the platform's list tells so only seconds later.
-func (g *Group) silent(m *member, now time.Time) bool {
+func (g *Balancer) silent(m *member, now time.Time) bool {
 	return m.inFlight > 0 && now.Sub(m.heardAt) > silentAfter+g.wait(m, now, ObjectRequest{})
 }
 
@@ -61,7 +61,7 @@
 // slots to spare, by its own word or else by what the entries have there. That is no
 // sign of load; and as others would work cold, it is no reason to pass the upstream
 // over either, but to ask it again.
-func (g *Group) shedForNothing(m *member, now time.Time, c Choice, r Report) bool {
+func (g *Balancer) shedForNothing(m *member, now time.Time, c Choice, r DoneInfo) bool {
 	if c.class == "" {
 		return false
 	}
@@ -71,7 +71,7 @@
 	return g.estimate(m, now) < idleShare*float64(m.Slots)
 }
 
-func (g *Group) judge(m *member, now time.Time, took time.Duration, r Result) {
+func (g *Balancer) judge(m *member, now time.Time, took time.Duration, r Result) {
 	switch r {
 	case OK:
 		m.heardAt = now
@@ -98,7 +98,7 @@
 
 // eject takes an upstream out for a while, unless too many of its region are
 // out already.
-func (g *Group) eject(m *member, now time.Time) {
+func (g *Balancer) eject(m *member, now time.Time) {
 	out := 0
 	peers := g.regions[m.Region]
 	for _, p := range peers {
--- a/internal/balance/late.go
+++ b/internal/balance/late.go
@@ -22,15 +22,15 @@
 type LateError struct {
 	// Upstream is the one with the least wait for a slot, Ahead how many requests
 	// were thought to be there.
-	Upstream string
-	Ahead    float64
+	Upstream    string
+	Outstanding float64
 	// RetryAfter is that wait.
 	RetryAfter time.Duration
 }
 
 // Error implements error.
 func (e *LateError) Error() string {
-	return fmt.Sprintf("balance: too late now: %.0f requests at %s, a slot in %v", e.Ahead, e.Upstream, e.RetryAfter.Round(time.Millisecond))
+	return fmt.Sprintf("balance: too late now: %.0f requests at %s, a slot in %v", e.Outstanding, e.Upstream, e.RetryAfter.Round(time.Millisecond))
 }
 
 // Unwrap returns ErrNoSlot, of which a LateError is a kind.
@@ -38,7 +38,7 @@
 
 // full is the error when no candidate may take a request. It says when the first
 // of them should have a slot.
-func (g *Group) full(now time.Time, req ObjectRequest, ranked []candidate) error {
+func (g *Balancer) full(now time.Time, req ObjectRequest, ranked []candidate) error {
 	var first *member
 	var least time.Duration
 	for _, c := range ranked {
@@ -55,14 +55,14 @@
 	case least <= 0:
 		return ErrNoSlot
 	}
-	return &LateError{Upstream: first.ID, Ahead: g.estimate(first, now), RetryAfter: least}
+	return &LateError{Upstream: first.ID, Outstanding: g.estimate(first, now), RetryAfter: least}
 }
 
 // tooLate reports whether the wait for a slot alone would make an answer miss its
 // objective. Such a request is better refused at once: it may be in time when it
 // comes back, and does not make others late. An object that is not at hand is no
 // reason, or it would never be.
-func (g *Group) tooLate(m *member, now time.Time, req ObjectRequest) bool {
+func (g *Balancer) tooLate(m *member, now time.Time, req ObjectRequest) bool {
 	wait := g.wait(m, now, req)
 	if req.Objective <= 0 || wait <= 0 {
 		return false
@@ -78,14 +78,14 @@
 }
 
 // wait is the expected time until one more request at an upstream gets a slot.
-func (g *Group) wait(m *member, now time.Time, req ObjectRequest) time.Duration {
+func (g *Balancer) wait(m *member, now time.Time, req ObjectRequest) time.Duration {
 	slots := float64(max(m.Slots, 1))
 	ahead := math.Max(0, g.estimate(m, now)+1+float64(m.failures)-slots) / slots
 	return time.Duration(ahead * float64(cmp.Or(g.meanWork, req.priorWork())))
 }
 
 // hasRoom reports whether one more request may join those at an upstream.
-func (g *Group) hasRoom(m *member, now time.Time) bool {
+func (g *Balancer) hasRoom(m *member, now time.Time) bool {
 	if now.Before(m.shedUntil) || g.cold(m, now) && !g.takesCold(m, now) {
 		return false
 	}
@@ -94,7 +94,7 @@
 
 // capacity is how many requests an upstream may have, running and waiting. One
 // that fails again and again gets one at a time, to see when it is well again.
-func (g *Group) capacity(m *member) float64 {
+func (g *Balancer) capacity(m *member) float64 {
 	if m.failures >= ejectAfter {
 		return 1
 	}
--- a/internal/balance/load.go
+++ b/internal/balance/load.go
@@ -9,7 +9,7 @@
 // other entries. Those are known if the entries tell each other; else they are
 // taken from what the upstream last reported, which gives way to the mean as it
 // ages.
-func (g *Group) estimate(m *member, now time.Time) float64 {
+func (g *Balancer) estimate(m *member, now time.Time) float64 {
 	if len(g.heard) > 0 {
 		return float64(m.inFlight + m.atPeers)
 	}
@@ -24,11 +24,11 @@
 // load is the estimate as a share of the slots that may be used. Failures in a
 // row count as load, so that one that claims to be idle while requests fail is
 // passed over.
-func (g *Group) load(m *member, now time.Time) float64 {
+func (g *Balancer) load(m *member, now time.Time) float64 {
 	return (g.estimate(m, now) + float64(m.failures)) / g.slots(m, now)
 }
 
-func (g *Group) hasSlot(m *member, now time.Time) bool {
+func (g *Balancer) hasSlot(m *member, now time.Time) bool {
 	if now.Before(m.shedUntil) || !m.withinRate(now) {
 		return false
 	}
@@ -39,7 +39,7 @@
 // at least one. One that fails again and again, but may not be ejected because
 // too many others are, gets one at a time: enough to see when it is well again,
 // while the rest goes to other regions.
-func (g *Group) slots(m *member, now time.Time) float64 {
+func (g *Balancer) slots(m *member, now time.Time) float64 {
 	if m.failures >= ejectAfter {
 		return 1
 	}
@@ -53,7 +53,7 @@
 
 // updateMean keeps the mean load by others. An upstream without a fresh report
 // counts as idle, so that one report of a full one does not fill them all.
-func (g *Group) updateMean(now time.Time) {
+func (g *Balancer) updateMean(now time.Time) {
 	var others, slots float64
 	for _, m := range g.all {
 		slots += float64(max(m.Slots, 1))
--- a/internal/balance/outlier.go
+++ b/internal/balance/outlier.go
@@ -21,13 +21,13 @@
 // never came do not count: they may be lost on the way, at an upstream that is well,
 // and its objects would be cold elsewhere.
 type Outcomes struct {
-	// Failed are those that got the upstream's own failure or no connection, Answered
+	// Failed are those that got the upstream's own failure or no connection, Total
 	// all.
-	Failed, Answered float64
+	Failed, Total float64
 }
 
 func (o Outcomes) plus(p Outcomes) Outcomes {
-	return Outcomes{o.Failed + p.Failed, o.Answered + p.Answered}
+	return Outcomes{o.Failed + p.Failed, o.Total + p.Total}
 }
 
 // recent are outcomes as of a time.
@@ -39,12 +39,12 @@
 // now returns the outcomes as they count at a later time.
 func (r recent) now(now time.Time) Outcomes {
 	w := math.Exp(-float64(now.Sub(r.at)) / float64(outcomeDecay))
-	return Outcomes{w * r.Failed, w * r.Answered}
+	return Outcomes{w * r.Failed, w * r.Total}
 }
 
 // countOutcome adds one outcome of the own requests.
 func (m *member) countOutcome(now time.Time, failed bool) {
-	sum := m.outcomes.now(now).plus(Outcomes{Answered: 1})
+	sum := m.outcomes.now(now).plus(Outcomes{Total: 1})
 	if failed {
 		sum.Failed++
 	}
@@ -60,7 +60,7 @@
 	for _, o := range m.peerOutcomes {
 		sum = sum.plus(o)
 	}
-	if sum.Failed >= outlierFailures && sum.Failed >= outlierShare*sum.Answered {
+	if sum.Failed >= outlierFailures && sum.Failed >= outlierShare*sum.Total {
 		m.outlierUntil = now.Add(outlierFor)
 	}
 }
@@ -81,7 +81,7 @@
 }
 
 // countedOutcomes sums up the outcomes of the entries that are asked for.
-func (m *member) countedOutcomes(whose Counted, now time.Time) Outcomes {
+func (m *member) countedOutcomes(whose EntryFilter, now time.Time) Outcomes {
 	var sum Outcomes
 	if whose.Own {
 		sum = m.outcomes.now(now)
--- a/internal/balance/peers.go
+++ b/internal/balance/peers.go
@@ -8,9 +8,9 @@
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
-// LifeKey names a life of an upstream in reports, so that what peers tell of an earlier
+// IncarnationKey names a life of an upstream in reports, so that what peers tell of an earlier
 // one is not taken for news of it.
-func LifeKey(u *model.Upstream) uint32 {
+func IncarnationKey(u *model.Upstream) uint32 {
 	id := xxhash.Sum64String(u.ID)
 	if u.Born == 0 {
 		return uint32(id)
@@ -18,8 +18,8 @@
 	return uint32(mix(id ^ uint64(u.Born)))
 }
 
-// Counted says whose requests are asked for.
-type Counted struct {
+// EntryFilter says whose requests are asked for.
+type EntryFilter struct {
 	// Own is set for those of this entry.
 	Own bool
 	// Peers reports whether those that a peer told of are meant; nil means none.
@@ -33,9 +33,9 @@
 	Outcomes
 }
 
-// LoadAt calls visit with what the entries that are asked for have at each upstream
+// VisitLoads calls visit with what the entries that are asked for have at each upstream
 // at which they have requests or had failures.
-func (g *Group) LoadAt(now time.Time, whose Counted, visit func(upstream uint32, l Load)) {
+func (g *Balancer) VisitLoads(now time.Time, whose EntryFilter, visit func(upstream uint32, l Load)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, m := range g.all {
@@ -46,7 +46,7 @@
 	}
 }
 
-func (m *member) count(whose Counted) int {
+func (m *member) count(whose EntryFilter) int {
 	n := 0
 	if whose.Own {
 		n = m.inFlight
@@ -67,11 +67,11 @@
 type PeerLoad struct {
 	Peer        string
 	First, Last uint32
-	At          map[uint32]Load
+	Loads       map[uint32]Load
 }
 
-// Heard takes in what a peer told.
-func (g *Group) Heard(now time.Time, p PeerLoad) {
+// ApplyPeerLoad takes in what a peer told.
+func (g *Balancer) ApplyPeerLoad(now time.Time, p PeerLoad) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.heard[p.Peer] = now
@@ -80,7 +80,7 @@
 		if h < p.First || h > p.Last {
 			continue
 		}
-		l := p.At[h]
+		l := p.Loads[h]
 		if was := m.byPeer[p.Peer]; was != l.Requests {
 			m.setPeer(p.Peer, l.Requests)
 		}
@@ -90,7 +90,7 @@
 }
 
 // forgetSilent drops what peers said that have been silent for too long.
-func (g *Group) forgetSilent(now time.Time) {
+func (g *Balancer) forgetSilent(now time.Time) {
 	for peer, at := range g.heard {
 		if now.Sub(at) < peerFresh {
 			continue
--- a/internal/balance/placement.go
+++ b/internal/balance/placement.go
@@ -25,16 +25,16 @@
 
 // byPlace returns the usable upstreams in the object's order. The result holds until the
 // next call.
-func (g *Group) byPlace(now time.Time, req ObjectRequest) []candidate {
+func (g *Balancer) byPlace(now time.Time, req ObjectRequest) []candidate {
 	all := g.candidatesOf(now, req)
 	slices.SortFunc(all, byPlaceOrder)
-	return g.markHome(all, req.Spread)
+	return g.markHome(all, req.NoAffinity)
 }
 
 // front returns the first n usable upstreams in the object's order. It selects rather than
 // sorts: each request comes here, and a service may have a thousand upstreams. The result
 // holds until the next call.
-func (g *Group) front(now time.Time, req ObjectRequest, n int) []candidate {
+func (g *Balancer) front(now time.Time, req ObjectRequest, n int) []candidate {
 	all := g.candidatesOf(now, req)
 	n = min(n, len(all))
 	for i, c := range all {
@@ -49,7 +49,7 @@
 		}
 		all[j] = c
 	}
-	return g.markHome(all[:n], req.Spread)
+	return g.markHome(all[:n], req.NoAffinity)
 }
 
 func byPlaceOrder(a, b candidate) int { return cmp.Compare(a.place, b.place) }
@@ -57,7 +57,7 @@
 // candidatesOf returns the usable upstreams in no order. Silent and failing ones are left
 // out, unless most are: then it is more likely that this entry is cut off. The result
 // holds until the next call.
-func (g *Group) candidatesOf(now time.Time, req ObjectRequest) []candidate {
+func (g *Balancer) candidatesOf(now time.Time, req ObjectRequest) []candidate {
 	all, answering := g.scratch.all[:0], g.scratch.answering[:0]
 	for _, m := range g.all {
 		if !g.usable(m, now, req) {
@@ -77,7 +77,7 @@
 }
 
 // usable reports whether an upstream may get the request at all.
-func (g *Group) usable(m *member, now time.Time, req ObjectRequest) bool {
+func (g *Balancer) usable(m *member, now time.Time, req ObjectRequest) bool {
 	if m.ejected(now) || g.leaves(m, now) || slices.Contains(req.Tried, m.ID) {
 		return false
 	}
--- a/internal/balance/placement_test.go
+++ b/internal/balance/placement_test.go
@@ -59,6 +59,6 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		g.Done(t0, c, Report{Result: Abandoned, Load: -1})
+		g.Done(t0, c, DoneInfo{Result: Abandoned, Load: -1})
 	}
 }
--- a/internal/balance/ratelimit.go
+++ b/internal/balance/ratelimit.go
@@ -16,8 +16,8 @@
 	rateNewsFor = time.Second
 )
 
-// Rate is what an answer says of the requests that its upstream takes.
-type Rate struct {
+// RateLimit is what an answer says of the requests that its upstream takes.
+type RateLimit struct {
 	// Known is set if the answer tells, by naming a limit or by naming none.
 	Known bool
 	// PerSecond is the limit over all entries, or ratelimit.Unlimited.
@@ -40,8 +40,8 @@
 // Unwrap returns ErrNoSlot, of which a LimitError is a kind.
 func (e *LimitError) Unwrap() error { return ErrNoSlot }
 
-// RateNews is what an entry knows of the limit of an upstream.
-type RateNews struct {
+// LimitUpdate is what an entry knows of the limit of an upstream.
+type LimitUpdate struct {
 	// Upstream is as LifeKey gives it.
 	Upstream uint32
 	// PerSecond is the limit, or ratelimit.Unlimited, and Version that of the value.
@@ -55,20 +55,20 @@
 	Changed bool
 }
 
-// OnRateNews has a function called when others are to hear at once of a request to an upstream
+// OnLimitUpdate has a function called when others are to hear at once of a request to an upstream
 // with a limit, or of a limit that has changed. It must be quick.
-func (g *Group) OnRateNews(notify func()) { g.notify = notify }
+func (g *Balancer) OnLimitUpdate(notify func()) { g.notify = notify }
 
-// NoteRate takes in what the answer to a Choice says of its upstream's limit. It reports whether
+// ObserveLimit takes in what the answer to a Choice says of its upstream's limit. It reports whether
 // that has changed.
-func (g *Group) NoteRate(now time.Time, c Choice, r Rate) bool {
+func (g *Balancer) ObserveLimit(now time.Time, c Choice, r RateLimit) bool {
 	if !r.Known || r.PerSecond == ratelimit.Unlimited && g.limited.Load() == 0 {
 		return false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := c.to
-	if m.restarted || m.gone || !m.rate.Answered(ratelimit.Round(r.PerSecond), c.Picked, now) {
+	if m.restarted || m.gone || !m.rate.Answered(ratelimit.Round(r.PerSecond), c.PickedAt, now) {
 		return false
 	}
 	g.limitChanged(m, now)
@@ -76,7 +76,7 @@
 }
 
 // limitChanged brings the bucket of an upstream up to its limit.
-func (g *Group) limitChanged(m *member, now time.Time) {
+func (g *Balancer) limitChanged(m *member, now time.Time) {
 	limited := m.rate.Limited()
 	switch {
 	case !limited && m.bucket != nil:
@@ -100,13 +100,13 @@
 }
 
 // tellLimit has all others told of a limit for a while.
-func (g *Group) tellLimit(m *member, now time.Time) {
+func (g *Balancer) tellLimit(m *member, now time.Time) {
 	m.limitNewsUntil = now.Add(rateNewsFor)
 	g.limitNewsUntil = m.limitNewsUntil
 }
 
 // hasRateNews has others told of an upstream at once.
-func (g *Group) hasRateNews(m *member) {
+func (g *Balancer) hasRateNews(m *member) {
 	m.rateUntold = true
 	if g.notify != nil {
 		g.notify()
@@ -114,7 +114,7 @@
 }
 
 // dropLimit forgets the limit of a life that is over.
-func (g *Group) dropLimit(m *member) {
+func (g *Balancer) dropLimit(m *member) {
 	if m.bucket != nil {
 		m.bucket = nil
 		g.limited.Add(-1)
@@ -122,7 +122,7 @@
 }
 
 // setSenders brings the senders of the upstreams with limits up to date.
-func (g *Group) setSenders(now time.Time) {
+func (g *Balancer) setSenders(now time.Time) {
 	if g.limited.Load() == 0 {
 		return
 	}
@@ -135,7 +135,7 @@
 
 // senders returns the ids of the entries that share the limit of an upstream, the nearest. All
 // entries work out the same.
-func (g *Group) senders(m *member) []string {
+func (g *Balancer) senders(m *member) []string {
 	if g.retired {
 		return nil
 	}
@@ -149,7 +149,7 @@
 
 // Retire takes this entry from the senders of all upstreams with limits, as it is about to
 // leave and others do not hear of its requests any more.
-func (g *Group) Retire(now time.Time) {
+func (g *Balancer) Retire(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.retired = true
@@ -162,7 +162,7 @@
 
 // markHome marks which of the candidates of an object, in its order, is its home: the first, if it
 // is in the region of this entry. A request without an object is at home in the whole region.
-func (g *Group) markHome(cs []candidate, spread bool) []candidate {
+func (g *Balancer) markHome(cs []candidate, spread bool) []candidate {
 	for i := range cs {
 		cs[i].spills = i > 0 && !spread || cs[i].m.Region != g.home
 	}
@@ -184,7 +184,7 @@
 }
 
 // spendRate counts a request against the limit of its upstream.
-func (g *Group) spendRate(m *member, now time.Time) {
+func (g *Balancer) spendRate(m *member, now time.Time) {
 	if m.bucket == nil {
 		return
 	}
@@ -195,7 +195,7 @@
 
 // limitError returns the error for a request that the limits of all candidates leave no room
 // for.
-func (g *Group) limitError(now time.Time, ranked []candidate) error {
+func (g *Balancer) limitError(now time.Time, ranked []candidate) error {
 	var first *member
 	least := time.Duration(math.MaxInt64)
 	for _, c := range ranked {
@@ -210,21 +210,21 @@
 	return &LimitError{Upstream: first.ID, PerSecond: first.rate.PerSecond(), RetryAfter: first.bucket.Reserve(least, now)}
 }
 
-// NewsScope says of which limits others are told.
-type NewsScope int
+// UpdateScope says of which limits others are told.
+type UpdateScope int
 
 // The scopes.
 const (
-	// NewsUntold is what has not been told to anyone.
-	NewsUntold NewsScope = iota
-	// NewsRecent is what has changed of late.
-	NewsRecent
-	// NewsAll is all limits, and what has changed of late.
-	NewsAll
+	// UnsentUpdates is what has not been told to anyone.
+	UnsentUpdates UpdateScope = iota
+	// RecentUpdates is what has changed of late.
+	RecentUpdates
+	// AllUpdates is all limits, and what has changed of late.
+	AllUpdates
 )
 
-// RateNews calls visit with what others are to be told.
-func (g *Group) RateNews(now time.Time, scope NewsScope, visit func(RateNews)) {
+// VisitLimitUpdates calls visit with what others are to be told.
+func (g *Balancer) VisitLimitUpdates(now time.Time, scope UpdateScope, visit func(LimitUpdate)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.limited.Load() == 0 && !now.Before(g.limitNewsUntil) {
@@ -234,7 +234,7 @@
 		if !g.isNews(m, now, scope) {
 			continue
 		}
-		n := RateNews{Upstream: m.key, PerSecond: m.rate.PerSecond(), Version: m.rate.Version(), Changed: m.limitUntold}
+		n := LimitUpdate{Upstream: m.key, PerSecond: m.rate.PerSecond(), Version: m.rate.Version(), Changed: m.limitUntold}
 		m.rateUntold, m.limitUntold = false, false
 		if m.bucket != nil && m.bucket.Sender() {
 			n.Sent = m.bucket.Sent()
@@ -244,16 +244,16 @@
 	}
 }
 
-func (g *Group) isNews(m *member, now time.Time, scope NewsScope) bool {
-	if scope == NewsUntold {
+func (g *Balancer) isNews(m *member, now time.Time, scope UpdateScope) bool {
+	if scope == UnsentUpdates {
 		return m.rateUntold
 	}
-	return m.rateUntold || now.Before(m.limitNewsUntil) || m.bucket != nil && (scope == NewsAll || now.Sub(m.spentAt) < rateNewsFor)
+	return m.rateUntold || now.Before(m.limitNewsUntil) || m.bucket != nil && (scope == AllUpdates || now.Sub(m.spentAt) < rateNewsFor)
 }
 
-// RateSenders calls visit with the ids of the other senders of upstreams to which this entry
+// VisitLimitSenders calls visit with the ids of the other senders of upstreams to which this entry
 // may send.
-func (g *Group) RateSenders(visit func(id string)) {
+func (g *Balancer) VisitLimitSenders(visit func(id string)) {
 	if g.limited.Load() == 0 {
 		return
 	}
@@ -266,11 +266,11 @@
 	}
 }
 
-// HeardRates takes in what a peer told of limits, in one of its lives.
-func (g *Group) HeardRates(now time.Time, peer string, life uint64, told []RateNews) {
+// ApplyPeerLimits takes in what a peer told of limits, in one of its lives.
+func (g *Balancer) ApplyPeerLimits(now time.Time, peer string, life uint64, told []LimitUpdate) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	byKey := make(map[uint32]RateNews, len(told))
+	byKey := make(map[uint32]LimitUpdate, len(told))
 	for _, n := range told {
 		byKey[n.Upstream] = n
 	}
@@ -283,7 +283,7 @@
 	}
 }
 
-func (g *Group) heardRate(m *member, now time.Time, peer string, life uint64, n RateNews) {
+func (g *Balancer) heardRate(m *member, now time.Time, peer string, life uint64, n LimitUpdate) {
 	switch m.rate.Merge(n.PerSecond, n.Version, now) {
 	case ratelimit.Newer:
 		g.limitChanged(m, now)
@@ -296,8 +296,8 @@
 	}
 }
 
-// RateStatus is the limit of one upstream as this entry sees it, for metrics and dumps.
-type RateStatus struct {
+// LimitStatus is the limit of one upstream as this entry sees it, for metrics and dumps.
+type LimitStatus struct {
 	Upstream  string  `json:"upstream"`
 	PerSecond float64 `json:"per_s"`
 	Version   uint32  `json:"version"`
@@ -308,16 +308,16 @@
 	Sent   uint32 `json:"sent"`
 }
 
-// Rates returns the limits of upstreams, at most n.
-func (g *Group) Rates(now time.Time, n int) []RateStatus {
+// LimitStatuses returns the limits of upstreams, at most n.
+func (g *Balancer) LimitStatuses(now time.Time, n int) []LimitStatus {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var out []RateStatus
+	var out []LimitStatus
 	for _, m := range g.all {
 		if m.bucket == nil || len(out) == n {
 			continue
 		}
-		out = append(out, RateStatus{m.ID, m.rate.PerSecond(), m.rate.Version(), m.bucket.Level(now), m.bucket.Sender(), m.bucket.Sent()})
+		out = append(out, LimitStatus{m.ID, m.rate.PerSecond(), m.rate.Version(), m.bucket.Level(now), m.bucket.Sender(), m.bucket.Sent()})
 	}
 	return out
 }
--- a/internal/balance/ratelimit_bench_test.go
+++ b/internal/balance/ratelimit_bench_test.go
@@ -10,7 +10,7 @@
 
 // benchmarkPick measures a request at one of four entries and 216 upstreams, from its pick to its
 // answer.
-func benchmarkPick(b *testing.B, prepare func(g *Group, now time.Time), answered func(g *Group, now time.Time, c Choice)) {
+func benchmarkPick(b *testing.B, prepare func(g *Balancer, now time.Time), answered func(g *Balancer, now time.Time, c Choice)) {
 	s, entries := site(54, 8)
 	g := groupAt(s, entries, entries[0])
 	prepare(g, t0)
@@ -22,36 +22,36 @@
 			b.Fatal(err)
 		}
 		answered(g, now, c)
-		g.Done(now, c, Report{Result: OK, Load: 0, Waiting: 0})
+		g.Done(now, c, DoneInfo{Result: OK, Load: 0, Waiting: 0})
 	}
 }
 
 func BenchmarkPick(b *testing.B) {
-	benchmarkPick(b, func(*Group, time.Time) {}, func(*Group, time.Time, Choice) {})
+	benchmarkPick(b, func(*Balancer, time.Time) {}, func(*Balancer, time.Time, Choice) {})
 }
 
 // BenchmarkPickWithoutLimits is the same with answers that name no limit.
 func BenchmarkPickWithoutLimits(b *testing.B) {
-	benchmarkPick(b, func(*Group, time.Time) {}, func(g *Group, now time.Time, c Choice) {
-		g.NoteRate(now, c, Rate{Known: true, PerSecond: ratelimit.Unlimited})
+	benchmarkPick(b, func(*Balancer, time.Time) {}, func(g *Balancer, now time.Time, c Choice) {
+		g.ObserveLimit(now, c, RateLimit{Known: true, PerSecond: ratelimit.Unlimited})
 	})
 }
 
 // BenchmarkPickWithLimits is the same while a third of the upstreams name a limit.
 func BenchmarkPickWithLimits(b *testing.B) {
 	limited := make(map[string]bool)
-	benchmarkPick(b, func(g *Group, now time.Time) {
+	benchmarkPick(b, func(g *Balancer, now time.Time) {
 		for i, m := range g.all {
 			if i%3 == 0 {
 				limited[m.ID] = true
-				g.NoteRate(now, Choice{Upstream: m.Upstream, Picked: now, to: m}, Rate{Known: true, PerSecond: 3})
+				g.ObserveLimit(now, Choice{Upstream: m.Upstream, PickedAt: now, to: m}, RateLimit{Known: true, PerSecond: 3})
 			}
 		}
-	}, func(g *Group, now time.Time, c Choice) {
-		r := Rate{Known: true, PerSecond: ratelimit.Unlimited}
+	}, func(g *Balancer, now time.Time, c Choice) {
+		r := RateLimit{Known: true, PerSecond: ratelimit.Unlimited}
 		if limited[c.ID] {
 			r.PerSecond = 3
 		}
-		g.NoteRate(now, c, r)
+		g.ObserveLimit(now, c, r)
 	})
 }
--- a/internal/balance/ratelimit_fleet_test.go
+++ b/internal/balance/ratelimit_fleet_test.go
@@ -34,7 +34,7 @@
 // limitedEntry is one entry of a fleet.
 type limitedEntry struct {
 	model.Member
-	group *Group
+	group *Balancer
 	life  uint64
 	dead  bool
 	// frozen is until when the entry stands still; what comes meanwhile waits.
@@ -112,9 +112,9 @@
 func (f *limitFleet) start(e *limitedEntry) {
 	e.life = uint64(f.agenda.Now().UnixMilli())
 	e.dead, e.frozen, e.urgent = false, time.Time{}, false
-	e.group = NewGroup()
+	e.group = NewBalancer()
 	life := e.life
-	e.group.OnRateNews(func() {
+	e.group.OnLimitUpdate(func() {
 		if e.urgent {
 			return
 		}
@@ -136,7 +136,7 @@
 		f.after(delay(e.Region, to.Region), func() {
 			f.whenAwake(to, toLife, func() {
 				if e.life == life {
-					f.send(to, e, f.news(to, NewsAll))
+					f.send(to, e, f.news(to, AllUpdates))
 				}
 			})
 		})
@@ -151,7 +151,7 @@
 			members = append(members, o.Member)
 		}
 	}
-	e.group.Update(Input{Service: f.service, Draining: never, Self: e.ID, Home: e.Region, Domain: e.Domain, Entries: members}, f.agenda.Now())
+	e.group.Update(ServiceState{Service: f.service, Draining: never, Self: e.ID, Region: e.Region, Domain: e.Domain, Entries: members}, f.agenda.Now())
 }
 
 // membersChanged has all entries that are not cut off from the store learn the members.
@@ -206,36 +206,36 @@
 	return fleetFar
 }
 
-func (f *limitFleet) send(from, to *limitedEntry, news []RateNews) {
+func (f *limitFleet) send(from, to *limitedEntry, news []LimitUpdate) {
 	f.messages++
 	if f.rnd.Float64() < fleetLost || from.island != to.island || to.dead {
 		return
 	}
 	life, fromLife := to.life, from.life
 	f.after(delay(from.Region, to.Region), func() {
-		f.whenAwake(to, life, func() { to.group.HeardRates(f.agenda.Now(), from.ID, fromLife, news) })
+		f.whenAwake(to, life, func() { to.group.ApplyPeerLimits(f.agenda.Now(), from.ID, fromLife, news) })
 	})
 }
 
 func (f *limitFleet) tellUrgent(e *limitedEntry) {
 	e.urgent = false
-	news := f.news(e, NewsUntold)
+	news := f.news(e, UnsentUpdates)
 	f.tellSenders(e, news, nil)
-	changed := slices.DeleteFunc(news, func(n RateNews) bool { return !n.Changed })
+	changed := slices.DeleteFunc(news, func(n LimitUpdate) bool { return !n.Changed })
 	if len(changed) > 0 && f.agenda.Now().Sub(e.changesTold) >= fleetChanges {
 		e.changesTold = f.agenda.Now()
 		f.tellListeners(e, changed)
 	}
 }
 
-func (f *limitFleet) news(e *limitedEntry, scope NewsScope) (out []RateNews) {
-	e.group.RateNews(f.agenda.Now(), scope, func(n RateNews) { out = append(out, n) })
+func (f *limitFleet) news(e *limitedEntry, scope UpdateScope) (out []LimitUpdate) {
+	e.group.VisitLimitUpdates(f.agenda.Now(), scope, func(n LimitUpdate) { out = append(out, n) })
 	return out
 }
 
-func (f *limitFleet) tellSenders(e *limitedEntry, news []RateNews, always map[string]bool) {
+func (f *limitFleet) tellSenders(e *limitedEntry, news []LimitUpdate, always map[string]bool) {
 	for _, to := range f.entries {
-		var shared []RateNews
+		var shared []LimitUpdate
 		for _, n := range news {
 			for _, id := range n.Senders {
 				if id == to.ID {
@@ -259,20 +259,20 @@
 	if f.agenda.Now().Before(e.frozen) {
 		return
 	}
-	scope := NewsRecent
+	scope := RecentUpdates
 	if e.told++; e.told%fleetTellAll == 0 {
-		scope = NewsAll
+		scope = AllUpdates
 	}
 	news := f.news(e, scope)
 	always := make(map[string]bool)
-	e.group.RateSenders(func(id string) { always[id] = true })
+	e.group.VisitLimitSenders(func(id string) { always[id] = true })
 	f.tellSenders(e, news, always)
 	if len(news) > 0 {
 		f.tellListeners(e, news)
 	}
 }
 
-func (f *limitFleet) tellListeners(e *limitedEntry, news []RateNews) {
+func (f *limitFleet) tellListeners(e *limitedEntry, news []LimitUpdate) {
 	for _, to := range f.entries {
 		if to != e && f.listens(e, to) {
 			f.send(e, to, news)
@@ -341,11 +341,11 @@
 	work := time.Duration((0.5 + f.rnd.Float64()) * float64(f.work))
 	f.after(way, func() { f.arrivals[c.ID] = append(f.arrivals[c.ID], f.since()) })
 	f.after(way+work, func() {
-		rate := Rate{Known: true, PerSecond: f.limitOf(c.ID, f.since())}
+		rate := RateLimit{Known: true, PerSecond: f.limitOf(c.ID, f.since())}
 		f.after(way, func() {
 			f.whenAwake(e, life, func() {
-				g.NoteRate(f.agenda.Now(), c, rate)
-				g.Done(f.agenda.Now(), c, Report{Result: OK, Load: -1, Waiting: -1})
+				g.ObserveLimit(f.agenda.Now(), c, rate)
+				g.Done(f.agenda.Now(), c, DoneInfo{Result: OK, Load: -1, Waiting: -1})
 			})
 		})
 	})
--- a/internal/balance/ratelimit_test.go
+++ b/internal/balance/ratelimit_test.go
@@ -251,7 +251,7 @@
 
 // limitedPair is a Group with two upstreams of one region of which the first takes a number of
 // requests a second, and the time at which its bucket is full.
-func limitedPair(t *testing.T, perSecond float64) (*Group, time.Time) {
+func limitedPair(t *testing.T, perSecond float64) (*Balancer, time.Time) {
 	t.Helper()
 	s, _ := site(1, 8)
 	s.Upstreams = s.Upstreams[:2]
@@ -262,26 +262,26 @@
 }
 
 // name has an upstream name a limit in an answer.
-func name(t *testing.T, g *Group, upstream string, perSecond float64, now time.Time) {
+func name(t *testing.T, g *Balancer, upstream string, perSecond float64, now time.Time) {
 	t.Helper()
 	m := g.byID[upstream]
-	g.NoteRate(now, Choice{Upstream: m.Upstream, Picked: now, to: m}, Rate{Known: true, PerSecond: perSecond})
+	g.ObserveLimit(now, Choice{Upstream: m.Upstream, PickedAt: now, to: m}, RateLimit{Known: true, PerSecond: perSecond})
 }
 
 // TestEveryWayToSendKeepsToTheLimit sends as much as it may, in each way, at one moment.
 func TestEveryWayToSendKeepsToTheLimit(t *testing.T) {
-	object := func(change func(*ObjectRequest)) func(*Group, time.Time, int) (Choice, error) {
-		return func(g *Group, now time.Time, i int) (Choice, error) {
+	object := func(change func(*ObjectRequest)) func(*Balancer, time.Time, int) (Choice, error) {
+		return func(g *Balancer, now time.Time, i int) (Choice, error) {
 			req := ObjectRequest{Object: HashObject("c", fmt.Sprint(i)), Class: "c", Objective: time.Second}
 			change(&req)
 			return g.PickObject(now, req)
 		}
 	}
-	for name, pick := range map[string]func(*Group, time.Time, int) (Choice, error){
+	for name, pick := range map[string]func(*Balancer, time.Time, int) (Choice, error){
 		"by object":       object(func(*ObjectRequest) {}),
-		"spread":          object(func(r *ObjectRequest) { r.Spread = true }),
+		"spread":          object(func(r *ObjectRequest) { r.NoAffinity = true }),
 		"after the other": object(func(r *ObjectRequest) { r.Tried = []string{"muscat-b-0"} }),
-		"by service": func(g *Group, now time.Time, _ int) (Choice, error) {
+		"by service": func(g *Balancer, now time.Time, _ int) (Choice, error) {
 			return g.Pick(now, rand.New(rand.NewPCG(1, 2)), Request{Regions: []string{"muscat"}})
 		},
 	} {
@@ -296,7 +296,7 @@
 				sent++
 			}
 			// Refused without having run, it has reached the upstream all the same.
-			g.Done(now, c, Report{Result: ShedIdle, Load: 0, Waiting: 0})
+			g.Done(now, c, DoneInfo{Result: ShedIdle, Load: 0, Waiting: 0})
 		}
 		if sent == 0 || sent > 2 {
 			t.Errorf("%s: %d requests at one moment at a limit of 2 a second", name, sent)
@@ -334,7 +334,7 @@
 // TestLimitBelongsToOneLife has an upstream that named a limit start again under its id.
 func TestLimitBelongsToOneLife(t *testing.T) {
 	now := t0
-	g := NewGroup()
+	g := NewBalancer()
 	g.Update(restartable(1000), now)
 	earlier := g.byID["u1"]
 	name(t, g, "u1", 0.1, now)
@@ -342,8 +342,8 @@
 	if g.byID["u1"].rate.Limited() || g.limited.Load() != 0 {
 		t.Error("the new life is limited")
 	}
-	g.NoteRate(now, Choice{Upstream: earlier.Upstream, Picked: now, to: earlier}, Rate{Known: true, PerSecond: 0.2})
-	g.HeardRates(now, "e2", 1, []RateNews{{Upstream: earlier.key, PerSecond: 0.1, Version: 9}})
+	g.ObserveLimit(now, Choice{Upstream: earlier.Upstream, PickedAt: now, to: earlier}, RateLimit{Known: true, PerSecond: 0.2})
+	g.ApplyPeerLimits(now, "e2", 1, []LimitUpdate{{Upstream: earlier.key, PerSecond: 0.1, Version: 9}})
 	if g.byID["u1"].rate.Limited() || g.limited.Load() != 0 {
 		t.Error("word of the earlier life limits the new one")
 	}
@@ -359,7 +359,7 @@
 		if err != nil || c.ID != "muscat-b-0" {
 			t.Fatalf("picked %s, %v", c.ID, err)
 		}
-		g.Done(now, c, Report{Result: Abandoned, Load: -1, Waiting: -1})
+		g.Done(now, c, DoneInfo{Result: Abandoned, Load: -1, Waiting: -1})
 	}
 }
 
@@ -375,16 +375,16 @@
 	// b tells a all the while that it is there.
 	tick := func(d time.Duration) {
 		for end := now.Add(d); now.Before(end); now = now.Add(100 * time.Millisecond) {
-			a.HeardRates(now, "b", 1, nil)
-			b.HeardRates(now, "a", 1, nil)
+			a.ApplyPeerLimits(now, "b", 1, nil)
+			b.ApplyPeerLimits(now, "a", 1, nil)
 		}
 	}
 	tell := func() {
-		a.RateNews(now, NewsAll, func(n RateNews) { b.HeardRates(now, "a", 1, []RateNews{n}) })
+		a.VisitLimitUpdates(now, AllUpdates, func(n LimitUpdate) { b.ApplyPeerLimits(now, "a", 1, []LimitUpdate{n}) })
 	}
 	send := func() {
 		if c, err := a.PickObject(now, ObjectRequest{Object: 1, Class: "c"}); err == nil {
-			a.Done(now, c, Report{Result: Abandoned, Load: -1, Waiting: -1})
+			a.Done(now, c, DoneInfo{Result: Abandoned, Load: -1, Waiting: -1})
 		} else {
 			t.Fatal(err)
 		}
@@ -402,10 +402,10 @@
 	tell()
 	tick(2 * time.Second)
 	tell()
-	before := b.Rates(now, 1)[0].Level
+	before := b.LimitStatuses(now, 1)[0].Level
 	send()
 	tell()
-	if got := b.Rates(now, 1)[0].Level; got > before-1 {
+	if got := b.LimitStatuses(now, 1)[0].Level; got > before-1 {
 		t.Errorf("level %v at the other sender after a request, %v before", got, before)
 	}
 }
--- a/internal/balance/regions.go
+++ b/internal/balance/regions.go
@@ -49,7 +49,7 @@
 
 // weigh sets the weights of the upstreams for the requests of the own region: by the
 // shares of the regions, and within a region by slots.
-func (g *Group) weigh(now time.Time, home string, demand map[string]float64) {
+func (g *Balancer) weigh(now time.Time, home string, demand map[string]float64) {
 	capacity := g.capacityByRegion(now)
 	share := spread(home, capacity, demand)
 	for _, m := range g.all {
@@ -62,7 +62,7 @@
 // of a failure domain that is being emptied are no capacity: a region that loses half
 // of its upstreams to that and keeps all its requests refuses every second one while
 // others have slots to spare.
-func (g *Group) capacityByRegion(now time.Time) map[string]float64 {
+func (g *Balancer) capacityByRegion(now time.Time) map[string]float64 {
 	capacity := make(map[string]float64)
 	for _, m := range g.all {
 		if !g.leaves(m, now) {
--- a/internal/balance/regions_test.go
+++ b/internal/balance/regions_test.go
@@ -14,13 +14,13 @@
 // of its objects must go to the other region until the domain is back.
 func TestDrainedDomainIsNoCapacity(t *testing.T) {
 	s, entries := site(4, 8)
-	g := NewGroup()
+	g := NewBalancer()
 	for i, tt := range []struct {
 		drained string
 		far     float64
 	}{{"", 0}, {"muscat-a", 1.0 / 3}, {"", 0}} {
 		drains := func(u *model.Upstream, _ time.Time) bool { return u.Domain == tt.drained }
-		g.Update(Input{Service: s, Draining: drains, Self: entries[0].ID, Home: "muscat", Domain: "muscat-a", Entries: entries}, t0)
+		g.Update(ServiceState{Service: s, Draining: drains, Self: entries[0].ID, Region: "muscat", Domain: "muscat-a", Entries: entries}, t0)
 		const objects = 2000
 		n := 0
 		for o := range objects {
--- a/internal/balance/restart_test.go
+++ b/internal/balance/restart_test.go
@@ -8,11 +8,11 @@
 )
 
 // restartable returns an update of a group to one upstream in a given life.
-func restartable(born int64) Input {
-	return Input{
+func restartable(born int64) ServiceState {
+	return ServiceState{
 		Service:  &model.Service{Warmup: 3 * time.Second, Upstreams: []model.Upstream{{ID: "u1", Region: "m", Domain: "m1", Address: "10.0.0.1:80", Slots: 4, Born: born}}},
 		Draining: func(*model.Upstream, time.Time) bool { return false },
-		Self:     "e1", Home: "m", Domain: "m1",
+		Self:     "e1", Region: "m", Domain: "m1",
 		Entries: []model.Member{{ID: "e1", Region: "m", Domain: "m1"}},
 	}
 }
@@ -21,20 +21,20 @@
 // again under its id: nothing of its earlier life counts.
 func TestRestartUnderTheSameID(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
-	g := NewGroup()
+	g := NewBalancer()
 	g.Update(restartable(1000), now)
 	req := ObjectRequest{Object: 7, Class: "c", Objective: time.Second}
 	warmed, err := g.PickObject(now, req)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.Done(now.Add(time.Second), warmed, Report{Result: OK, Load: -1, Draining: true})
+	g.Done(now.Add(time.Second), warmed, DoneInfo{Result: OK, Load: -1, Draining: true})
 	g.Update(restartable(1000), now)
 	if _, err := g.PickObject(now.Add(time.Second), req); err == nil {
 		t.Fatal("an upstream that said that it drains gets work")
 	}
 	earlier := g.byID["u1"]
-	under := Choice{Upstream: earlier.Upstream, to: earlier, class: "c", object: 7, Picked: now}
+	under := Choice{Upstream: earlier.Upstream, to: earlier, class: "c", object: 7, PickedAt: now}
 	earlier.inFlight, g.inFlight["m"] = 1, 1
 	for range 5 {
 		earlier.countOutcome(now, true)
@@ -49,13 +49,13 @@
 	if err != nil {
 		t.Fatalf("the new life gets no work: %v", err)
 	}
-	if c.Warm || c.Ahead != 0 {
-		t.Errorf("picked with warm = %v, ahead = %v; the new life knows nothing", c.Warm, c.Ahead)
+	if c.Warm || c.Outstanding != 0 {
+		t.Errorf("picked with warm = %v, ahead = %v; the new life knows nothing", c.Warm, c.Outstanding)
 	}
 	// The request of the earlier life ends, broken, and peers still tell of failures there.
-	g.Done(now, under, Report{Result: Unreachable, Load: -1})
-	g.Heard(now, PeerLoad{Peer: "e2", Last: ^uint32(0), At: map[uint32]Load{
-		earlier.key: {Requests: 9, Outcomes: Outcomes{Failed: 9, Answered: 9}},
+	g.Done(now, under, DoneInfo{Result: Unreachable, Load: -1})
+	g.ApplyPeerLoad(now, PeerLoad{Peer: "e2", Last: ^uint32(0), Loads: map[uint32]Load{
+		earlier.key: {Requests: 9, Outcomes: Outcomes{Failed: 9, Total: 9}},
 	}})
 	m := g.byID["u1"]
 	if m.inFlight != 1 || m.atPeers != 0 || m.ejected(now) || m.outlying(now) || g.inFlight["m"] != 1 {
@@ -70,7 +70,7 @@
 // TestRestartWithoutBirth has an upstream that does not tell its birth stay what it is.
 func TestRestartWithoutBirth(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
-	g := NewGroup()
+	g := NewBalancer()
 	for _, born := range []int64{1000, 0, 2000} {
 		if got := g.Update(restartable(born), now); got != nil {
 			t.Errorf("born %d: restarted %v", born, got)
--- /dev/null
+++ b/internal/balance/retry_budget.go
@@ -0,0 +1,41 @@
+package balance
+
+import "sync"
+
+// RetryBudget limits retries to a share of recent requests, so that a region that
+// fails does not double its own load. It is safe for concurrent use.
+type RetryBudget struct {
+	mu     sync.Mutex
+	burst  float64
+	tokens float64
+}
+
+// NewRetryBudget returns a full Budget. Burst is how many retries may be made before
+// any success.
+func NewRetryBudget(burst float64) *RetryBudget { return &RetryBudget{burst: burst, tokens: burst} }
+
+// SetBurst changes how many retries may be saved up.
+func (b *RetryBudget) SetBurst(burst float64) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.burst = burst
+	b.tokens = min(b.burst, b.tokens)
+}
+
+// Deposit adds the share of a retry that one request or success earns.
+func (b *RetryBudget) Deposit(share float64) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.tokens = min(b.burst, b.tokens+share)
+}
+
+// TryWithdraw reports whether one more retry may be made, and counts it.
+func (b *RetryBudget) TryWithdraw() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.tokens < 1 {
+		return false
+	}
+	b.tokens--
+	return true
+}
--- a/internal/balance/warmth.go
+++ b/internal/balance/service_time.go
@@ -46,9 +46,9 @@
 	return least
 }
 
-// Work returns how long requests of a class take at best at an upstream, without waiting
+// ServiceTime returns how long requests of a class take at best at an upstream, without waiting
 // there; 0 until answers have told.
-func (g *Group) Work(class string) time.Duration {
+func (g *Balancer) ServiceTime(class string) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if t := g.byClass[class]; t != nil {
@@ -57,7 +57,7 @@
 	return 0
 }
 
-func (g *Group) times(class string) *times {
+func (g *Balancer) times(class string) *times {
 	t := g.byClass[class]
 	if t == nil {
 		t = new(times)
@@ -91,8 +91,8 @@
 }
 
 // learn takes in how long an answer took.
-func (g *Group) learn(m *member, now time.Time, c Choice, r Report) {
-	if c.class == "" || r.Result != OK || r.Errored {
+func (g *Balancer) learn(m *member, now time.Time, c Choice, r DoneInfo) {
+	if c.class == "" || r.Result != OK || r.ServerError {
 		return
 	}
 	m.remember(c.object, now)
@@ -101,7 +101,7 @@
 		t.bytes = float64(r.Bytes)
 	}
 	t.bytes += bytesWeight * (float64(r.Bytes) - t.bytes)
-	took := now.Sub(c.Picked) - g.roundTrip[c.Region]
+	took := now.Sub(c.PickedAt) - g.roundTrip[c.Region]
 	if !c.unqueued || r.Waiting > 0 || g.cold(m, now) || took <= 0 {
 		return
 	}
--- a/internal/balance/status.go
+++ b/internal/balance/status.go
@@ -8,7 +8,7 @@
 
 // Latency returns the mean latency over the upstreams of a region that have
 // answered, or 0.
-func (g *Group) Latency(region string) time.Duration {
+func (g *Balancer) Latency(region string) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var sum time.Duration
@@ -25,9 +25,9 @@
 	return sum / time.Duration(n)
 }
 
-// Seen returns when an upstream of a region last reported its load, or the zero
+// LastReport returns when an upstream of a region last reported its load, or the zero
 // time.
-func (g *Group) Seen(region string) time.Time {
+func (g *Balancer) LastReport(region string) time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var last time.Time
@@ -40,7 +40,7 @@
 }
 
 // SelfDraining returns the ids of the upstreams that said that they drain.
-func (g *Group) SelfDraining(now time.Time) []string {
+func (g *Balancer) SelfDraining(now time.Time) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var ids []string
@@ -53,7 +53,7 @@
 }
 
 // InFlight returns the own requests in flight at a region's upstreams.
-func (g *Group) InFlight(region string) int {
+func (g *Balancer) InFlight(region string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.inFlight[region]
@@ -72,7 +72,7 @@
 }
 
 // Dump returns the state of all upstreams.
-func (g *Group) Dump(now time.Time) []Status {
+func (g *Balancer) Dump(now time.Time) []Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var out []Status
--- a/internal/balance/owned.go
+++ b/internal/balance/subset.go
@@ -7,11 +7,11 @@
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
-// Owned divides a service's upstreams in a region evenly among the region's
+// Subset divides a service's upstreams in a region evenly among the region's
 // entries and returns those of one entry. All entries work out the same from the
 // same members; while they disagree two may own an upstream, which costs no more
 // than a shed.
-func Owned(upstreams []model.Upstream, region, self string, entries []string) map[string]bool {
+func Subset(upstreams []model.Upstream, region, self string, entries []string) map[string]bool {
 	var ids []string
 	for _, u := range upstreams {
 		if u.Region == region {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -101,7 +101,7 @@
 	klog.InfoS("request", "kind", k, "id", o.ID, "organisation", o.Organisation, "service", o.Service, "route", o.Route, "version", o.Version,
 		"status", o.Status, "verdict", o.Verdict, "reason", o.Reason, "detail", o.Detail, "took", o.Took, "attempts", o.Attempts,
 		"upstream", o.Choice.ID, "region", o.Choice.Region, "rank", o.Choice.Rank, "warm", o.Choice.Warm,
-		"ahead", o.Choice.Ahead, "expected", o.Choice.Expected, "load", o.Told.Load, "waiting", o.Told.Waiting, "left_out", left)
+		"ahead", o.Choice.Outstanding, "expected", o.Choice.ExpectedLatency, "load", o.Told.Load, "waiting", o.Told.Waiting, "left_out", left)
 }
 
 // kindSecondReplica are requests that another than the first upstream of their object
--- a/internal/forward/broken.go
+++ b/internal/forward/broken.go
@@ -74,10 +74,10 @@
 		return false
 	}
 	now := c.now()
-	d := c.poison.Broke(now, cl.head, keys, balance.LifeKey(&to.Upstream))
+	d := c.poison.Broke(now, cl.head, keys, balance.IncarnationKey(&to.Upstream))
 	if left, allowed := brokenLines.Allow(now, "broken"); allowed {
 		klog.InfoS("upstream broke off", "request", cl.ID, "key", uint64(keys.Anyone), "caller_key", uint64(keys.Caller),
-			"upstream", to.ID, "born", to.Born, "under_way", now.Sub(to.Picked), "suspect", d.Suspect, "held", d.Held, "err", err, "left_out", left)
+			"upstream", to.ID, "born", to.Born, "under_way", now.Sub(to.PickedAt), "suspect", d.Suspect, "held", d.Held, "err", err, "left_out", left)
 	}
 	return d.Held
 }
@@ -99,7 +99,7 @@
 	if ans == nil || ans.told.NotRun == ReasonReplaced {
 		return
 	}
-	c.poison.Alive(c.now(), balance.LifeKey(&from.Upstream), from.Picked)
+	c.poison.Alive(c.now(), balance.IncarnationKey(&from.Upstream), from.PickedAt)
 }
 
 // noteAnswered records that an upstream answered the request whole. An answer that came
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -117,7 +117,7 @@
 		req.Object = balance.HashObject(c.Route.Name, c.Object)
 	} else {
 		req.Object = balance.HashObject(c.Route.Name, c.ID)
-		req.Spread = true
+		req.NoAffinity = true
 	}
 	return req
 }
--- a/internal/forward/carrier.go
+++ b/internal/forward/carrier.go
@@ -112,11 +112,11 @@
 
 // lane is the state of one service.
 type lane struct {
-	group  *balance.Group
+	group  *balance.Balancer
 	queue  admit.Queue
-	budget *balance.Budget
+	budget *balance.RetryBudget
 	// sheds limits how often requests go on after a shed.
-	sheds *balance.Budget
+	sheds *balance.RetryBudget
 	shift *shift.Meter
 }
 
@@ -153,9 +153,9 @@
 	now := c.now()
 	for name, svc := range s.Services {
 		l := c.lane(name)
-		restarted := l.group.Update(balance.Input{
-			Service: svc, Draining: s.Draining, Owned: c.owned(s, svc),
-			Self: c.opt.Self, Home: s.Region, Domain: c.opt.Domain, Entries: entriesOf(s),
+		restarted := l.group.Update(balance.ServiceState{
+			Service: svc, Draining: s.Draining, Subset: c.owned(s, svc),
+			Self: c.opt.Self, Region: s.Region, Domain: c.opt.Domain, Entries: entriesOf(s),
 		}, now)
 		c.forget(restarted)
 		if svc.Routed {
@@ -185,7 +185,7 @@
 	for _, m := range s.HomeEntries() {
 		entries = append(entries, m.ID)
 	}
-	return balance.Owned(svc.Upstreams, s.Region, c.opt.Self, entries)
+	return balance.Subset(svc.Upstreams, s.Region, c.opt.Self, entries)
 }
 
 // forgetter is a transport that keeps connections which it can give up.
@@ -222,8 +222,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if l = c.lanes[service]; l == nil {
-		l = &lane{group: balance.NewGroup(), budget: balance.NewBudget(retryBurst), sheds: balance.NewBudget(shedBurst), shift: shift.NewMeter()}
-		l.group.OnRateNews(c.notifyRates)
+		l = &lane{group: balance.NewBalancer(), budget: balance.NewRetryBudget(retryBurst), sheds: balance.NewRetryBudget(shedBurst), shift: shift.NewMeter()}
+		l.group.OnLimitUpdate(c.notifyRates)
 		c.lanes[service] = l
 	}
 	return l
--- a/internal/forward/protocol.go
+++ b/internal/forward/protocol.go
@@ -71,7 +71,7 @@
 	// wait; -1 if the answer does not say.
 	Load, Waiting int
 	// Rate is the limit that the upstream names, or that it names none.
-	Rate balance.Rate
+	Rate balance.RateLimit
 	// Draining is set if the upstream wants no new work.
 	Draining bool
 }
--- a/internal/forward/ratefield.go
+++ b/internal/forward/ratefield.go
@@ -13,16 +13,16 @@
 // if it names several. A field that is no decimal number says nothing, neither that there is a
 // limit nor that there is none; then ok is false and value is the field's. One in the trailer says
 // nothing either.
-func ReadRate(resp *http.Response, field string) (rate balance.Rate, value string, ok bool) {
+func ReadRate(resp *http.Response, field string) (rate balance.RateLimit, value string, ok bool) {
 	if _, inTrailer := resp.Trailer[field]; inTrailer {
-		return balance.Rate{}, "", true
+		return balance.RateLimit{}, "", true
 	}
-	rate = balance.Rate{Known: true, PerSecond: ratelimit.Unlimited}
+	rate = balance.RateLimit{Known: true, PerSecond: ratelimit.Unlimited}
 	for _, value = range resp.Header[field] {
 		for text := range strings.SplitSeq(value, ",") {
 			v, ok := decimal(strings.TrimSpace(text))
 			if !ok {
-				return balance.Rate{}, value, false
+				return balance.RateLimit{}, value, false
 			}
 			rate.PerSecond = min(rate.PerSecond, v)
 		}
--- a/internal/forward/ratefield_test.go
+++ b/internal/forward/ratefield_test.go
@@ -13,17 +13,17 @@
 // TestNativeLimits reads what upstreams name in the project's own field: nothing but a decimal
 // number limits or opens anything, and only in an answer that is the upstream's to this request.
 func TestNativeLimits(t *testing.T) {
-	none, unknown := balance.Rate{Known: true, PerSecond: ratelimit.Unlimited}, balance.Rate{}
+	none, unknown := balance.RateLimit{Known: true, PerSecond: ratelimit.Unlimited}, balance.RateLimit{}
 	for _, tt := range []struct {
 		name   string
 		fields []string
 		status int
 		echo   string
-		want   balance.Rate
+		want   balance.RateLimit
 	}{
 		{"absent", nil, http.StatusOK, "", none},
-		{"a number", []string{"2.5"}, http.StatusOK, "r1", balance.Rate{Known: true, PerSecond: 2.5}},
-		{"refused", []string{"2.5"}, http.StatusTooManyRequests, "", balance.Rate{Known: true, PerSecond: 2.5}},
+		{"a number", []string{"2.5"}, http.StatusOK, "r1", balance.RateLimit{Known: true, PerSecond: 2.5}},
+		{"refused", []string{"2.5"}, http.StatusTooManyRequests, "", balance.RateLimit{Known: true, PerSecond: 2.5}},
 		{"infinite", []string{"Inf"}, http.StatusOK, "", unknown},
 		{"hexadecimal", []string{"0x1p4"}, http.StatusOK, "", unknown},
 		{"to another request", []string{"2.5"}, http.StatusOK, "r2", unknown},
--- a/internal/forward/rates.go
+++ b/internal/forward/rates.go
@@ -14,9 +14,9 @@
 )
 
 // noteRate takes in what an answer says of the limit of its upstream.
-func (c *Carrier) noteRate(cl *call, from balance.Choice, r balance.Rate) {
+func (c *Carrier) noteRate(cl *call, from balance.Choice, r balance.RateLimit) {
 	now := c.now()
-	if !c.lane(cl.service.Name).group.NoteRate(now, from, r) {
+	if !c.lane(cl.service.Name).group.ObserveLimit(now, from, r) {
 		return
 	}
 	kind := "upstream names a limit"
@@ -40,11 +40,11 @@
 func (c *Carrier) UrgentRates() <-chan struct{} { return c.rateNews }
 
 // RateNews returns what to tell other entries of the limits of upstreams.
-func (c *Carrier) RateNews(scope balance.NewsScope) []balance.RateNews {
+func (c *Carrier) RateNews(scope balance.UpdateScope) []balance.LimitUpdate {
 	now := c.now()
-	var out []balance.RateNews
+	var out []balance.LimitUpdate
 	for _, l := range c.allLanes() {
-		l.group.RateNews(now, scope, func(n balance.RateNews) { out = append(out, n) })
+		l.group.VisitLimitUpdates(now, scope, func(n balance.LimitUpdate) { out = append(out, n) })
 	}
 	return out
 }
@@ -53,16 +53,16 @@
 func (c *Carrier) RateSenders() map[string]bool {
 	out := make(map[string]bool)
 	for _, l := range c.allLanes() {
-		l.group.RateSenders(func(id string) { out[id] = true })
+		l.group.VisitLimitSenders(func(id string) { out[id] = true })
 	}
 	return out
 }
 
 // HeardRates takes in what a peer told of the limits of upstreams in one of its lives.
-func (c *Carrier) HeardRates(peer string, life uint64, told []balance.RateNews) {
+func (c *Carrier) HeardRates(peer string, life uint64, told []balance.LimitUpdate) {
 	now := c.now()
 	for _, l := range c.allLanes() {
-		l.group.HeardRates(now, peer, life, told)
+		l.group.ApplyPeerLimits(now, peer, life, told)
 	}
 }
 
@@ -76,11 +76,11 @@
 }
 
 // Rates returns the limits of upstreams, at most n of each service.
-func (c *Carrier) Rates(n int) []balance.RateStatus {
+func (c *Carrier) Rates(n int) []balance.LimitStatus {
 	now := c.now()
-	var out []balance.RateStatus
+	var out []balance.LimitStatus
 	for _, l := range c.allLanes() {
-		out = append(out, l.group.Rates(now, n)...)
+		out = append(out, l.group.LimitStatuses(now, n)...)
 	}
 	return out
 }
--- a/internal/forward/serve.go
+++ b/internal/forward/serve.go
@@ -32,7 +32,7 @@
 	l := c.lane(cl.service.Name)
 	regions := c.regions(snap, cl, l)
 	if cl.service.Routed {
-		l.budget.Earn(cl.service.RetryBudget)
+		l.budget.Deposit(cl.service.RetryBudget)
 	}
 	var last *verdict.Error
 	sheds, patient := 0, false
@@ -54,7 +54,7 @@
 		if err != nil && err.Reason == ReasonShed && !cl.service.Routed && sheds < maxSheds {
 			sheds++
 			last = err
-			patient = !l.sheds.Take()
+			patient = !l.sheds.TryWithdraw()
 			c.done(l, choice, reportFor(ans, err))
 			continue
 		}
@@ -94,7 +94,7 @@
 	if err.Verdict != verdict.NotRun && !cl.Safe {
 		return false
 	}
-	return l.budget.Take()
+	return l.budget.TryWithdraw()
 }
 
 // retryableAnswer reports whether an answer to a safe request should be tried
@@ -117,8 +117,8 @@
 
 // reportFor tells the balancer how a failed attempt reflects on its upstream. The
 // answer is that of the attempt, or nil.
-func reportFor(ans *answer, err *verdict.Error) balance.Report {
-	r := balance.Report{Result: balance.Failed, Load: -1, Waiting: -1}
+func reportFor(ans *answer, err *verdict.Error) balance.DoneInfo {
+	r := balance.DoneInfo{Result: balance.Failed, Load: -1, Waiting: -1}
 	if ans != nil {
 		r.Load, r.Waiting = ans.told.Load, ans.told.Waiting
 	}
@@ -135,7 +135,7 @@
 
 // done frees an upstream's slot and gives the next in the queue a turn. It returns the
 // result as it counts.
-func (c *Carrier) done(l *lane, choice balance.Choice, r balance.Report) balance.Result {
+func (c *Carrier) done(l *lane, choice balance.Choice, r balance.DoneInfo) balance.Result {
 	result := l.group.Done(c.now(), choice, r)
 	l.queue.Wake()
 	return result
@@ -143,8 +143,8 @@
 
 // deliver sends the answer and frees the slot when it has gone out whole.
 func (c *Carrier) deliver(w http.ResponseWriter, l *lane, cl *call, choice balance.Choice, a *answer, out *Outcome) {
-	report := balance.Report{Result: balance.OK, Load: a.told.Load, Waiting: a.told.Waiting, Draining: a.told.Draining, Connect: a.connect}
-	report.Errored = a.resp.StatusCode >= http.StatusInternalServerError
+	report := balance.DoneInfo{Result: balance.OK, Load: a.told.Load, Waiting: a.told.Waiting, Draining: a.told.Draining, ConnectTime: a.connect}
+	report.ServerError = a.resp.StatusCode >= http.StatusInternalServerError
 	report.Bytes = max(0, cl.body.length) + max(int64(len(a.whole)), a.resp.ContentLength)
 	if a.read {
 		c.done(l, choice, report)
@@ -166,9 +166,9 @@
 		panic(http.ErrAbortHandler)
 	}
 	if !cl.service.Routed {
-		l.budget.Earn(cl.service.RetryBudget)
+		l.budget.Deposit(cl.service.RetryBudget)
 	}
-	l.sheds.Earn(shedShare)
+	l.sheds.Deposit(shedShare)
 }
 
 // regions returns the regions to try, in order: the one that a move names, the
@@ -189,7 +189,7 @@
 		Moves: moves,
 		Cap:   cl.service.ShiftCap,
 		Rate:  cl.service.ShiftRate,
-		Seen:  l.group.Seen,
+		Seen:  l.group.LastReport,
 	})
 	if to == "" {
 		return order
--- a/internal/forward/slot.go
+++ b/internal/forward/slot.go
@@ -22,15 +22,15 @@
 	svc := cl.service
 	now := c.now()
 	d := admit.Decide(admit.Input{
-		Now:      now,
-		Deadline: cl.deadline,
-		Expected: expected(cl, l.group, regions[0]),
-		Waiting:  l.queue.Len(),
-		Limit:    svc.Queue,
-		Wait:     max(0, svc.QueueWait-now.Sub(cl.began)),
-		InFlight: int(c.inFlight.Load()),
-		Room:     c.opt.Room,
-		Priority: cl.priority,
+		Now:             now,
+		Deadline:        cl.deadline,
+		ExpectedLatency: expected(cl, l.group, regions[0]),
+		Queued:          l.queue.Len(),
+		QueueLimit:      svc.Queue,
+		MaxWait:         max(0, svc.QueueWait-now.Sub(cl.began)),
+		InFlight:        int(c.inFlight.Load()),
+		Capacity:        c.opt.Room,
+		Priority:        cl.priority,
 	})
 	if d.Reason != "" {
 		return balance.Choice{}, verdict.New(verdict.NotRun, string(d.Reason), nil).After(d.RetryAfter)
@@ -48,16 +48,16 @@
 			return balance.Choice{}, verdict.New(verdict.NotRun, reasonNoUpstream, err).After(stopRetry)
 		}
 	}
-	return c.wait(ctx, l, req, svc.Queue, d.GiveUp, patient)
+	return c.wait(ctx, l, req, svc.Queue, d.WaitUntil, patient)
 }
 
 // expected returns how long an answer takes at the least, 0 if unknown: half of what is usual.
 // That of a request with a route is the work of its own route. By the latency of the service
 // a route of short requests, among others whose work is long, would be refused for ever, as
 // it never came to tell its own.
-func expected(cl *call, group *balance.Group, region string) time.Duration {
+func expected(cl *call, group *balance.Balancer, region string) time.Duration {
 	if cl.Route != nil {
-		return group.Work(cl.Route.Name) / 2
+		return group.ServiceTime(cl.Route.Name) / 2
 	}
 	return group.Latency(region) / 2
 }
@@ -108,13 +108,13 @@
 
 // wait holds a place in the queue until a slot is free or it is time to give up.
 func (c *Carrier) wait(ctx context.Context, l *lane, req balance.Request, limit int, giveUp time.Time, patient bool) (balance.Choice, *verdict.Error) {
-	t, ok := l.queue.Join(limit)
+	t, ok := l.queue.Enqueue(limit)
 	if !ok {
 		return balance.Choice{}, verdict.New(verdict.NotRun, string(admit.ReasonQueueFull), nil).After(l.retryAfter(req.Regions[0]))
 	}
-	defer l.queue.Leave(t)
+	defer l.queue.Remove(t)
 	if patient {
-		t.Pass()
+		t.DiscardTurn()
 	}
 	timer := time.NewTimer(giveUp.Sub(c.now()))
 	defer timer.Stop()
--- a/internal/forward/status.go
+++ b/internal/forward/status.go
@@ -37,10 +37,10 @@
 }
 
 // LoadAt calls visit with what the entries that are asked for have at each upstream.
-func (c *Carrier) LoadAt(whose balance.Counted, visit func(upstream uint32, l balance.Load)) {
+func (c *Carrier) LoadAt(whose balance.EntryFilter, visit func(upstream uint32, l balance.Load)) {
 	now := c.now()
 	for _, l := range c.allLanes() {
-		l.group.LoadAt(now, whose, visit)
+		l.group.VisitLoads(now, whose, visit)
 	}
 }
 
@@ -48,7 +48,7 @@
 func (c *Carrier) Heard(p balance.PeerLoad) {
 	now := c.now()
 	for _, l := range c.allLanes() {
-		l.group.Heard(now, p)
+		l.group.ApplyPeerLoad(now, p)
 	}
 }
 
--- a/internal/inflight/exchange.go
+++ b/internal/inflight/exchange.go
@@ -43,7 +43,7 @@
 	// Fleet returns the other entries.
 	Fleet func() Fleet
 	// Counts returns what to report.
-	Counts func(balance.Counted) []Count
+	Counts func(balance.EntryFilter) []Count
 	// Doubt returns the Doubt and DoubtLeft of reports.
 	Doubt func() (rest, left time.Duration)
 	// Claims returns what to tell of requests under which upstreams ended, at most n Claims;
@@ -219,7 +219,7 @@
 	case len(fleet.Peers) == 0:
 		x.useToAll(fleet, now)
 	case len(fleet.Peers) <= maxDirect:
-		x.tell(fleet.Peers, Report{Scope: ScopeOwn}, balance.Counted{Own: true})
+		x.tell(fleet.Peers, Report{Scope: ScopeOwn}, balance.EntryFilter{Own: true})
 		x.tellClaims(fleet.Peers, false)
 		x.periodicRates(fleet, fleet.Peers)
 		x.useToAll(fleet, now)
@@ -248,17 +248,17 @@
 	isHub := hub.ID == x.opt.Entry
 	x.useByHubs(fleet, hub, busy, idle, remote, now)
 	if !isHub {
-		x.tell([]Peer{hub}, Report{Scope: ScopeOwn, Idle: x.idle(now)}, balance.Counted{Own: true})
+		x.tell([]Peer{hub}, Report{Scope: ScopeOwn, Idle: x.idle(now)}, balance.EntryFilter{Own: true})
 	}
 	toReporters := Report{Scope: ScopeOthers, Absent: absent}
 	for _, p := range busy {
-		x.tell([]Peer{p}, toReporters, balance.Counted{Own: true, Peers: func(peer string) bool { return peer != p.ID && peer != others }})
+		x.tell([]Peer{p}, toReporters, balance.EntryFilter{Own: true, Peers: func(peer string) bool { return peer != p.ID && peer != others }})
 	}
 	if len(idle) > 0 && now.Sub(x.toldIdle) >= idlePeriod-nearPeriod/2 {
 		// They have little use for the loads of upstreams: once they carry more requests
 		// they are told all within a period.
 		x.toldIdle = now
-		x.tell(idle, toReporters, balance.Counted{})
+		x.tell(idle, toReporters, balance.EntryFilter{})
 	}
 	x.periodicRates(fleet, listenersByHubs(x.opt.Entry, hub, busy, idle, remote))
 	if !isHub && len(busy)+len(idle) == 0 {
@@ -270,7 +270,7 @@
 		for _, p := range append(busy, idle...) {
 			from[p.ID] = true
 		}
-		x.tell(remote, Report{Scope: ScopeDomain}, balance.Counted{Own: isHub, Peers: func(peer string) bool { return from[peer] }})
+		x.tell(remote, Report{Scope: ScopeDomain}, balance.EntryFilter{Own: isHub, Peers: func(peer string) bool { return from[peer] }})
 	}
 }
 
@@ -293,7 +293,7 @@
 
 // tell sends one report, with the counts of whose requests it is about, to the peers that
 // are due for it. A datagram that cannot be sent is as good as lost.
-func (x *Exchange) tell(peers []Peer, whole Report, whose balance.Counted) {
+func (x *Exchange) tell(peers []Peer, whole Report, whose balance.EntryFilter) {
 	far := x.farDue()
 	due := make([]netip.AddrPort, 0, len(peers))
 	for _, p := range peers {
--- a/internal/inflight/hub_test.go
+++ b/internal/inflight/hub_test.go
@@ -130,7 +130,7 @@
 
 const theUpstream = 7
 
-func (e *entry) counts(w balance.Counted) []Count {
+func (e *entry) counts(w balance.EntryFilter) []Count {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n := 0
--- a/internal/inflight/rates.go
+++ b/internal/inflight/rates.go
@@ -39,15 +39,15 @@
 	// UrgentRates has a value when others are to hear at once.
 	UrgentRates() <-chan struct{}
 	// RateNews returns what to tell.
-	RateNews(scope balance.NewsScope) []balance.RateNews
+	RateNews(scope balance.UpdateScope) []balance.LimitUpdate
 	// RateSenders returns the ids of the entries that share a limit with this one.
 	RateSenders() map[string]bool
 	// HeardRates takes in what a peer told in one of its lives.
-	HeardRates(peer string, life uint64, told []balance.RateNews)
+	HeardRates(peer string, life uint64, told []balance.LimitUpdate)
 }
 
 // appendRates encodes a limit as its units and one, so that 0 stands for none.
-func appendRates(b []byte, rates []balance.RateNews) []byte {
+func appendRates(b []byte, rates []balance.LimitUpdate) []byte {
 	for _, n := range rates[:min(len(rates), maxRates)] {
 		units := uint64(0)
 		if n.PerSecond < ratelimit.Unlimited {
@@ -61,8 +61,8 @@
 	return b
 }
 
-func decodeRates(b []byte) ([]balance.RateNews, error) {
-	var out []balance.RateNews
+func decodeRates(b []byte) ([]balance.LimitUpdate, error) {
+	var out []balance.LimitUpdate
 	var upstream uint32
 	var v [3]uint64
 	var err error
@@ -76,7 +76,7 @@
 		if v[0] > maxRateUnits || v[1] > math.MaxUint32 || v[2] > math.MaxUint32 || len(out) == maxRates {
 			return nil, errMalformed
 		}
-		r := balance.RateNews{Upstream: upstream, PerSecond: ratelimit.Unlimited, Version: uint32(v[1]), Sent: uint32(v[2])}
+		r := balance.LimitUpdate{Upstream: upstream, PerSecond: ratelimit.Unlimited, Version: uint32(v[1]), Sent: uint32(v[2])}
 		if v[0] > 0 {
 			r.PerSecond = ratelimit.Round(float64(v[0]-1) * ratelimit.Resolution)
 		}
@@ -86,7 +86,7 @@
 }
 
 // tellRates tells peers of limits. It sends a report also if there is nothing to tell.
-func (x *Exchange) tellRates(peers []Peer, news []balance.RateNews) {
+func (x *Exchange) tellRates(peers []Peer, news []balance.LimitUpdate) {
 	for first := true; first || len(news) > 0; first = false {
 		n := min(len(news), maxRates)
 		r := Report{
@@ -104,9 +104,9 @@
 // urgentRates tells the other senders of upstreams what they have not been told, and those that
 // reports go to of limits that have changed.
 func (x *Exchange) urgentRates(now time.Time) {
-	news := x.opt.Rates.RateNews(balance.NewsUntold)
+	news := x.opt.Rates.RateNews(balance.UnsentUpdates)
 	x.tellSenders(x.opt.Fleet(), news, nil)
-	changed := slices.DeleteFunc(news, func(n balance.RateNews) bool { return !n.Changed })
+	changed := slices.DeleteFunc(news, func(n balance.LimitUpdate) bool { return !n.Changed })
 	if len(changed) > 0 && now.Sub(x.changesTold) >= changesGap {
 		x.changesTold = now
 		x.tellRates(x.rateListeners, changed)
@@ -134,7 +134,7 @@
 
 // tellStarted tells a peer that has started all limits.
 func (x *Exchange) tellStarted(p Peer) {
-	if news := x.opt.Rates.RateNews(balance.NewsAll); len(news) > 0 {
+	if news := x.opt.Rates.RateNews(balance.AllUpdates); len(news) > 0 {
 		x.tellRates([]Peer{p}, news)
 	}
 }
@@ -146,9 +146,9 @@
 	if x.opt.Rates == nil || x.seq%ratesPeriods != 0 {
 		return
 	}
-	scope := balance.NewsRecent
+	scope := balance.RecentUpdates
 	if x.seq%allRatesPeriods == 0 {
-		scope = balance.NewsAll
+		scope = balance.AllUpdates
 	}
 	news := x.opt.Rates.RateNews(scope)
 	x.tellSenders(fleet, news, x.opt.Rates.RateSenders())
@@ -172,11 +172,11 @@
 
 // tellSenders tells each entry of those upstreams that it may send to as well, and those that
 // are to hear in any case that this entry is there.
-func (x *Exchange) tellSenders(fleet Fleet, news []balance.RateNews, always map[string]bool) {
+func (x *Exchange) tellSenders(fleet Fleet, news []balance.LimitUpdate, always map[string]bool) {
 	if len(news)+len(always) == 0 {
 		return
 	}
-	shared := make(map[string][]balance.RateNews)
+	shared := make(map[string][]balance.LimitUpdate)
 	for _, n := range news {
 		for _, id := range n.Senders {
 			shared[id] = append(shared[id], n)
--- a/internal/inflight/rates_test.go
+++ b/internal/inflight/rates_test.go
@@ -24,20 +24,20 @@
 
 func (b *limitBook) UrgentRates() <-chan struct{} { return b.urgent }
 
-func (b *limitBook) RateNews(scope balance.NewsScope) []balance.RateNews {
+func (b *limitBook) RateNews(scope balance.UpdateScope) []balance.LimitUpdate {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.register.Version() == 0 || scope == balance.NewsUntold && !b.untold {
+	if b.register.Version() == 0 || scope == balance.UnsentUpdates && !b.untold {
 		return nil
 	}
-	n := balance.RateNews{Upstream: theUpstream, PerSecond: b.register.PerSecond(), Version: b.register.Version(), Changed: b.untold}
+	n := balance.LimitUpdate{Upstream: theUpstream, PerSecond: b.register.PerSecond(), Version: b.register.Version(), Changed: b.untold}
 	b.untold = false
-	return []balance.RateNews{n}
+	return []balance.LimitUpdate{n}
 }
 
 func (b *limitBook) RateSenders() map[string]bool { return nil }
 
-func (b *limitBook) HeardRates(_ string, _ uint64, told []balance.RateNews) {
+func (b *limitBook) HeardRates(_ string, _ uint64, told []balance.LimitUpdate) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, n := range told {
@@ -94,7 +94,7 @@
 func TestRatesRoundTrip(t *testing.T) {
 	want := &Report{
 		Entry: "edge-1", Scope: ScopeNone, Last: allUpstreams, HasRates: true,
-		Rates: []balance.RateNews{
+		Rates: []balance.LimitUpdate{
 			{Upstream: 0xfedcba98, PerSecond: 6.2, Version: 3, Sent: 70_000},
 			{Upstream: 1, PerSecond: 0, Version: math.MaxUint32},
 			{Upstream: 2, PerSecond: 2.346, Version: 1, Sent: math.MaxUint32},
@@ -108,16 +108,16 @@
 }
 
 func TestRatesFitADatagram(t *testing.T) {
-	worst := balance.RateNews{Upstream: allUpstreams, PerSecond: 1e6, Version: 1 << 20, Sent: math.MaxUint32}
+	worst := balance.LimitUpdate{Upstream: allUpstreams, PerSecond: 1e6, Version: 1 << 20, Sent: math.MaxUint32}
 	r := Report{Entry: "an entry with a name of some length", Incarnation: 1 << 60, Sequence: 1 << 40, HasRates: true}
-	r.Rates = slices.Repeat([]balance.RateNews{worst}, maxRates)
+	r.Rates = slices.Repeat([]balance.LimitUpdate{worst}, maxRates)
 	if n := len(r.Append(nil)); n > maxDatagram {
 		t.Errorf("%d bytes", n)
 	}
 }
 
 func TestMalformedRates(t *testing.T) {
-	whole := appendRates(nil, []balance.RateNews{{Upstream: 1, PerSecond: 5, Version: 1, Sent: 2}})
+	whole := appendRates(nil, []balance.LimitUpdate{{Upstream: 1, PerSecond: 5, Version: 1, Sent: 2}})
 	for name, b := range map[string][]byte{
 		"cut":       whole[:len(whole)-1],
 		"half":      whole[:3],
--- a/internal/inflight/report.go
+++ b/internal/inflight/report.go
@@ -78,7 +78,7 @@
 	Relayed bool
 	// HasRates is set if the report is about the limits of upstreams, Rates.
 	HasRates bool
-	Rates    []balance.RateNews
+	Rates    []balance.LimitUpdate
 }
 
 // Fields of the encoding, a protobuf message.
--- a/internal/inflight/uses_hub_test.go
+++ b/internal/inflight/uses_hub_test.go
@@ -93,7 +93,7 @@
 		ledgers[id] = &ledger{told: make(map[string]quota.Told), changed: make(chan struct{}, 1)}
 		x, err := Listen(Options{
 			Address: "127.0.0.1:0", Entry: id, Fleet: fleet(id), Limits: ledgers[id],
-			Counts: func(balance.Counted) []Count { return nil }, Doubt: func() (rest, left time.Duration) { return 0, 0 },
+			Counts: func(balance.EntryFilter) []Count { return nil }, Doubt: func() (rest, left time.Duration) { return 0, 0 },
 			Leaving: func() bool { return false }, Heard: func(string, *Report) {}, Stranger: func(netip.AddrPort) {},
 		})
 		if err != nil {
@@ -135,7 +135,7 @@
 	limits.Update(table, 0, t0)
 	x.opt = Options{
 		Entry: "a", Limits: limits, Fleet: func() Fleet { return Fleet{Peers: peers, Carries: true} }, Busy: func() bool { return false },
-		Counts: func(balance.Counted) []Count { return nil }, Doubt: func() (rest, left time.Duration) { return 0, 0 },
+		Counts: func(balance.EntryFilter) []Count { return nil }, Doubt: func() (rest, left time.Duration) { return 0, 0 },
 		Leaving: func() bool { return false }, Claims: func(int, bool) []poison.Claim { return nil },
 	}
 	if x.conn, err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -256,7 +256,7 @@
 	// Limits are those of the organisations that have requests.
 	Limits []quota.Status `json:"limits,omitempty"`
 	// Rates are the limits that upstreams name.
-	Rates []balance.RateStatus `json:"rates,omitempty"`
+	Rates []balance.LimitStatus `json:"rates,omitempty"`
 }
 
 // Dump returns the node's state.
@@ -274,7 +274,7 @@
 const maxRates = 1000
 
 // Rates returns the limits that upstreams name.
-func (n *Node) Rates() []balance.RateStatus { return n.Entry.Carrier.Rates(maxRates) }
+func (n *Node) Rates() []balance.LimitStatus { return n.Entry.Carrier.Rates(maxRates) }
 
 // Reports sets up the exchange of reports with the other nodes.
 func (n *Node) Reports(self model.Member) inflight.Options {
@@ -302,10 +302,10 @@
 	return c.InFlight() > lightLoad || c.Limits().InUse(n.now()) || len(c.RateSenders()) > 0
 }
 
-func (n *Node) counts(whose balance.Counted) []inflight.Count {
+func (n *Node) counts(whose balance.EntryFilter) []inflight.Count {
 	var out []inflight.Count
 	n.Entry.Carrier.LoadAt(whose, func(upstream uint32, l balance.Load) {
-		out = append(out, inflight.Count{Upstream: upstream, Requests: l.Requests, Failed: l.Failed, Answered: l.Answered})
+		out = append(out, inflight.Count{Upstream: upstream, Requests: l.Requests, Failed: l.Failed, Answered: l.Total})
 	})
 	return out
 }
@@ -315,9 +315,9 @@
 	if r.Scope == inflight.ScopeNone {
 		return
 	}
-	load := balance.PeerLoad{Peer: peer, First: r.First, Last: r.Last, At: make(map[uint32]balance.Load, len(r.Counts))}
+	load := balance.PeerLoad{Peer: peer, First: r.First, Last: r.Last, Loads: make(map[uint32]balance.Load, len(r.Counts))}
 	for _, c := range r.Counts {
-		load.At[c.Upstream] = balance.Load{Requests: c.Requests, Outcomes: balance.Outcomes{Failed: c.Failed, Answered: c.Answered}}
+		load.Loads[c.Upstream] = balance.Load{Requests: c.Requests, Outcomes: balance.Outcomes{Failed: c.Failed, Total: c.Answered}}
 	}
 	n.Entry.Carrier.Heard(load)
 	if r.DoubtLeft > 0 {
--- a/internal/sim/loomkeel.go
+++ b/internal/sim/loomkeel.go
@@ -16,7 +16,7 @@
 // which hear of each other with a delay.
 type loomkeel struct {
 	play   *Play
-	groups [][]*balance.Group
+	groups [][]*balance.Balancer
 	index  map[string]int
 	ticks  int
 	// drained are the failure domains as the groups last heard of them.
@@ -41,9 +41,9 @@
 		l.members = append(l.members, model.Member{ID: e.id, Region: d.Region, Domain: d.Name, State: membership.Alive})
 	}
 	for e := range p.entries {
-		groups := make([]*balance.Group, len(l.services))
+		groups := make([]*balance.Balancer, len(l.services))
 		for i := range groups {
-			groups[i] = balance.NewGroup()
+			groups[i] = balance.NewBalancer()
 			l.tellOfLimits(e, i, groups[i])
 		}
 		l.groups = append(l.groups, groups)
@@ -57,30 +57,30 @@
 const limitNewsAfter = 5 * time.Millisecond
 
 // tellOfLimits has a group tell the others of limits.
-func (l *loomkeel) tellOfLimits(from, service int, g *balance.Group) {
+func (l *loomkeel) tellOfLimits(from, service int, g *balance.Balancer) {
 	pending := false
-	g.OnRateNews(func() {
+	g.OnLimitUpdate(func() {
 		if pending {
 			return
 		}
 		pending = true
 		l.play.after(limitNewsAfter, func() {
 			pending = false
-			l.tellRates(from, service, balance.NewsUntold)
+			l.tellRates(from, service, balance.UnsentUpdates)
 		})
 	})
 }
 
-func (l *loomkeel) tellRates(from, service int, scope balance.NewsScope) {
-	var news []balance.RateNews
-	l.groups[from][service].RateNews(l.play.agenda.Now(), scope, func(n balance.RateNews) { news = append(news, n) })
+func (l *loomkeel) tellRates(from, service int, scope balance.UpdateScope) {
+	var news []balance.LimitUpdate
+	l.groups[from][service].VisitLimitUpdates(l.play.agenda.Now(), scope, func(n balance.LimitUpdate) { news = append(news, n) })
 	if len(news) == 0 {
 		return
 	}
 	for to := range l.groups {
 		if to != from {
 			l.play.after(l.way(from, to), func() {
-				l.groups[to][service].HeardRates(l.play.agenda.Now(), l.members[from].ID, 1, news)
+				l.groups[to][service].ApplyPeerLimits(l.play.agenda.Now(), l.members[from].ID, 1, news)
 			})
 		}
 	}
@@ -103,8 +103,8 @@
 	for i, groups := range l.groups {
 		self := l.members[i]
 		for s, g := range groups {
-			g.Update(balance.Input{
-				Service: l.services[s], Self: self.ID, Home: self.Region, Domain: self.Domain, Entries: l.members,
+			g.Update(balance.ServiceState{
+				Service: l.services[s], Self: self.ID, Region: self.Region, Domain: self.Domain, Entries: l.members,
 				Draining: func(u *model.Upstream, _ time.Time) bool { return drained[u.Domain] },
 			}, now)
 		}
@@ -138,7 +138,7 @@
 
 // Done implements Policy.
 func (l *loomkeel) Done(now time.Time, entry int, r *Request, e End) {
-	report := balance.Report{Result: balance.OK, Load: e.Load, Waiting: e.Waiting, Connect: e.RoundTrip}
+	report := balance.DoneInfo{Result: balance.OK, Load: e.Load, Waiting: e.Waiting, ConnectTime: e.RoundTrip}
 	switch {
 	case e.TimedOut:
 		report.Result = balance.Failed
@@ -147,7 +147,7 @@
 	}
 	g := l.groups[entry][l.play.site.Classes[r.Class].Service]
 	if !e.TimedOut {
-		g.NoteRate(now, e.Token.(balance.Choice), balance.Rate{Known: true, PerSecond: e.PerSecond})
+		g.ObserveLimit(now, e.Token.(balance.Choice), balance.RateLimit{Known: true, PerSecond: e.PerSecond})
 	}
 	g.Done(now, e.Token.(balance.Choice), report)
 }
@@ -162,10 +162,10 @@
 	}
 	for i, groups := range l.groups {
 		for s, g := range groups {
-			load := balance.PeerLoad{Peer: l.members[i].ID, Last: math.MaxUint32, At: make(map[uint32]balance.Load)}
-			g.LoadAt(now, balance.Counted{Own: true}, func(u uint32, n balance.Load) { load.At[u] = n })
+			load := balance.PeerLoad{Peer: l.members[i].ID, Last: math.MaxUint32, Loads: make(map[uint32]balance.Load)}
+			g.VisitLoads(now, balance.EntryFilter{Own: true}, func(u uint32, n balance.Load) { load.Loads[u] = n })
 			l.tell(i, s, load)
-			l.tellRates(i, s, balance.NewsAll)
+			l.tellRates(i, s, balance.AllUpdates)
 		}
 	}
 }
@@ -176,6 +176,6 @@
 		if to == from || !near && l.ticks%2 == 0 {
 			continue
 		}
-		l.play.after(l.way(from, to), func() { l.groups[to][service].Heard(l.play.agenda.Now(), load) })
+		l.play.after(l.way(from, to), func() { l.groups[to][service].ApplyPeerLoad(l.play.agenda.Now(), load) })
 	}
 }
