--- a/internal/balance/affinity.go
+++ b/internal/balance/affinity.go
@@ -13,18 +13,18 @@
 	// crossingPerByte is the time that a request would rather wait than send one
 	// more byte to another failure domain: a photograph of 60 KB nearly always
 	// stays, an answer of 400 bytes does not care.
-	crossingPerByte = 10 * time.Microsecond
+	crossDomainCostPerByte = 10 * time.Microsecond
 	// spareShare is up to what share of its slots an upstream begins a replica for
 	// the sake of bytes that stay, so that the last slots are left to requests whose
 	// object is at hand.
-	spareShare = 0.8
+	replicaLoadLimit = 0.8
 	// largeBytes is the mean size from which on a class has a replica of each
 	// object in each failure domain. Below, one more warm replica costs more than
 	// the bytes that stay.
 	largeBytes = 3000
 	// maxColdAhead is how many cold upstreams at the front of an object's order are passed
 	// over. With half of a region cold eight in a row come once in 256 objects.
-	maxColdAhead = 8
+	maxUnreadySkipped = 8
 	// hugeBytes is the mean size from which on each failure domain has a replica,
 	// however many there are: the bytes that stay are then worth more than the colder work.
 	hugeBytes = 20_000
@@ -51,48 +51,48 @@
 // PickObject chooses among the upstreams of an object the one that is expected
 // to answer first, and takes one of its slots. All entries order the upstreams
 // of an object alike, so that requests for it meet at the same few.
-func (g *Balancer) PickObject(now time.Time, req ObjectRequest) (Choice, error) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	ranked := g.rank(now, req)
+func (b *Balancer) PickObject(now time.Time, req ObjectRequest) (Choice, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	ranked := b.replicasFor(now, req)
 	if len(ranked) == 0 {
 		return Choice{}, ErrNoUpstream
 	}
-	best, rank := g.quickest(now, req, ranked)
+	best, rank := b.fastest(now, req, ranked)
 	if best == nil {
-		return Choice{}, g.full(now, req, ranked)
-	}
-	c := Choice{Upstream: best.Upstream, PickedAt: now, Rank: rank, class: req.Class, object: req.Object, to: best}
-	c.Warm = best.warmFor(req.Object, now)
-	c.Outstanding = g.estimate(best, now)
-	c.ExpectedLatency = g.expected(best, now, req, rank)
-	c.unqueued = c.Outstanding+1 <= float64(best.Slots)
-	if g.cold(best, now) {
+		return Choice{}, b.noSlotError(now, req, ranked)
+	}
+	c := Choice{Upstream: best.Upstream, PickedAt: now, Rank: rank, class: req.Class, object: req.Object, state: best}
+	c.Warm = best.isWarm(req.Object, now)
+	c.Outstanding = b.outstanding(best, now)
+	c.ExpectedLatency = b.expectedLatency(best, now, req, rank)
+	c.immediate = c.Outstanding+1 <= float64(best.Slots)
+	if b.cold(best, now) {
 		best.coldTokens--
 	}
 	if best.inFlight == 0 {
-		best.heardAt = now
+		best.lastAnswer = now
 	}
 	best.inFlight++
 	best.sent++
-	g.spendRate(best, now)
-	g.inFlight[best.Region]++
+	b.spendLimit(best, now)
+	b.inFlight[best.Region]++
 	return c, nil
 }
 
 // rank returns the upstreams that share an object, at most replicas, by place. A
 // request that may go anywhere gets all usable upstreams.
-func (g *Balancer) rank(now time.Time, req ObjectRequest) []candidate {
-	t := g.times(req.Class)
+func (b *Balancer) replicasFor(now time.Time, req ObjectRequest) []candidate {
+	t := b.classStats(req.Class)
 	switch {
 	case req.NoAffinity:
-		return g.byPlace(now, req)
+		return b.byScore(now, req)
 	case t.huge():
-		return g.withOwnDomain(g.settledFirst(now, g.byPlace(now, req)))
+		return b.withLocalDomain(b.readyFirst(now, b.byScore(now, req)))
 	case t.large():
-		return perDomain(g.settledFirst(now, g.byPlace(now, req)))
+		return perDomain(b.readyFirst(now, b.byScore(now, req)))
 	}
-	ranked := g.settledFirst(now, g.front(now, req, replicas+maxColdAhead))
+	ranked := b.readyFirst(now, b.topByScore(now, req, replicas+maxUnreadySkipped))
 	return ranked[:min(replicas, len(ranked))]
 }
 
@@ -100,16 +100,16 @@
 // that are neither. One that has just joined knows no object and is slow, and the upstreams
 // after it still have at hand what it would take over. Placed first, upstreams that join have
 // requests refused while most slots are free, since most entries may not send to cold ones.
-func (g *Balancer) settledFirst(now time.Time, cs []candidate) []candidate {
+func (b *Balancer) readyFirst(now time.Time, cs []candidate) []candidate {
 	for i := range cs {
-		cs[i].unsettled = g.unsettled(cs[i], now)
+		cs[i].unready = b.isUnready(cs[i], now)
 	}
-	slices.SortStableFunc(cs, func(a, b candidate) int { return compareBool(a.unsettled, b.unsettled) })
+	slices.SortStableFunc(cs, func(x, y candidate) int { return compareBool(x.unready, y.unready) })
 	return cs
 }
 
-func (g *Balancer) unsettled(c candidate, now time.Time) bool {
-	return g.cold(c.m, now) || c.rateWait(now) > 0
+func (b *Balancer) isUnready(c candidate, now time.Time) bool {
+	return b.cold(c.state, now) || c.limitWait(now) > 0
 }
 
 // compareBool orders false before true.
@@ -126,12 +126,12 @@
 // withOwnDomain returns the first upstream, and the first of the own failure domain
 // if there is one in the region that the object belongs to. So an object has as many
 // replicas as there are failure domains that ask for it.
-func (g *Balancer) withOwnDomain(usable []candidate) []candidate {
+func (b *Balancer) withLocalDomain(usable []candidate) []candidate {
 	if len(usable) <= replicas {
 		return usable
 	}
 	first := usable[0]
-	own := slices.IndexFunc(usable, func(c candidate) bool { return c.m.Domain == g.domain && c.m.Region == first.m.Region })
+	own := slices.IndexFunc(usable, func(c candidate) bool { return c.state.Domain == b.domain && c.state.Region == first.state.Region })
 	if own <= 0 {
 		return perDomain(usable)
 	}
@@ -151,7 +151,7 @@
 		if len(shared) == replicas {
 			break
 		}
-		if c.m.Region == usable[0].m.Region && !hasDomain(shared, c.m.Domain) {
+		if c.state.Region == usable[0].state.Region && !hasDomain(shared, c.state.Domain) {
 			shared = append(shared, c)
 		} else if len(rest) < replicas {
 			rest = append(rest, c)
@@ -162,7 +162,7 @@
 }
 
 func hasDomain(cs []candidate, domain string) bool {
-	return slices.ContainsFunc(cs, func(c candidate) bool { return c.m.Domain == domain })
+	return slices.ContainsFunc(cs, func(c candidate) bool { return c.state.Domain == domain })
 }
 
 // quickest returns the candidate with the least expected time to its answer, and
@@ -173,18 +173,18 @@
 // the object at hand come first. Only if none of them can take the request another
 // one may that is idle. Large requests begin a replica in the own failure domain
 // as soon as an upstream there has a slot to spare.
-func (g *Balancer) quickest(now time.Time, req ObjectRequest, ranked []candidate) (*member, int) {
-	large := g.times(req.Class).large()
-	tiers := []func(i int, m *member) bool{
-		func(_ int, m *member) bool {
-			return large && m.Domain == g.domain && !m.warmFor(req.Object, now) && g.idle(m, now, spareShare)
+func (b *Balancer) fastest(now time.Time, req ObjectRequest, ranked []candidate) (*upstreamState, int) {
+	large := b.classStats(req.Class).large()
+	tiers := []func(i int, u *upstreamState) bool{
+		func(_ int, u *upstreamState) bool {
+			return large && u.Domain == b.domain && !u.isWarm(req.Object, now) && b.hasSpareSlots(u, now, replicaLoadLimit)
 		},
-		func(i int, m *member) bool { return i == 0 || req.NoAffinity || m.warmFor(req.Object, now) },
-		func(_ int, m *member) bool { return g.idle(m, now, 1) },
+		func(i int, u *upstreamState) bool { return i == 0 || req.NoAffinity || u.isWarm(req.Object, now) },
+		func(_ int, u *upstreamState) bool { return b.hasSpareSlots(u, now, 1) },
 	}
 	for _, tier := range tiers {
-		if m, rank := g.least(now, req, ranked, tier); m != nil {
-			return m, rank
+		if u, rank := b.leastExpected(now, req, ranked, tier); u != nil {
+			return u, rank
 		}
 	}
 	return nil, 0
@@ -192,23 +192,23 @@
 
 // idle reports whether an upstream uses at most a share of its slots with one more
 // request.
-func (g *Balancer) idle(m *member, now time.Time, share float64) bool {
-	return g.estimate(m, now)+1 <= share*float64(m.Slots)
+func (b *Balancer) hasSpareSlots(u *upstreamState, now time.Time, share float64) bool {
+	return b.outstanding(u, now)+1 <= share*float64(u.Slots)
 }
 
 // least returns the candidate with the least expected time among those that may be
 // used, and its rank.
-func (g *Balancer) least(now time.Time, req ObjectRequest, ranked []candidate, may func(int, *member) bool) (*member, int) {
-	var best *member
+func (b *Balancer) leastExpected(now time.Time, req ObjectRequest, ranked []candidate, may func(int, *upstreamState) bool) (*upstreamState, int) {
+	var best *upstreamState
 	var least time.Duration
 	rank := 0
 	for i, c := range ranked {
-		if !may(i, c.m) || c.rateWait(now) > 0 || !g.hasRoom(c.m, now) || g.tooLate(c.m, now, req) {
+		if !may(i, c.state) || c.limitWait(now) > 0 || !b.hasCapacity(c.state, now) || b.missesObjective(c.state, now, req) {
 			continue
 		}
-		t := g.expected(c.m, now, req, i)
+		t := b.expectedLatency(c.state, now, req, i)
 		if best == nil || t < least {
-			best, least, rank = c.m, t, i
+			best, least, rank = c.state, t, i
 		}
 	}
 	return best, rank
@@ -216,20 +216,20 @@
 
 // expected is the time until an upstream's answer: the way there and back, the
 // wait for a slot, and the work.
-func (g *Balancer) expected(m *member, now time.Time, req ObjectRequest, rank int) time.Duration {
-	t := g.times(req.Class)
+func (b *Balancer) expectedLatency(u *upstreamState, now time.Time, req ObjectRequest, rank int) time.Duration {
+	t := b.classStats(req.Class)
 	work := t.unknown[min(rank, len(t.unknown)-1)]
-	if m.warmFor(req.Object, now) {
+	if u.isWarm(req.Object, now) {
 		work = t.warm
 	}
-	return g.roundTrip[m.Region] + g.wait(m, now, req) + work + g.crossing(m, t)
+	return b.roundTrip[u.Region] + b.expectedWait(u, now, req) + work + b.crossDomainCost(u, t)
 }
 
 // crossing is the time that a request would rather wait than have its bytes cross
 // to another failure domain.
-func (g *Balancer) crossing(m *member, t *times) time.Duration {
-	if m.Domain == g.domain {
+func (b *Balancer) crossDomainCost(u *upstreamState, t *classStats) time.Duration {
+	if u.Domain == b.domain {
 		return 0
 	}
-	return time.Duration(t.bytes * float64(crossingPerByte))
+	return time.Duration(t.meanBytes * float64(crossDomainCostPerByte))
 }
--- a/internal/balance/affinity_test.go
+++ b/internal/balance/affinity_test.go
@@ -35,14 +35,14 @@
 }
 
 func groupAt(s *model.Service, entries []model.Member, e model.Member) *Balancer {
-	g := NewBalancer()
-	g.Update(ServiceState{Service: s, Draining: never, Self: e.ID, Region: e.Region, Domain: e.Domain, Entries: entries}, t0)
-	return g
+	lb := NewBalancer()
+	lb.Update(ServiceState{Service: s, Draining: never, Self: e.ID, Region: e.Region, Domain: e.Domain, Entries: entries}, t0)
+	return lb
 }
 
-func pickObject(t *testing.T, g *Balancer, now time.Time, object int) Choice {
+func pickObject(t *testing.T, lb *Balancer, now time.Time, object int) Choice {
 	t.Helper()
-	c, err := g.PickObject(now, ObjectRequest{Object: HashObject("r", fmt.Sprint(object)), Class: "r", Objective: time.Second})
+	c, err := lb.PickObject(now, ObjectRequest{Object: HashObject("r", fmt.Sprint(object)), Class: "r", Objective: time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,10 +50,10 @@
 }
 
 // serve picks an upstream for an object and has it answer after took.
-func serve(t *testing.T, g *Balancer, now time.Time, object int, took time.Duration) Choice {
+func serve(t *testing.T, lb *Balancer, now time.Time, object int, took time.Duration) Choice {
 	t.Helper()
-	c := pickObject(t, g, now, object)
-	g.Done(now.Add(took), c, DoneInfo{Result: OK, Load: 0, Waiting: 0, Bytes: 400})
+	c := pickObject(t, lb, now, object)
+	lb.Done(now.Add(took), c, DoneInfo{Result: OK, Load: 0, Waiting: 0, Bytes: 400})
 	return c
 }
 
@@ -83,17 +83,17 @@
 func TestOnlyItsOwnObjectsMove(t *testing.T) {
 	s, entries := site(3, 8)
 	s.Upstreams = s.Upstreams[:len(s.Upstreams)-2]
-	g := groupAt(s, entries, entries[0])
+	lb := groupAt(s, entries, entries[0])
 	before := make(map[int]string)
 	for o := range 200 {
-		before[o] = serve(t, g, t0, o, 0).ID
+		before[o] = serve(t, lb, t0, o, 0).ID
 	}
 	gone := s.Upstreams[0].ID
 	less := *s
 	less.Upstreams = s.Upstreams[1:]
-	g = groupAt(&less, entries, entries[0])
+	lb = groupAt(&less, entries, entries[0])
 	for o := range 200 {
-		if now := serve(t, g, t0, o, 0).ID; before[o] != gone && now != before[o] {
+		if now := serve(t, lb, t0, o, 0).ID; before[o] != gone && now != before[o] {
 			t.Errorf("object %d moved from %s to %s", o, before[o], now)
 		}
 	}
@@ -113,9 +113,9 @@
 	const objects = 4000
 	used := make(map[string]int)
 	for _, e := range []model.Member{entries[0], entries[2]} {
-		g := groupAt(s, entries, e)
+		lb := groupAt(s, entries, e)
 		for o := range objects {
-			used[g.byPlace(t0, ObjectRequest{Object: HashObject(e.Region, fmt.Sprint(o))})[0].m.Region]++
+			used[lb.byScore(t0, ObjectRequest{Object: HashObject(e.Region, fmt.Sprint(o))})[0].state.Region]++
 		}
 	}
 	share := float64(used["sohar"]) / (2 * objects)
@@ -128,11 +128,11 @@
 // is full, and then uses the second only while it is idle or has the object.
 func TestSecondReplicaOnlyWhenItPays(t *testing.T) {
 	s, entries := site(2, 2)
-	g := groupAt(s, entries, entries[0])
-	first := serve(t, g, t0, 1, 300*time.Millisecond)
+	lb := groupAt(s, entries, entries[0])
+	first := serve(t, lb, t0, 1, 300*time.Millisecond)
 	now := t0.Add(time.Second)
 	for {
-		c, err := g.PickObject(now, ObjectRequest{Object: first.object, Class: "r", Objective: 700 * time.Millisecond})
+		c, err := lb.PickObject(now, ObjectRequest{Object: first.object, Class: "r", Objective: 700 * time.Millisecond})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -140,15 +140,15 @@
 			break
 		}
 	}
-	if g.byID[first.ID].inFlight <= first.Slots {
-		t.Errorf("another replica begun with %d requests at the first", g.byID[first.ID].inFlight)
+	if lb.byID[first.ID].inFlight <= first.Slots {
+		t.Errorf("another replica begun with %d requests at the first", lb.byID[first.ID].inFlight)
 	}
 	for range 2 {
-		if _, err := g.PickObject(now, ObjectRequest{Object: first.object, Class: "r", Objective: 700 * time.Millisecond}); err != nil {
+		if _, err := lb.PickObject(now, ObjectRequest{Object: first.object, Class: "r", Objective: 700 * time.Millisecond}); err != nil {
 			break
 		}
 	}
-	_, err := g.PickObject(now, ObjectRequest{Object: first.object, Class: "r", Objective: 700 * time.Millisecond})
+	_, err := lb.PickObject(now, ObjectRequest{Object: first.object, Class: "r", Objective: 700 * time.Millisecond})
 	var late *LateError
 	if !errors.As(err, &late) || late.RetryAfter <= 0 || !errors.Is(err, ErrNoSlot) {
 		t.Errorf("with both full: %v", err)
@@ -160,10 +160,10 @@
 // free filled every queue.
 func TestUnknownWorkIsNotFree(t *testing.T) {
 	s, entries := site(1, 4)
-	g := groupAt(s, entries, entries[0])
+	lb := groupAt(s, entries, entries[0])
 	taken := 0
 	for {
-		_, err := g.PickObject(t0, ObjectRequest{Object: 1, Class: "r", Objective: 500 * time.Millisecond})
+		_, err := lb.PickObject(t0, ObjectRequest{Object: 1, Class: "r", Objective: 500 * time.Millisecond})
 		if err != nil {
 			break
 		}
@@ -178,17 +178,17 @@
 // any work takes.
 func TestSilentUpstreamIsPassedOver(t *testing.T) {
 	s, entries := site(3, 8)
-	g := groupAt(s, entries, entries[0])
-	first := pickObject(t, g, t0, 1)
-	if c := pickObject(t, g, t0.Add(silentAfter), 1); c.ID != first.ID {
+	lb := groupAt(s, entries, entries[0])
+	first := pickObject(t, lb, t0, 1)
+	if c := pickObject(t, lb, t0.Add(unresponsiveTimeout), 1); c.ID != first.ID {
 		t.Error("passed over too early")
 	}
-	late := t0.Add(silentAfter + time.Millisecond)
-	if c := pickObject(t, g, late, 1); c.ID == first.ID {
+	late := t0.Add(unresponsiveTimeout + time.Millisecond)
+	if c := pickObject(t, lb, late, 1); c.ID == first.ID {
 		t.Error("a silent upstream was picked")
 	}
-	g.Done(late, first, DoneInfo{Result: OK, Load: 0})
-	if c := pickObject(t, g, late, 1); c.ID != first.ID {
+	lb.Done(late, first, DoneInfo{Result: OK, Load: 0})
+	if c := pickObject(t, lb, late, 1); c.ID != first.ID {
 		t.Error("still passed over after an answer")
 	}
 }
@@ -196,20 +196,20 @@
 // TestPeersRequestsCount lets a peer fill an object's first upstream.
 func TestPeersRequestsCount(t *testing.T) {
 	s, entries := site(2, 2)
-	g := groupAt(s, entries, entries[0])
+	lb := groupAt(s, entries, entries[0])
 	object := 0
-	first := serve(t, g, t0, object, 300*time.Millisecond)
+	first := serve(t, lb, t0, object, 300*time.Millisecond)
 	for first.Domain != entries[0].Domain {
 		object++
-		first = serve(t, g, t0, object, 300*time.Millisecond)
+		first = serve(t, lb, t0, object, 300*time.Millisecond)
 	}
-	full := map[uint32]Load{uint32(g.byID[first.ID].hash): {Requests: 6}}
-	g.ApplyPeerLoad(t0, PeerLoad{Peer: "peer", Last: math.MaxUint32, Loads: full})
-	if c := serve(t, g, t0, object, 0); c.ID == first.ID {
+	full := map[uint32]Load{uint32(lb.byID[first.ID].idHash): {Requests: 6}}
+	lb.ApplyPeerLoad(t0, PeerLoad{Peer: "peer", Last: math.MaxUint32, Loads: full})
+	if c := serve(t, lb, t0, object, 0); c.ID == first.ID {
 		t.Error("sent to an upstream that a peer has filled")
 	}
-	g.ApplyPeerLoad(t0.Add(2*peerFresh), PeerLoad{Peer: "other", Last: math.MaxUint32})
-	if c := serve(t, g, t0.Add(2*peerFresh), object, 0); c.ID != first.ID {
+	lb.ApplyPeerLoad(t0.Add(2*peerReportTTL), PeerLoad{Peer: "other", Last: math.MaxUint32})
+	if c := serve(t, lb, t0.Add(2*peerReportTTL), object, 0); c.ID != first.ID {
 		t.Error("a silent peer's requests still count")
 	}
 }
@@ -219,12 +219,12 @@
 func TestLargeRequestsStayInTheirDomain(t *testing.T) {
 	s, entries := site(3, 8)
 	for _, e := range entries[:2] {
-		g := groupAt(s, entries, e)
+		lb := groupAt(s, entries, e)
 		now := t0
 		for o := range 50 {
-			c := pickObject(t, g, now, o)
+			c := pickObject(t, lb, now, o)
 			now = now.Add(time.Second)
-			g.Done(now, c, DoneInfo{Result: OK, Load: 0, Bytes: 60_000})
+			lb.Done(now, c, DoneInfo{Result: OK, Load: 0, Bytes: 60_000})
 			if o > 0 && c.Domain != e.Domain {
 				t.Errorf("entry in %s sent object %d to %s", e.Domain, o, c.Domain)
 			}
@@ -244,11 +244,11 @@
 			s.Upstreams = append(s.Upstreams, model.Upstream{ID: fmt.Sprint("muscat-c-", i), Service: s.Name, Region: "muscat", Domain: "muscat-c", Slots: 8})
 		}
 		third := model.Member{ID: "entry-muscat-c", Region: "muscat", Domain: "muscat-c", State: membership.Alive}
-		g := groupAt(s, append(entries, third), third)
+		lb := groupAt(s, append(entries, third), third)
 		crossed := 0
 		for o := range 200 {
-			c := pickObject(t, g, t0, o)
-			g.Done(t0, c, DoneInfo{Result: OK, Load: 0, Waiting: 0, Bytes: tt.bytes})
+			c := pickObject(t, lb, t0, o)
+			lb.Done(t0, c, DoneInfo{Result: OK, Load: 0, Waiting: 0, Bytes: tt.bytes})
 			if o > 0 && c.Domain != third.Domain {
 				crossed++
 			}
@@ -268,19 +268,19 @@
 		groups[i] = groupAt(s, entries, entries[0])
 	}
 	sick := serve(t, groups[0], t0, 1, 0).ID
-	for i, g := range groups {
-		c := pickObject(t, g, t0, 1)
-		g.Done(t0, c, DoneInfo{Result: OK, ServerError: i%2 == 0, Load: 0, Waiting: 0})
+	for i, lb := range groups {
+		c := pickObject(t, lb, t0, 1)
+		lb.Done(t0, c, DoneInfo{Result: OK, ServerError: i%2 == 0, Load: 0, Waiting: 0})
 	}
 	if c := serve(t, groups[0], t0, 1, 0); c.ID != sick {
 		t.Fatalf("one failure of one entry moves an object from %s to %s", sick, c.ID)
 	}
 	tellAll(groups, t0)
-	for i, g := range groups {
-		if c := serve(t, g, t0.Add(outlierFor-1), 1, 0); c.ID == sick {
+	for i, lb := range groups {
+		if c := serve(t, lb, t0.Add(outlierDuration-1), 1, 0); c.ID == sick {
 			t.Errorf("entry %d still sends to an upstream that fails half of all requests", i)
 		}
-		if c := pickObject(t, g, t0.Add(outlierFor).Add(warmFor), 1); c.ID != sick {
+		if c := pickObject(t, lb, t0.Add(outlierDuration).Add(warmTTL), 1); c.ID != sick {
 			t.Errorf("entry %d does not try again", i)
 		}
 	}
@@ -300,13 +300,13 @@
 		{"does not say, but has few requests", -1, -1, true},
 	} {
 		s, entries := site(3, 8)
-		g := groupAt(s, entries, entries[0])
-		c := pickObject(t, g, t0, 1)
-		result := g.Done(t0, c, DoneInfo{Result: Shed, Load: tt.load, Waiting: tt.waiting})
+		lb := groupAt(s, entries, entries[0])
+		c := pickObject(t, lb, t0, 1)
+		result := lb.Done(t0, c, DoneInfo{Result: Shed, Load: tt.load, Waiting: tt.waiting})
 		if idle := result == ShedIdle; idle != tt.again {
 			t.Errorf("%s: slots to spare is %v, want %v", tt.name, idle, tt.again)
 		}
-		if again := pickObject(t, g, t0, 1).ID == c.ID; again != tt.again {
+		if again := pickObject(t, lb, t0, 1).ID == c.ID; again != tt.again {
 			t.Errorf("%s: asked again is %v, want %v", tt.name, again, tt.again)
 		}
 	}
@@ -315,14 +315,14 @@
 // TestRareFailuresAreBorne has an upstream fail some of many requests.
 func TestRareFailuresAreBorne(t *testing.T) {
 	s, entries := site(3, 8)
-	g := groupAt(s, entries, entries[0])
-	sick := pickObject(t, g, t0, 1).ID
+	lb := groupAt(s, entries, entries[0])
+	sick := pickObject(t, lb, t0, 1).ID
 	for i := range 100 {
-		c := pickObject(t, g, t0, 1)
+		c := pickObject(t, lb, t0, 1)
 		if c.ID != sick {
 			t.Fatalf("moved to %s after %d requests", c.ID, i)
 		}
-		g.Done(t0, c, DoneInfo{Result: OK, ServerError: i%10 == 9, Load: 0, Waiting: 0})
+		lb.Done(t0, c, DoneInfo{Result: OK, ServerError: i%10 == 9, Load: 0, Waiting: 0})
 	}
 }
 
@@ -330,24 +330,24 @@
 // well itself, and has its objects at hand.
 func TestLostAnswersAreBorne(t *testing.T) {
 	s, entries := site(3, 8)
-	g := groupAt(s, entries, entries[0])
-	sick := serve(t, g, t0, 1, 0).ID
+	lb := groupAt(s, entries, entries[0])
+	sick := serve(t, lb, t0, 1, 0).ID
 	for i := range 20 {
-		c := pickObject(t, g, t0, 1)
+		c := pickObject(t, lb, t0, 1)
 		if c.ID != sick {
 			t.Fatalf("moved to %s after %d requests", c.ID, i)
 		}
-		g.Done(t0, c, DoneInfo{Result: []Result{OK, Failed}[i%2], Load: 0, Waiting: 0})
+		lb.Done(t0, c, DoneInfo{Result: []Result{OK, Failed}[i%2], Load: 0, Waiting: 0})
 	}
 }
 
 // TestAllFailingIsNoReasonToRefuse has every upstream fail.
 func TestAllFailingIsNoReasonToRefuse(t *testing.T) {
 	s, entries := site(2, 8)
-	g := groupAt(s, entries, entries[0])
+	lb := groupAt(s, entries, entries[0])
 	for o := range 300 {
-		c := pickObject(t, g, t0, o)
-		g.Done(t0, c, DoneInfo{Result: OK, ServerError: true, Load: 0, Waiting: 0})
+		c := pickObject(t, lb, t0, o)
+		lb.Done(t0, c, DoneInfo{Result: OK, ServerError: true, Load: 0, Waiting: 0})
 	}
 }
 
@@ -357,12 +357,12 @@
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
 	properties.Property("only allowed regions", prop.ForAll(func(steps []int) string {
 		s, entries := site(2, 2)
-		g := groupAt(s, entries, entries[0])
+		lb := groupAt(s, entries, entries[0])
 		allowed := func(region string) bool { return region == "sohar" }
 		now := t0
 		for _, step := range steps {
 			now = now.Add(time.Duration(step%7) * 20 * time.Millisecond)
-			c, err := g.PickObject(now, ObjectRequest{
+			c, err := lb.PickObject(now, ObjectRequest{
 				Object: HashObject("r", fmt.Sprint(step%11)), Class: "r", Objective: time.Second, Regions: allowed, NoAffinity: step%5 == 0,
 			})
 			if err != nil {
@@ -372,7 +372,7 @@
 				return "picked " + c.ID
 			}
 			if step%3 > 0 {
-				g.Done(now, c, DoneInfo{Result: []Result{OK, Shed, Failed, Unreachable}[step%4], Load: step % 4, Waiting: 0, Bytes: int64(step)})
+				lb.Done(now, c, DoneInfo{Result: []Result{OK, Shed, Failed, Unreachable}[step%4], Load: step % 4, Waiting: 0, Bytes: int64(step)})
 			}
 		}
 		return ""
@@ -386,10 +386,10 @@
 	const objects = 1000
 	s, entries := site(6, 8)
 	regions := func(svc *model.Service) []string {
-		g := groupAt(svc, entries, entries[0])
+		lb := groupAt(svc, entries, entries[0])
 		out := make([]string, objects)
 		for o := range out {
-			out[o] = serve(t, g, t0, o, 0).Region
+			out[o] = serve(t, lb, t0, o, 0).Region
 		}
 		return out
 	}
@@ -444,14 +444,14 @@
 			groups[i] = groupAt(s, entries, e)
 		}
 		for at := time.Duration(0); at < 4*time.Second; at += 20 * time.Millisecond {
-			for i, g := range groups {
+			for i, lb := range groups {
 				if at < time.Duration(offsets[i%len(offsets)])*time.Millisecond {
 					continue
 				}
-				c, err := g.PickObject(t0.Add(at), ObjectRequest{Object: 1, Class: "r"})
+				c, err := lb.PickObject(t0.Add(at), ObjectRequest{Object: 1, Class: "r"})
 				if err == nil {
 					sent = append(sent, at)
-					g.Done(t0.Add(at), c, DoneInfo{Result: Abandoned, Load: -1})
+					lb.Done(t0.Add(at), c, DoneInfo{Result: Abandoned, Load: -1})
 				}
 			}
 		}
@@ -481,11 +481,11 @@
 func TestJoiningUpstreamsTakeNothingOverWhileCold(t *testing.T) {
 	s, entries := site(10, 9)
 	s.Warmup, s.ColdRate = 3*time.Second, 14
-	g := groupAt(s, entries, entries[0])
+	lb := groupAt(s, entries, entries[0])
 	const objects = 300
 	was := make([]string, objects)
 	for o := range objects {
-		was[o] = serve(t, g, t0, o, time.Second).ID
+		was[o] = serve(t, lb, t0, o, time.Second).ID
 	}
 	joined := *s
 	for i := range 12 {
@@ -494,25 +494,25 @@
 		joined.Upstreams = append(joined.Upstreams, u)
 	}
 	update := func(now time.Time) {
-		g.Update(ServiceState{Service: &joined, Draining: never, Self: entries[0].ID, Region: entries[0].Region, Domain: entries[0].Domain, Entries: entries}, now)
+		lb.Update(ServiceState{Service: &joined, Draining: never, Self: entries[0].ID, Region: entries[0].Region, Domain: entries[0].Domain, Entries: entries}, now)
 	}
 	// What this entry knows of warm objects is too old to help.
 	now := t0.Add(time.Hour)
 	update(now)
 	for o := range objects {
-		c, err := g.PickObject(now, ObjectRequest{Object: HashObject("r", fmt.Sprint(o)), Class: "r", Objective: time.Second})
+		c, err := lb.PickObject(now, ObjectRequest{Object: HashObject("r", fmt.Sprint(o)), Class: "r", Objective: time.Second})
 		if err != nil {
 			t.Fatalf("object %d: refused with most slots free: %v", o, err)
 		}
 		if c.ID != was[o] {
 			t.Errorf("object %d moved from %s to %s", o, was[o], c.ID)
 		}
-		g.Done(now, c, DoneInfo{Result: Abandoned, Load: -1})
+		lb.Done(now, c, DoneInfo{Result: Abandoned, Load: -1})
 	}
 	// When they have warmed up they take over their part.
 	used := 0
 	for o := range objects {
-		if c := serve(t, g, now.Add(4*time.Second), o, time.Second); c.ID != was[o] {
+		if c := serve(t, lb, now.Add(4*time.Second), o, time.Second); c.ID != was[o] {
 			used++
 		}
 	}
@@ -529,14 +529,14 @@
 	for i := range s.Upstreams {
 		s.Upstreams[i].ColdUntil = t0.Add(3 * time.Second)
 	}
-	g := groupAt(s, entries, entries[0])
+	lb := groupAt(s, entries, entries[0])
 	served := 0
 	for o := range 25 {
 		now := t0.Add(time.Duration(o) * 80 * time.Millisecond)
-		c, err := g.PickObject(now, ObjectRequest{Object: HashObject("r", fmt.Sprint(o)), Class: "r", Objective: time.Second})
+		c, err := lb.PickObject(now, ObjectRequest{Object: HashObject("r", fmt.Sprint(o)), Class: "r", Objective: time.Second})
 		if err == nil {
 			served++
-			g.Done(now, c, DoneInfo{Result: Abandoned, Load: -1})
+			lb.Done(now, c, DoneInfo{Result: Abandoned, Load: -1})
 		}
 	}
 	if served < 20 {
--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -23,30 +23,30 @@
 	// reportDecay is the time constant by which a load report loses its weight.
 	reportDecay = 2 * time.Second
 	// ejectAfter is how many failures in a row eject an upstream.
-	ejectAfter = 3
+	ejectionThreshold = 3
 	// ejectFirst and ejectLongest bound how long an ejection lasts; it doubles
 	// each time.
-	ejectFirst   = time.Second
-	ejectLongest = 30 * time.Second
+	baseEjectionTime = time.Second
+	maxEjectionTime  = 30 * time.Second
 	// maxEjected is the share of a region's upstreams that may be ejected. When
 	// most look bad, the measurement is more likely wrong than the upstreams.
-	maxEjected = 0.5
+	maxEjectionShare = 0.5
 	// latencyWeight is the weight of a new sample in the mean latency.
 	latencyWeight = 0.1
 	// probeEvery is the time between requests that look whether a region most of
 	// which failed is well again.
-	probeEvery = 100 * time.Millisecond
+	probeInterval = 100 * time.Millisecond
 	// silentAfter is after what time without any answer, beside the expected wait, an
 	// upstream with requests under way is taken for dead. It leaves room for cold work
 	// of a second: whoever gives an upstream up too soon makes its objects cold elsewhere.
-	silentAfter = 1200 * time.Millisecond
+	unresponsiveTimeout = 1200 * time.Millisecond
 	// shedFor is how long an upstream that shed load is taken for full. It says
 	// nothing about the others.
-	shedFor = 50 * time.Millisecond
+	shedBackoff = 50 * time.Millisecond
 	// peerFresh is after what time without a report a peer counts for nothing.
-	peerFresh = time.Second
+	peerReportTTL = time.Second
 	// drainingFor is how long an upstream's own word that it drains is believed.
-	drainingFor = 5 * time.Minute
+	drainTTL = 5 * time.Minute
 )
 
 // Errors of Pick.
@@ -58,46 +58,46 @@
 )
 
 // member is the state of one upstream. The Group's lock guards it.
-type member struct {
+type upstreamState struct {
 	model.Upstream
 	inFlight int
 	// sent counts the own requests.
 	sent int64
 	// others is the load by other entries at the last report, and reported when
 	// that was.
-	others   float64
-	reported time.Time
-	latency  time.Duration
-	failures int
+	otherLoad  float64
+	reportedAt time.Time
+	latency    time.Duration
+	failures   int
 	// ejections counts ejections without a success between them.
 	ejections    int
 	ejectedUntil time.Time
 	drainUntil   time.Time
 	// heardAt is when the upstream last answered, or when the first of the requests
 	// under way was sent if that was later.
-	heardAt time.Time
+	lastAnswer time.Time
 	// shedUntil is until when an upstream that shed load is taken for full.
 	shedUntil time.Time
 	// coldSince is when the upstream appeared; zero for one that was there first.
 	coldSince time.Time
 	// owned is set if the entry is the one that uses the upstream first.
-	owned bool
-	gone  bool
+	inSubset bool
+	removed  bool
 	// restarted is set if the upstream has started again since, with a state of its own.
 	restarted bool
 
 	// hash and weight order the upstreams of an object; see place.
-	hash   uint64
+	idHash uint64
 	weight float64
 	// key names the upstream in reports of entries.
-	key uint32
+	incarnationKey uint32
 	// served is when objects were last served, as far as this entry knows.
-	served map[uint64]time.Time
+	lastServed map[uint64]time.Time
 	// byPeer is how many requests each peer has at the upstream, atPeers their sum.
-	byPeer  map[string]int
-	atPeers int
+	peerRequests map[string]int
+	peerTotal    int
 	// outcomes are those of the own requests, peerOutcomes those that peers told of.
-	outcomes     recent
+	outcomes     decayedOutcomes
 	peerOutcomes map[string]Outcomes
 	// outlierUntil is until when the upstream is passed over for its failures.
 	outlierUntil time.Time
@@ -107,58 +107,58 @@
 	coldAt     time.Time
 	// sender is whether this entry is one of those that send to the upstream while it is
 	// cold; nil until it was worked out for the present entries.
-	sender *bool
+	coldSender *bool
 	// rate is what is known of the upstream's own limit, bucket keeps to it; nil if there is
 	// none. lastBucket is that of the limit before: entries do not see each end of a limit, and
 	// go on with the counts of their requests.
-	rate               ratelimit.Register
+	limit              ratelimit.Register
 	bucket, lastBucket *ratelimit.Bucket
 	// rateUntold is set while others have not been told of what has changed, limitUntold if that
 	// is the limit. The last request was counted at spentAt, and all are told of the limit until
 	// limitNewsUntil.
-	rateUntold     bool
-	limitUntold    bool
-	spentAt        time.Time
-	limitNewsUntil time.Time
+	unsent        bool
+	limitUnsent   bool
+	lastSpent     time.Time
+	announceUntil time.Time
 }
 
 // Balancer balances one service. It is safe for concurrent use.
 type Balancer struct {
-	mu       sync.Mutex
-	warmup   time.Duration
-	byID     map[string]*member
-	all      []*member
-	regions  map[string][]*member
-	draining func(u *model.Upstream, now time.Time) bool
+	mu        sync.Mutex
+	warmup    time.Duration
+	byID      map[string]*upstreamState
+	upstreams []*upstreamState
+	byRegion  map[string][]*upstreamState
+	draining  func(u *model.Upstream, now time.Time) bool
 	// meanOthers is the mean of others over slots, for upstreams without a
 	// fresh report.
-	meanOthers float64
+	meanOtherLoad float64
 	// inFlight counts the own requests per region.
 	inFlight map[string]int
 	// probeAt is when a region most of which fails may next be tried first.
-	probeAt map[string]time.Time
+	nextProbe map[string]time.Time
 
 	// self, home and domain are the id, region and failure domain of this entry, entries those that
 	// carry requests.
 	self    string
-	home    string
+	region  string
 	domain  string
 	entries []model.Member
 	// coldRate bounds the requests to a cold upstream per second from all entries.
 	coldRate float64
 	// byClass are the times that classes of requests take, meanWork that of all.
-	byClass  map[string]*times
-	meanWork time.Duration
+	classes         map[string]*classStats
+	meanServiceTime time.Duration
 	// roundTrip is the time to a region and back.
 	roundTrip map[string]time.Duration
 	// heard is when each peer last told of its requests.
-	heard map[string]time.Time
+	lastPeerReport map[string]time.Time
 
 	// limited counts the upstreams with a limit, limitNewsUntil is until when all others are
 	// told of one or of its end, and notify is called when some are to hear at once.
-	limited        atomic.Int32
-	limitNewsUntil time.Time
-	notify         func()
+	limitedCount  atomic.Int32
+	announceUntil time.Time
+	notify        func()
 	// retired is set once the entry is about to leave.
 	retired bool
 
@@ -168,12 +168,12 @@
 // NewBalancer returns an empty Group.
 func NewBalancer() *Balancer {
 	return &Balancer{
-		byID:      make(map[string]*member),
-		inFlight:  make(map[string]int),
-		probeAt:   make(map[string]time.Time),
-		byClass:   make(map[string]*times),
-		roundTrip: make(map[string]time.Duration),
-		heard:     make(map[string]time.Time),
+		byID:           make(map[string]*upstreamState),
+		inFlight:       make(map[string]int),
+		nextProbe:      make(map[string]time.Time),
+		classes:        make(map[string]*classStats),
+		roundTrip:      make(map[string]time.Duration),
+		lastPeerReport: make(map[string]time.Time),
 	}
 }
 
@@ -195,52 +195,52 @@
 // Update takes in a new snapshot of the service. Upstreams that were not in the
 // one before are cold, unless it is the first, and so are those that have started again:
 // nothing that was known of the earlier life holds. It returns the addresses of these.
-func (g *Balancer) Update(in ServiceState, now time.Time) (restarted []string) {
+func (b *Balancer) Update(in ServiceState, now time.Time) (restarted []string) {
 	svc := in.Service
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	first := len(g.byID) == 0
-	g.warmup, g.coldRate, g.draining = svc.Warmup, svc.ColdRate, in.Draining
-	g.self, g.home, g.domain, g.entries = in.Self, in.Region, in.Domain, in.Entries
-	g.regions, g.all = make(map[string][]*member), nil
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	first := len(b.byID) == 0
+	b.warmup, b.coldRate, b.draining = svc.Warmup, svc.ColdRate, in.Draining
+	b.self, b.region, b.domain, b.entries = in.Self, in.Region, in.Domain, in.Entries
+	b.byRegion, b.upstreams = make(map[string][]*upstreamState), nil
 	seen := make(map[string]bool)
-	for _, u := range svc.Upstreams {
-		seen[u.ID] = true
-		m := g.byID[u.ID]
-		if m != nil && u.RestartOf(&m.Upstream) {
-			m.restarted = true
-			restarted = append(restarted, m.Address)
-			g.dropLimit(m)
-			m = nil
+	for _, up := range svc.Upstreams {
+		seen[up.ID] = true
+		u := b.byID[up.ID]
+		if u != nil && up.RestartOf(&u.Upstream) {
+			u.restarted = true
+			restarted = append(restarted, u.Address)
+			b.dropLimit(u)
+			u = nil
 		}
-		if m == nil {
-			m = &member{hash: xxhash.Sum64String(u.ID), key: IncarnationKey(&u)}
+		if u == nil {
+			u = &upstreamState{idHash: xxhash.Sum64String(up.ID), incarnationKey: IncarnationKey(&up)}
 			if !first {
-				m.coldSince = now
+				u.coldSince = now
 			}
-			g.byID[u.ID] = m
+			b.byID[up.ID] = u
 		}
-		m.Upstream, m.gone, m.owned = u, false, in.Subset[u.ID]
-		m.sender = nil
-		g.all = append(g.all, m)
-		g.regions[u.Region] = append(g.regions[u.Region], m)
+		u.Upstream, u.removed, u.inSubset = up, false, in.Subset[up.ID]
+		u.coldSender = nil
+		b.upstreams = append(b.upstreams, u)
+		b.byRegion[up.Region] = append(b.byRegion[up.Region], u)
 	}
-	for id, m := range g.byID {
+	for id, u := range b.byID {
 		if !seen[id] {
-			m.gone = true
-			g.dropLimit(m)
-			g.forget(id, m)
+			u.removed = true
+			b.dropLimit(u)
+			b.removeIfIdle(id, u)
 		}
 	}
-	g.setSenders(now)
-	g.weigh(now, in.Region, demandByRegion(in.Entries))
+	b.updateLimitSenders(now)
+	b.updateWeights(now, in.Region, demandByRegion(in.Entries))
 	return restarted
 }
 
 // forget drops an upstream that is gone once its last request has ended.
-func (g *Balancer) forget(id string, m *member) {
-	if m.gone && m.inFlight == 0 {
-		delete(g.byID, id)
+func (b *Balancer) removeIfIdle(id string, u *upstreamState) {
+	if u.removed && u.inFlight == 0 {
+		delete(b.byID, id)
 	}
 }
 
@@ -273,29 +273,29 @@
 	class  string
 	object uint64
 	// unqueued is set if the request should have got a slot at once.
-	unqueued bool
+	immediate bool
 	// to is the upstream's state when it was picked, that of an earlier life if it has
 	// started again since.
-	to *member
+	state *upstreamState
 }
 
 // Pick chooses an upstream and takes one of its slots.
-func (g *Balancer) Pick(now time.Time, rnd *rand.Rand, req Request) (Choice, error) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (b *Balancer) Pick(now time.Time, rnd *rand.Rand, req Request) (Choice, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	usable := false
-	for _, region := range g.order(req.Regions, now) {
-		candidates := g.candidates(region, req.Tried, now)
+	for _, region := range b.orderRegions(req.Regions, now) {
+		candidates := b.availableInRegion(region, req.Tried, now)
 		usable = usable || len(candidates) > 0
-		if len(candidates) == 0 || req.Allowed != nil && !req.Allowed(region, g.inFlight[region]) {
+		if len(candidates) == 0 || req.Allowed != nil && !req.Allowed(region, b.inFlight[region]) {
 			continue
 		}
-		if m := g.choose(candidates, now, rnd); m != nil {
-			m.inFlight++
-			m.sent++
-			g.spendRate(m, now)
-			g.inFlight[region]++
-			return Choice{Upstream: m.Upstream, PickedAt: now, to: m}, nil
+		if u := b.pickPreferred(candidates, now, rnd); u != nil {
+			u.inFlight++
+			u.sent++
+			b.spendLimit(u, now)
+			b.inFlight[region]++
+			return Choice{Upstream: u.Upstream, PickedAt: now, state: u}, nil
 		}
 	}
 	if usable {
@@ -305,57 +305,57 @@
 }
 
 // candidates returns the upstreams of a region that may get work.
-func (g *Balancer) candidates(region string, tried []string, now time.Time) []*member {
-	all := g.regions[region]
-	out := make([]*member, 0, len(all))
-	for _, m := range all {
-		if !m.ejected(now) && !slices.Contains(tried, m.ID) && !g.leaves(m, now) {
-			out = append(out, m)
+func (b *Balancer) availableInRegion(region string, tried []string, now time.Time) []*upstreamState {
+	all := b.byRegion[region]
+	out := make([]*upstreamState, 0, len(all))
+	for _, u := range all {
+		if !u.ejected(now) && !slices.Contains(tried, u.ID) && !b.isDraining(u, now) {
+			out = append(out, u)
 		}
 	}
 	return out
 }
 
-func (g *Balancer) leaves(m *member, now time.Time) bool {
-	return now.Before(m.drainUntil) || g.draining(&m.Upstream, now)
+func (b *Balancer) isDraining(u *upstreamState, now time.Time) bool {
+	return now.Before(u.drainUntil) || b.draining(&u.Upstream, now)
 }
 
 // choose takes one of the entry's own upstreams that has a free slot, else one of
 // the others; nil if all are full. Entries that each begin with different
 // upstreams seldom meet at the last slot of one.
-func (g *Balancer) choose(ms []*member, now time.Time, rnd *rand.Rand) *member {
+func (b *Balancer) pickPreferred(ms []*upstreamState, now time.Time, rnd *rand.Rand) *upstreamState {
 	others := ms[:0:0]
 	owned := ms[:0:0]
-	for _, m := range ms {
-		if m.owned {
-			owned = append(owned, m)
+	for _, u := range ms {
+		if u.inSubset {
+			owned = append(owned, u)
 		} else {
-			others = append(others, m)
+			others = append(others, u)
 		}
 	}
-	if m := g.chooseAmong(owned, now, rnd); m != nil {
-		return m
+	if u := b.pickLeastLoaded(owned, now, rnd); u != nil {
+		return u
 	}
-	return g.chooseAmong(others, now, rnd)
+	return b.pickLeastLoaded(others, now, rnd)
 }
 
 // chooseAmong takes the less loaded of two random upstreams, or the least loaded
 // of all if both are full.
-func (g *Balancer) chooseAmong(ms []*member, now time.Time, rnd *rand.Rand) *member {
+func (b *Balancer) pickLeastLoaded(ms []*upstreamState, now time.Time, rnd *rand.Rand) *upstreamState {
 	if len(ms) == 0 {
 		return nil
 	}
-	a, b := ms[rnd.IntN(len(ms))], ms[rnd.IntN(len(ms))]
-	if g.load(b, now) < g.load(a, now) {
-		a = b
+	x, y := ms[rnd.IntN(len(ms))], ms[rnd.IntN(len(ms))]
+	if b.load(y, now) < b.load(x, now) {
+		x = y
 	}
-	if g.hasSlot(a, now) {
-		return a
+	if b.hasSlot(x, now) {
+		return x
 	}
-	var best *member
-	for _, m := range ms {
-		if g.hasSlot(m, now) && (best == nil || g.load(m, now) < g.load(best, now)) {
-			best = m
+	var best *upstreamState
+	for _, u := range ms {
+		if b.hasSlot(u, now) && (best == nil || b.load(u, now) < b.load(best, now)) {
+			best = u
 		}
 	}
 	return best
@@ -401,35 +401,35 @@
 }
 
 // Done ends a Choice and frees its slot. It returns the result as it counts.
-func (g *Balancer) Done(now time.Time, c Choice, r DoneInfo) Result {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	m := c.to
-	if m.restarted {
-		g.inFlight[c.Region]--
+func (b *Balancer) Done(now time.Time, c Choice, r DoneInfo) Result {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	u := c.state
+	if u.restarted {
+		b.inFlight[c.Region]--
 		return r.Result
 	}
 	if r.Load >= 0 {
-		m.others = float64(max(0, r.Load-m.inFlight))
-		m.reported = now
+		u.otherLoad = float64(max(0, r.Load-u.inFlight))
+		u.reportedAt = now
 	}
-	m.inFlight--
-	g.inFlight[c.Region]--
+	u.inFlight--
+	b.inFlight[c.Region]--
 	if r.Draining {
-		m.drainUntil = now.Add(drainingFor)
+		u.drainUntil = now.Add(drainTTL)
 	}
-	if best := g.roundTrip[c.Region]; r.ConnectTime > 0 && (best == 0 || r.ConnectTime < best) {
-		g.roundTrip[c.Region] = r.ConnectTime
+	if best := b.roundTrip[c.Region]; r.ConnectTime > 0 && (best == 0 || r.ConnectTime < best) {
+		b.roundTrip[c.Region] = r.ConnectTime
 	}
-	if r.Result == Shed && g.shedForNothing(m, now, c, r) {
+	if r.Result == Shed && b.shedWithSpareSlots(u, now, c, r) {
 		r.Result = ShedIdle
 	}
 	if r.Result == OK || r.Result == Unreachable {
-		m.countOutcome(now, r.ServerError || r.Result == Unreachable)
+		u.recordOutcome(now, r.ServerError || r.Result == Unreachable)
 	}
-	g.learn(m, now, c, r)
-	g.judge(m, now, now.Sub(c.PickedAt), r.Result)
-	g.updateMean(now)
-	g.forget(c.ID, m)
+	b.recordServiceTime(u, now, c, r)
+	b.recordResult(u, now, now.Sub(c.PickedAt), r.Result)
+	b.updateMeanLoad(now)
+	b.removeIfIdle(c.ID, u)
 	return r.Result
 }
--- a/internal/balance/balancer_test.go
+++ b/internal/balance/balancer_test.go
@@ -182,7 +182,7 @@
 	for range 100 {
 		c := r.pick(t, "muscat", "sohar")
 		r.Done(r.now, c, DoneInfo{Load: 1})
-		r.now = r.now.Add(probeEvery)
+		r.now = r.now.Add(probeInterval)
 	}
 	if c := r.pick(t, "muscat", "sohar"); c.Region != "muscat" {
 		t.Error("the region is well, but gets no requests")
--- a/internal/balance/health.go
+++ b/internal/balance/health.go
@@ -13,14 +13,14 @@
 // order returns the regions with those last of which most upstreams fail. Every
 // probeEvery one request still tries such a region in its turn, to see whether
 // it is well again.
-func (g *Balancer) order(regions []string, now time.Time) []string {
+func (b *Balancer) orderRegions(regions []string, now time.Time) []string {
 	var last []string
 	for i, r := range regions {
-		if !g.unwell(r, now) {
+		if !b.mostlyFailing(r, now) {
 			continue
 		}
-		if !now.Before(g.probeAt[r]) {
-			g.probeAt[r] = now.Add(probeEvery)
+		if !now.Before(b.nextProbe[r]) {
+			b.nextProbe[r] = now.Add(probeInterval)
 			continue
 		}
 		if last == nil {
@@ -37,80 +37,80 @@
 
 // unwell reports whether more than half of a region's upstreams are ejected or
 // fail again and again.
-func (g *Balancer) unwell(region string, now time.Time) bool {
+func (b *Balancer) mostlyFailing(region string, now time.Time) bool {
 	bad := 0
-	all := g.regions[region]
-	for _, m := range all {
-		if m.ejected(now) || m.failures >= ejectAfter {
+	all := b.byRegion[region]
+	for _, u := range all {
+		if u.ejected(now) || u.failures >= ejectionThreshold {
 			bad++
 		}
 	}
-	return float64(bad) > maxEjected*float64(len(all))
+	return float64(bad) > maxEjectionShare*float64(len(all))
 }
 
-func (m *member) ejected(now time.Time) bool { return now.Before(m.ejectedUntil) }
+func (u *upstreamState) ejected(now time.Time) bool { return now.Before(u.ejectedUntil) }
 
 // silent reports whether an upstream has requests of this entry and has answered
 // none for longer than they should take. Its instance may be dead or cut off; its
 // entry in the platform's list tells so only seconds later.
-func (g *Balancer) silent(m *member, now time.Time) bool {
-	return m.inFlight > 0 && now.Sub(m.heardAt) > silentAfter+g.wait(m, now, ObjectRequest{})
+func (b *Balancer) unresponsive(u *upstreamState, now time.Time) bool {
+	return u.inFlight > 0 && now.Sub(u.lastAnswer) > unresponsiveTimeout+b.expectedWait(u, now, ObjectRequest{})
 }
 
 // shedForNothing reports whether an upstream that refused a request as if for load had
 // slots to spare, by its own word or else by what the entries have there. That is no
 // sign of load; and as others would work cold, it is no reason to pass the upstream
 // over either, but to ask it again.
-func (g *Balancer) shedForNothing(m *member, now time.Time, c Choice, r DoneInfo) bool {
+func (b *Balancer) shedWithSpareSlots(u *upstreamState, now time.Time, c Choice, r DoneInfo) bool {
 	if c.class == "" {
 		return false
 	}
 	if r.Load >= 0 {
-		return r.Waiting <= 0 && r.Load < m.Slots
+		return r.Waiting <= 0 && r.Load < u.Slots
 	}
-	return g.estimate(m, now) < idleShare*float64(m.Slots)
+	return b.outstanding(u, now) < idleShare*float64(u.Slots)
 }
 
-func (g *Balancer) judge(m *member, now time.Time, took time.Duration, r Result) {
+func (b *Balancer) recordResult(u *upstreamState, now time.Time, took time.Duration, r Result) {
 	switch r {
 	case OK:
-		m.heardAt = now
-		m.failures, m.ejections = 0, 0
-		if m.latency == 0 {
-			m.latency = took
+		u.lastAnswer = now
+		u.failures, u.ejections = 0, 0
+		if u.latency == 0 {
+			u.latency = took
 		}
-		m.latency += time.Duration(latencyWeight * float64(took-m.latency))
+		u.latency += time.Duration(latencyWeight * float64(took-u.latency))
 	case ShedIdle:
-		m.heardAt = now
+		u.lastAnswer = now
 	case Shed:
-		m.heardAt = now
-		m.shedUntil = now.Add(shedFor)
+		u.lastAnswer = now
+		u.shedUntil = now.Add(shedBackoff)
 	case Failed, Unreachable:
-		m.failures++
+		u.failures++
 		if r == Unreachable {
-			m.failures = max(m.failures, ejectAfter)
+			u.failures = max(u.failures, ejectionThreshold)
 		}
-		if m.failures >= ejectAfter {
-			g.eject(m, now)
+		if u.failures >= ejectionThreshold {
+			b.eject(u, now)
 		}
 	}
 }
 
 // eject takes an upstream out for a while, unless too many of its region are
 // out already.
-func (g *Balancer) eject(m *member, now time.Time) {
+func (b *Balancer) eject(u *upstreamState, now time.Time) {
 	out := 0
-	peers := g.regions[m.Region]
+	peers := b.byRegion[u.Region]
 	for _, p := range peers {
-		if p != m && p.ejected(now) {
+		if p != u && p.ejected(now) {
 			out++
 		}
 	}
-	if float64(out+1) > maxEjected*float64(len(peers)) {
+	if float64(out+1) > maxEjectionShare*float64(len(peers)) {
 		return
 	}
-	d := min(ejectFirst<<min(m.ejections, 10), ejectLongest)
-	m.ejections++
-	m.failures = 0
-	m.ejectedUntil = now.Add(d)
+	d := min(baseEjectionTime<<min(u.ejections, 10), maxEjectionTime)
+	u.ejections++
+	u.failures = 0
+	u.ejectedUntil = now.Add(d)
 }
--- a/internal/balance/outlier.go
+++ b/internal/balance/outlier.go
@@ -11,10 +11,10 @@
 	// outlierFailures is how many recent failures, as counted by all entries together,
 	// and outlierShare what share of the outcomes they must be, for an upstream to be
 	// passed over. Healthy ones fail a request in a thousand.
-	outlierFailures = 2.5
-	outlierShare    = 0.2
+	outlierMinFailures  = 2.5
+	outlierFailureShare = 0.2
 	// outlierFor is how long it is passed over before requests try it again.
-	outlierFor = 3 * time.Second
+	outlierDuration = 3 * time.Second
 )
 
 // Outcomes counts how recent requests to an upstream ended. Answers that broke off or
@@ -31,65 +31,65 @@
 }
 
 // recent are outcomes as of a time.
-type recent struct {
+type decayedOutcomes struct {
 	Outcomes
 	at time.Time
 }
 
 // now returns the outcomes as they count at a later time.
-func (r recent) now(now time.Time) Outcomes {
+func (r decayedOutcomes) decayedTo(now time.Time) Outcomes {
 	w := math.Exp(-float64(now.Sub(r.at)) / float64(outcomeDecay))
 	return Outcomes{w * r.Failed, w * r.Total}
 }
 
 // countOutcome adds one outcome of the own requests.
-func (m *member) countOutcome(now time.Time, failed bool) {
-	sum := m.outcomes.now(now).plus(Outcomes{Total: 1})
+func (u *upstreamState) recordOutcome(now time.Time, failed bool) {
+	sum := u.outcomes.decayedTo(now).plus(Outcomes{Total: 1})
 	if failed {
 		sum.Failed++
 	}
-	m.outcomes = recent{sum, now}
-	m.judgeOutcomes(now)
+	u.outcomes = decayedOutcomes{sum, now}
+	u.detectOutlier(now)
 }
 
 // judgeOutcomes passes an upstream over for a while if too many requests of all
 // entries failed there. An entry of a large fleet sends so few to each upstream that
 // its own would not show it, and a health check may be good all the while.
-func (m *member) judgeOutcomes(now time.Time) {
-	sum := m.outcomes.now(now)
-	for _, o := range m.peerOutcomes {
+func (u *upstreamState) detectOutlier(now time.Time) {
+	sum := u.outcomes.decayedTo(now)
+	for _, o := range u.peerOutcomes {
 		sum = sum.plus(o)
 	}
-	if sum.Failed >= outlierFailures && sum.Failed >= outlierShare*sum.Total {
-		m.outlierUntil = now.Add(outlierFor)
+	if sum.Failed >= outlierMinFailures && sum.Failed >= outlierFailureShare*sum.Total {
+		u.outlierUntil = now.Add(outlierDuration)
 	}
 }
 
-func (m *member) outlying(now time.Time) bool { return now.Before(m.outlierUntil) }
+func (u *upstreamState) isOutlier(now time.Time) bool { return now.Before(u.outlierUntil) }
 
 // hearOutcomes takes in what a peer told of its outcomes.
-func (m *member) hearOutcomes(now time.Time, peer string, o Outcomes) {
+func (u *upstreamState) setPeerOutcomes(now time.Time, peer string, o Outcomes) {
 	if o.Failed == 0 {
-		delete(m.peerOutcomes, peer)
+		delete(u.peerOutcomes, peer)
 		return
 	}
-	if m.peerOutcomes == nil {
-		m.peerOutcomes = make(map[string]Outcomes)
+	if u.peerOutcomes == nil {
+		u.peerOutcomes = make(map[string]Outcomes)
 	}
-	m.peerOutcomes[peer] = o
-	m.judgeOutcomes(now)
+	u.peerOutcomes[peer] = o
+	u.detectOutlier(now)
 }
 
 // countedOutcomes sums up the outcomes of the entries that are asked for.
-func (m *member) countedOutcomes(whose EntryFilter, now time.Time) Outcomes {
+func (u *upstreamState) filteredOutcomes(whose EntryFilter, now time.Time) Outcomes {
 	var sum Outcomes
 	if whose.Own {
-		sum = m.outcomes.now(now)
+		sum = u.outcomes.decayedTo(now)
 	}
 	if whose.Peers == nil {
 		return sum
 	}
-	for peer, o := range m.peerOutcomes {
+	for peer, o := range u.peerOutcomes {
 		if whose.Peers(peer) {
 			sum = sum.plus(o)
 		}
--- a/internal/balance/peers.go
+++ b/internal/balance/peers.go
@@ -35,26 +35,26 @@
 
 // VisitLoads calls visit with what the entries that are asked for have at each upstream
 // at which they have requests or had failures.
-func (g *Balancer) VisitLoads(now time.Time, whose EntryFilter, visit func(upstream uint32, l Load)) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for _, m := range g.all {
-		l := Load{Requests: m.count(whose), Outcomes: m.countedOutcomes(whose, now)}
+func (b *Balancer) VisitLoads(now time.Time, whose EntryFilter, visit func(upstream uint32, l Load)) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, u := range b.upstreams {
+		l := Load{Requests: u.filteredRequests(whose), Outcomes: u.filteredOutcomes(whose, now)}
 		if l.Requests > 0 || l.Failed > 0 {
-			visit(m.key, l)
+			visit(u.incarnationKey, l)
 		}
 	}
 }
 
-func (m *member) count(whose EntryFilter) int {
+func (u *upstreamState) filteredRequests(whose EntryFilter) int {
 	n := 0
 	if whose.Own {
-		n = m.inFlight
+		n = u.inFlight
 	}
 	if whose.Peers == nil {
 		return n
 	}
-	for peer, at := range m.byPeer {
+	for peer, at := range u.peerRequests {
 		if whose.Peers(peer) {
 			n += at
 		}
@@ -71,47 +71,47 @@
 }
 
 // ApplyPeerLoad takes in what a peer told.
-func (g *Balancer) ApplyPeerLoad(now time.Time, p PeerLoad) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.heard[p.Peer] = now
-	for _, m := range g.all {
-		h := m.key
+func (b *Balancer) ApplyPeerLoad(now time.Time, p PeerLoad) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.lastPeerReport[p.Peer] = now
+	for _, u := range b.upstreams {
+		h := u.incarnationKey
 		if h < p.First || h > p.Last {
 			continue
 		}
 		l := p.Loads[h]
-		if was := m.byPeer[p.Peer]; was != l.Requests {
-			m.setPeer(p.Peer, l.Requests)
+		if was := u.peerRequests[p.Peer]; was != l.Requests {
+			u.setPeerRequests(p.Peer, l.Requests)
 		}
-		m.hearOutcomes(now, p.Peer, l.Outcomes)
+		u.setPeerOutcomes(now, p.Peer, l.Outcomes)
 	}
-	g.forgetSilent(now)
+	b.expirePeers(now)
 }
 
 // forgetSilent drops what peers said that have been silent for too long.
-func (g *Balancer) forgetSilent(now time.Time) {
-	for peer, at := range g.heard {
-		if now.Sub(at) < peerFresh {
+func (b *Balancer) expirePeers(now time.Time) {
+	for peer, at := range b.lastPeerReport {
+		if now.Sub(at) < peerReportTTL {
 			continue
 		}
-		delete(g.heard, peer)
-		for _, m := range g.all {
-			m.setPeer(peer, 0)
-			delete(m.peerOutcomes, peer)
+		delete(b.lastPeerReport, peer)
+		for _, u := range b.upstreams {
+			u.setPeerRequests(peer, 0)
+			delete(u.peerOutcomes, peer)
 		}
 	}
 }
 
 // setPeer changes how many requests a peer has at an upstream.
-func (m *member) setPeer(peer string, n int) {
-	if m.byPeer == nil {
-		m.byPeer = make(map[string]int)
+func (u *upstreamState) setPeerRequests(peer string, n int) {
+	if u.peerRequests == nil {
+		u.peerRequests = make(map[string]int)
 	}
-	m.atPeers += n - m.byPeer[peer]
+	u.peerTotal += n - u.peerRequests[peer]
 	if n == 0 {
-		delete(m.byPeer, peer)
+		delete(u.peerRequests, peer)
 		return
 	}
-	m.byPeer[peer] = n
+	u.peerRequests[peer] = n
 }
--- a/internal/balance/placement_test.go
+++ b/internal/balance/placement_test.go
@@ -30,19 +30,19 @@
 // those of the whole order.
 func TestFrontIsTheBeginningOfTheOrder(t *testing.T) {
 	s, entries := largeService()
-	g := groupAt(s, entries, entries[0])
+	lb := groupAt(s, entries, entries[0])
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
 		req := ObjectRequest{Object: rnd.Uint64()}
 		for _, n := range []int{1, 2, 5, 2000} {
-			got := append([]candidate(nil), g.front(t0, req, n)...)
-			whole := g.byPlace(t0, req)
+			got := append([]candidate(nil), lb.topByScore(t0, req, n)...)
+			whole := lb.byScore(t0, req)
 			if len(got) != min(n, len(whole)) {
 				t.Fatalf("%d of %d", len(got), n)
 			}
 			for i := range got {
 				if got[i] != whole[i] {
-					t.Fatalf("object %x: place %d of %d is %s, want %s", req.Object, i, n, got[i].m.ID, whole[i].m.ID)
+					t.Fatalf("object %x: place %d of %d is %s, want %s", req.Object, i, n, got[i].state.ID, whole[i].state.ID)
 				}
 			}
 		}
@@ -52,13 +52,13 @@
 // BenchmarkPickObject measures a choice among a thousand upstreams.
 func BenchmarkPickObject(b *testing.B) {
 	s, entries := largeService()
-	g := groupAt(s, entries, entries[0])
+	lb := groupAt(s, entries, entries[0])
 	b.ReportAllocs()
 	for i := range b.N {
-		c, err := g.PickObject(t0, ObjectRequest{Object: mix(uint64(i)), Class: "r", Objective: time.Second})
+		c, err := lb.PickObject(t0, ObjectRequest{Object: mix(uint64(i)), Class: "r", Objective: time.Second})
 		if err != nil {
 			b.Fatal(err)
 		}
-		g.Done(t0, c, DoneInfo{Result: Abandoned, Load: -1})
+		lb.Done(t0, c, DoneInfo{Result: Abandoned, Load: -1})
 	}
 }
--- a/internal/balance/ratelimit.go
+++ b/internal/balance/ratelimit.go
@@ -11,9 +11,9 @@
 const (
 	// maxSenders is how many entries at most share the limit of an upstream. Each tells each
 	// other one of its requests.
-	maxSenders = 16
+	maxLimitSenders = 16
 	// rateNewsFor is how long a change is told again and again.
-	rateNewsFor = time.Second
+	announcePeriod = time.Second
 )
 
 // RateLimit is what an answer says of the requests that its upstream takes.
@@ -57,91 +57,91 @@
 
 // OnLimitUpdate has a function called when others are to hear at once of a request to an upstream
 // with a limit, or of a limit that has changed. It must be quick.
-func (g *Balancer) OnLimitUpdate(notify func()) { g.notify = notify }
+func (b *Balancer) OnLimitUpdate(notify func()) { b.notify = notify }
 
 // ObserveLimit takes in what the answer to a Choice says of its upstream's limit. It reports whether
 // that has changed.
-func (g *Balancer) ObserveLimit(now time.Time, c Choice, r RateLimit) bool {
-	if !r.Known || r.PerSecond == ratelimit.Unlimited && g.limited.Load() == 0 {
+func (b *Balancer) ObserveLimit(now time.Time, c Choice, r RateLimit) bool {
+	if !r.Known || r.PerSecond == ratelimit.Unlimited && b.limitedCount.Load() == 0 {
 		return false
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	m := c.to
-	if m.restarted || m.gone || !m.rate.Answered(ratelimit.Round(r.PerSecond), c.PickedAt, now) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	u := c.state
+	if u.restarted || u.removed || !u.limit.Answered(ratelimit.Round(r.PerSecond), c.PickedAt, now) {
 		return false
 	}
-	g.limitChanged(m, now)
+	b.applyLimit(u, now)
 	return true
 }
 
 // limitChanged brings the bucket of an upstream up to its limit.
-func (g *Balancer) limitChanged(m *member, now time.Time) {
-	limited := m.rate.Limited()
+func (b *Balancer) applyLimit(u *upstreamState, now time.Time) {
+	limited := u.limit.Limited()
 	switch {
-	case !limited && m.bucket != nil:
-		m.bucket, m.lastBucket = nil, m.bucket
-		g.limited.Add(-1)
-	case limited && m.bucket == nil:
-		m.bucket = m.lastBucket
-		if m.bucket == nil {
-			m.bucket = ratelimit.NewBucket(now)
+	case !limited && u.bucket != nil:
+		u.bucket, u.lastBucket = nil, u.bucket
+		b.limitedCount.Add(-1)
+	case limited && u.bucket == nil:
+		u.bucket = u.lastBucket
+		if u.bucket == nil {
+			u.bucket = ratelimit.NewBucket(now)
 		}
-		m.bucket.SetRate(m.rate.PerSecond(), now)
-		m.bucket.SetSenders(g.self, g.senders(m), now)
-		m.bucket.Empty(now)
-		g.limited.Add(1)
+		u.bucket.SetRate(u.limit.PerSecond(), now)
+		u.bucket.SetSenders(b.self, b.limitSenders(u), now)
+		u.bucket.Empty(now)
+		b.limitedCount.Add(1)
 	case limited:
-		m.bucket.SetRate(m.rate.PerSecond(), now)
+		u.bucket.SetRate(u.limit.PerSecond(), now)
 	}
-	g.tellLimit(m, now)
-	m.limitUntold = true
-	g.hasRateNews(m)
+	b.announceLimit(u, now)
+	u.limitUnsent = true
+	b.notifyUpdate(u)
 }
 
 // tellLimit has all others told of a limit for a while.
-func (g *Balancer) tellLimit(m *member, now time.Time) {
-	m.limitNewsUntil = now.Add(rateNewsFor)
-	g.limitNewsUntil = m.limitNewsUntil
+func (b *Balancer) announceLimit(u *upstreamState, now time.Time) {
+	u.announceUntil = now.Add(announcePeriod)
+	b.announceUntil = u.announceUntil
 }
 
 // hasRateNews has others told of an upstream at once.
-func (g *Balancer) hasRateNews(m *member) {
-	m.rateUntold = true
-	if g.notify != nil {
-		g.notify()
+func (b *Balancer) notifyUpdate(u *upstreamState) {
+	u.unsent = true
+	if b.notify != nil {
+		b.notify()
 	}
 }
 
 // dropLimit forgets the limit of a life that is over.
-func (g *Balancer) dropLimit(m *member) {
-	if m.bucket != nil {
-		m.bucket = nil
-		g.limited.Add(-1)
+func (b *Balancer) dropLimit(u *upstreamState) {
+	if u.bucket != nil {
+		u.bucket = nil
+		b.limitedCount.Add(-1)
 	}
 }
 
 // setSenders brings the senders of the upstreams with limits up to date.
-func (g *Balancer) setSenders(now time.Time) {
-	if g.limited.Load() == 0 {
+func (b *Balancer) updateLimitSenders(now time.Time) {
+	if b.limitedCount.Load() == 0 {
 		return
 	}
-	for _, m := range g.all {
-		if m.bucket != nil {
-			m.bucket.SetSenders(g.self, g.senders(m), now)
+	for _, u := range b.upstreams {
+		if u.bucket != nil {
+			u.bucket.SetSenders(b.self, b.limitSenders(u), now)
 		}
 	}
 }
 
 // senders returns the ids of the entries that share the limit of an upstream, the nearest. All
 // entries work out the same.
-func (g *Balancer) senders(m *member) []string {
-	if g.retired {
+func (b *Balancer) limitSenders(u *upstreamState) []string {
+	if b.retired {
 		return nil
 	}
-	order := g.nearest(m)
+	order := b.nearestEntries(u)
 	var ids []string
-	for _, e := range order[:min(len(order), maxSenders)] {
+	for _, e := range order[:min(len(order), maxLimitSenders)] {
 		ids = append(ids, e.ID)
 	}
 	return ids
@@ -149,22 +149,24 @@
 
 // Retire takes this entry from the senders of all upstreams with limits, as it is about to
 // leave and others do not hear of its requests any more.
-func (g *Balancer) Retire(now time.Time) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.retired = true
-	g.setSenders(now)
+func (b *Balancer) Retire(now time.Time) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.retired = true
+	b.updateLimitSenders(now)
 }
 
 // withinRate reports whether the limit of an upstream leaves room for one more request of this
 // entry.
-func (m *member) withinRate(now time.Time) bool { return m.bucket == nil || m.bucket.Wait(now) == 0 }
+func (u *upstreamState) withinLimit(now time.Time) bool {
+	return u.bucket == nil || u.bucket.Wait(now) == 0
+}
 
 // markHome marks which of the candidates of an object, in its order, is its home: the first, if it
 // is in the region of this entry. A request without an object is at home in the whole region.
-func (g *Balancer) markHome(cs []candidate, spread bool) []candidate {
+func (b *Balancer) markSpillover(cs []candidate, spread bool) []candidate {
 	for i := range cs {
-		cs[i].spills = i > 0 && !spread || cs[i].m.Region != g.home
+		cs[i].spills = i > 0 && !spread || cs[i].state.Region != b.region
 	}
 	return cs
 }
@@ -173,41 +175,41 @@
 // entry; 0 if it does now. A request that belongs elsewhere gets only what the upstream's own
 // objects leave: it would take the place of one of these, and its object would be at hand at
 // neither.
-func (c candidate) rateWait(now time.Time) time.Duration {
+func (c candidate) limitWait(now time.Time) time.Duration {
 	switch {
-	case c.m.bucket == nil:
+	case c.state.bucket == nil:
 		return 0
 	case c.spills:
-		return c.m.bucket.WaitSpare(now)
+		return c.state.bucket.WaitSpare(now)
 	}
-	return c.m.bucket.Wait(now)
+	return c.state.bucket.Wait(now)
 }
 
 // spendRate counts a request against the limit of its upstream.
-func (g *Balancer) spendRate(m *member, now time.Time) {
-	if m.bucket == nil {
+func (b *Balancer) spendLimit(u *upstreamState, now time.Time) {
+	if u.bucket == nil {
 		return
 	}
-	m.bucket.Spend(now)
-	m.spentAt = now
-	g.hasRateNews(m)
+	u.bucket.Spend(now)
+	u.lastSpent = now
+	b.notifyUpdate(u)
 }
 
 // limitError returns the error for a request that the limits of all candidates leave no room
 // for.
-func (g *Balancer) limitError(now time.Time, ranked []candidate) error {
-	var first *member
+func (b *Balancer) limitError(now time.Time, ranked []candidate) error {
+	var first *upstreamState
 	least := time.Duration(math.MaxInt64)
 	for _, c := range ranked {
-		if w := c.rateWait(now); w < least {
-			first, least = c.m, w
+		if w := c.limitWait(now); w < least {
+			first, least = c.state, w
 		}
 	}
 	if first == nil {
 		// Others have the room that there is.
 		return ErrNoSlot
 	}
-	return &LimitError{Upstream: first.ID, PerSecond: first.rate.PerSecond(), RetryAfter: first.bucket.Reserve(least, now)}
+	return &LimitError{Upstream: first.ID, PerSecond: first.limit.PerSecond(), RetryAfter: first.bucket.Reserve(least, now)}
 }
 
 // UpdateScope says of which limits others are told.
@@ -224,75 +226,75 @@
 )
 
 // VisitLimitUpdates calls visit with what others are to be told.
-func (g *Balancer) VisitLimitUpdates(now time.Time, scope UpdateScope, visit func(LimitUpdate)) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.limited.Load() == 0 && !now.Before(g.limitNewsUntil) {
+func (b *Balancer) VisitLimitUpdates(now time.Time, scope UpdateScope, visit func(LimitUpdate)) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.limitedCount.Load() == 0 && !now.Before(b.announceUntil) {
 		return
 	}
-	for _, m := range g.all {
-		if !g.isNews(m, now, scope) {
+	for _, u := range b.upstreams {
+		if !b.needsUpdate(u, now, scope) {
 			continue
 		}
-		n := LimitUpdate{Upstream: m.key, PerSecond: m.rate.PerSecond(), Version: m.rate.Version(), Changed: m.limitUntold}
-		m.rateUntold, m.limitUntold = false, false
-		if m.bucket != nil && m.bucket.Sender() {
-			n.Sent = m.bucket.Sent()
-			m.bucket.Peers(func(id string) { n.Senders = append(n.Senders, id) })
+		n := LimitUpdate{Upstream: u.incarnationKey, PerSecond: u.limit.PerSecond(), Version: u.limit.Version(), Changed: u.limitUnsent}
+		u.unsent, u.limitUnsent = false, false
+		if u.bucket != nil && u.bucket.Sender() {
+			n.Sent = u.bucket.Sent()
+			u.bucket.Peers(func(id string) { n.Senders = append(n.Senders, id) })
 		}
 		visit(n)
 	}
 }
 
-func (g *Balancer) isNews(m *member, now time.Time, scope UpdateScope) bool {
+func (b *Balancer) needsUpdate(u *upstreamState, now time.Time, scope UpdateScope) bool {
 	if scope == UnsentUpdates {
-		return m.rateUntold
+		return u.unsent
 	}
-	return m.rateUntold || now.Before(m.limitNewsUntil) || m.bucket != nil && (scope == AllUpdates || now.Sub(m.spentAt) < rateNewsFor)
+	return u.unsent || now.Before(u.announceUntil) || u.bucket != nil && (scope == AllUpdates || now.Sub(u.lastSpent) < announcePeriod)
 }
 
 // VisitLimitSenders calls visit with the ids of the other senders of upstreams to which this entry
 // may send.
-func (g *Balancer) VisitLimitSenders(visit func(id string)) {
-	if g.limited.Load() == 0 {
+func (b *Balancer) VisitLimitSenders(visit func(id string)) {
+	if b.limitedCount.Load() == 0 {
 		return
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for _, m := range g.all {
-		if m.bucket != nil && m.bucket.Sender() {
-			m.bucket.Peers(visit)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, u := range b.upstreams {
+		if u.bucket != nil && u.bucket.Sender() {
+			u.bucket.Peers(visit)
 		}
 	}
 }
 
 // ApplyPeerLimits takes in what a peer told of limits, in one of its lives.
-func (g *Balancer) ApplyPeerLimits(now time.Time, peer string, life uint64, told []LimitUpdate) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (b *Balancer) ApplyPeerLimits(now time.Time, peer string, life uint64, told []LimitUpdate) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	byKey := make(map[uint32]LimitUpdate, len(told))
 	for _, n := range told {
 		byKey[n.Upstream] = n
 	}
-	for _, m := range g.all {
-		if n, ok := byKey[m.key]; ok {
-			g.heardRate(m, now, peer, life, n)
-		} else if m.bucket != nil {
-			m.bucket.Alive(peer, now)
+	for _, u := range b.upstreams {
+		if n, ok := byKey[u.incarnationKey]; ok {
+			b.applyPeerLimit(u, now, peer, life, n)
+		} else if u.bucket != nil {
+			u.bucket.Alive(peer, now)
 		}
 	}
 }
 
-func (g *Balancer) heardRate(m *member, now time.Time, peer string, life uint64, n LimitUpdate) {
-	switch m.rate.Merge(n.PerSecond, n.Version, now) {
+func (b *Balancer) applyPeerLimit(u *upstreamState, now time.Time, peer string, life uint64, n LimitUpdate) {
+	switch u.limit.Merge(n.PerSecond, n.Version, now) {
 	case ratelimit.Newer:
-		g.limitChanged(m, now)
+		b.applyLimit(u, now)
 	case ratelimit.Older:
 		// Told again, as the peer does not know it.
-		g.tellLimit(m, now)
+		b.announceLimit(u, now)
 	}
-	if m.bucket != nil {
-		m.bucket.Heard(peer, life, n.Sent, now)
+	if u.bucket != nil {
+		u.bucket.Heard(peer, life, n.Sent, now)
 	}
 }
 
@@ -309,15 +311,15 @@
 }
 
 // LimitStatuses returns the limits of upstreams, at most n.
-func (g *Balancer) LimitStatuses(now time.Time, n int) []LimitStatus {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (b *Balancer) LimitStatuses(now time.Time, n int) []LimitStatus {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	var out []LimitStatus
-	for _, m := range g.all {
-		if m.bucket == nil || len(out) == n {
+	for _, u := range b.upstreams {
+		if u.bucket == nil || len(out) == n {
 			continue
 		}
-		out = append(out, LimitStatus{m.ID, m.rate.PerSecond(), m.rate.Version(), m.bucket.Level(now), m.bucket.Sender(), m.bucket.Sent()})
+		out = append(out, LimitStatus{u.ID, u.limit.PerSecond(), u.limit.Version(), u.bucket.Level(now), u.bucket.Sender(), u.bucket.Sent()})
 	}
 	return out
 }
--- a/internal/balance/ratelimit_bench_test.go
+++ b/internal/balance/ratelimit_bench_test.go
@@ -10,19 +10,19 @@
 
 // benchmarkPick measures a request at one of four entries and 216 upstreams, from its pick to its
 // answer.
-func benchmarkPick(b *testing.B, prepare func(g *Balancer, now time.Time), answered func(g *Balancer, now time.Time, c Choice)) {
+func benchmarkPick(b *testing.B, prepare func(lb *Balancer, now time.Time), answered func(lb *Balancer, now time.Time, c Choice)) {
 	s, entries := site(54, 8)
-	g := groupAt(s, entries, entries[0])
-	prepare(g, t0)
+	lb := groupAt(s, entries, entries[0])
+	prepare(lb, t0)
 	b.ReportAllocs()
 	for i := range b.N {
 		now := t0.Add(time.Duration(i) * time.Millisecond)
-		c, err := g.PickObject(now, ObjectRequest{Object: HashObject("r", fmt.Sprint(i%500)), Class: "r", Objective: time.Second})
+		c, err := lb.PickObject(now, ObjectRequest{Object: HashObject("r", fmt.Sprint(i%500)), Class: "r", Objective: time.Second})
 		if err != nil {
 			b.Fatal(err)
 		}
-		answered(g, now, c)
-		g.Done(now, c, DoneInfo{Result: OK, Load: 0, Waiting: 0})
+		answered(lb, now, c)
+		lb.Done(now, c, DoneInfo{Result: OK, Load: 0, Waiting: 0})
 	}
 }
 
@@ -32,26 +32,26 @@
 
 // BenchmarkPickWithoutLimits is the same with answers that name no limit.
 func BenchmarkPickWithoutLimits(b *testing.B) {
-	benchmarkPick(b, func(*Balancer, time.Time) {}, func(g *Balancer, now time.Time, c Choice) {
-		g.ObserveLimit(now, c, RateLimit{Known: true, PerSecond: ratelimit.Unlimited})
+	benchmarkPick(b, func(*Balancer, time.Time) {}, func(lb *Balancer, now time.Time, c Choice) {
+		lb.ObserveLimit(now, c, RateLimit{Known: true, PerSecond: ratelimit.Unlimited})
 	})
 }
 
 // BenchmarkPickWithLimits is the same while a third of the upstreams name a limit.
 func BenchmarkPickWithLimits(b *testing.B) {
 	limited := make(map[string]bool)
-	benchmarkPick(b, func(g *Balancer, now time.Time) {
-		for i, m := range g.all {
+	benchmarkPick(b, func(lb *Balancer, now time.Time) {
+		for i, u := range lb.upstreams {
 			if i%3 == 0 {
-				limited[m.ID] = true
-				g.ObserveLimit(now, Choice{Upstream: m.Upstream, PickedAt: now, to: m}, RateLimit{Known: true, PerSecond: 3})
+				limited[u.ID] = true
+				lb.ObserveLimit(now, Choice{Upstream: u.Upstream, PickedAt: now, state: u}, RateLimit{Known: true, PerSecond: 3})
 			}
 		}
-	}, func(g *Balancer, now time.Time, c Choice) {
+	}, func(lb *Balancer, now time.Time, c Choice) {
 		r := RateLimit{Known: true, PerSecond: ratelimit.Unlimited}
 		if limited[c.ID] {
 			r.PerSecond = 3
 		}
-		g.ObserveLimit(now, c, r)
+		lb.ObserveLimit(now, c, r)
 	})
 }
--- a/internal/balance/ratelimit_fleet_test.go
+++ b/internal/balance/ratelimit_fleet_test.go
@@ -329,8 +329,8 @@
 
 func (f *limitFleet) request(e *limitedEntry) {
 	f.asked++
-	g, life := e.group, e.life
-	c, err := g.PickObject(f.agenda.Now(), ObjectRequest{
+	lb, life := e.group, e.life
+	c, err := lb.PickObject(f.agenda.Now(), ObjectRequest{
 		Object: HashObject("c", fmt.Sprint(f.rnd.IntN(f.objects), e.Region)), Class: "c", Objective: 10 * time.Second,
 	})
 	if err != nil {
@@ -344,8 +344,8 @@
 		rate := RateLimit{Known: true, PerSecond: f.limitOf(c.ID, f.since())}
 		f.after(way, func() {
 			f.whenAwake(e, life, func() {
-				g.ObserveLimit(f.agenda.Now(), c, rate)
-				g.Done(f.agenda.Now(), c, DoneInfo{Result: OK, Load: -1, Waiting: -1})
+				lb.ObserveLimit(f.agenda.Now(), c, rate)
+				lb.Done(f.agenda.Now(), c, DoneInfo{Result: OK, Load: -1, Waiting: -1})
 			})
 		})
 	})
--- a/internal/balance/ratelimit_test.go
+++ b/internal/balance/ratelimit_test.go
@@ -115,7 +115,7 @@
 		for at := limitTo; at < limitEnd; at += limitPoll {
 			f.at(at, func() {
 				for _, e := range f.entries {
-					if e.group.limited.Load() != 0 {
+					if e.group.limitedCount.Load() != 0 {
 						f.lastLimited = f.since()
 					}
 				}
@@ -256,39 +256,39 @@
 	s, _ := site(1, 8)
 	s.Upstreams = s.Upstreams[:2]
 	self := model.Member{ID: "self", Region: "muscat", Domain: "muscat-a"}
-	g := groupAt(s, []model.Member{self}, self)
-	name(t, g, s.Upstreams[0].ID, perSecond, t0)
-	return g, t0.Add(time.Hour)
+	lb := groupAt(s, []model.Member{self}, self)
+	name(t, lb, s.Upstreams[0].ID, perSecond, t0)
+	return lb, t0.Add(time.Hour)
 }
 
 // name has an upstream name a limit in an answer.
-func name(t *testing.T, g *Balancer, upstream string, perSecond float64, now time.Time) {
+func name(t *testing.T, lb *Balancer, upstream string, perSecond float64, now time.Time) {
 	t.Helper()
-	m := g.byID[upstream]
-	g.ObserveLimit(now, Choice{Upstream: m.Upstream, PickedAt: now, to: m}, RateLimit{Known: true, PerSecond: perSecond})
+	u := lb.byID[upstream]
+	lb.ObserveLimit(now, Choice{Upstream: u.Upstream, PickedAt: now, state: u}, RateLimit{Known: true, PerSecond: perSecond})
 }
 
 // TestEveryWayToSendKeepsToTheLimit sends as much as it may, in each way, at one moment.
 func TestEveryWayToSendKeepsToTheLimit(t *testing.T) {
 	object := func(change func(*ObjectRequest)) func(*Balancer, time.Time, int) (Choice, error) {
-		return func(g *Balancer, now time.Time, i int) (Choice, error) {
+		return func(lb *Balancer, now time.Time, i int) (Choice, error) {
 			req := ObjectRequest{Object: HashObject("c", fmt.Sprint(i)), Class: "c", Objective: time.Second}
 			change(&req)
-			return g.PickObject(now, req)
+			return lb.PickObject(now, req)
 		}
 	}
 	for name, pick := range map[string]func(*Balancer, time.Time, int) (Choice, error){
 		"by object":       object(func(*ObjectRequest) {}),
 		"spread":          object(func(r *ObjectRequest) { r.NoAffinity = true }),
 		"after the other": object(func(r *ObjectRequest) { r.Tried = []string{"muscat-b-0"} }),
-		"by service": func(g *Balancer, now time.Time, _ int) (Choice, error) {
-			return g.Pick(now, rand.New(rand.NewPCG(1, 2)), Request{Regions: []string{"muscat"}})
+		"by service": func(lb *Balancer, now time.Time, _ int) (Choice, error) {
+			return lb.Pick(now, rand.New(rand.NewPCG(1, 2)), Request{Regions: []string{"muscat"}})
 		},
 	} {
-		g, now := limitedPair(t, 2)
+		lb, now := limitedPair(t, 2)
 		sent := 0
 		for i := range 200 {
-			c, err := pick(g, now, i)
+			c, err := pick(lb, now, i)
 			if err != nil {
 				continue
 			}
@@ -296,7 +296,7 @@
 				sent++
 			}
 			// Refused without having run, it has reached the upstream all the same.
-			g.Done(now, c, DoneInfo{Result: ShedIdle, Load: 0, Waiting: 0})
+			lb.Done(now, c, DoneInfo{Result: ShedIdle, Load: 0, Waiting: 0})
 		}
 		if sent == 0 || sent > 2 {
 			t.Errorf("%s: %d requests at one moment at a limit of 2 a second", name, sent)
@@ -307,11 +307,11 @@
 // TestLimitsLeaveNothingIsRefusedAtOnce asks for more than the only upstream takes: callers are
 // told when the next request may go, one after the other.
 func TestLimitsLeaveNothingIsRefusedAtOnce(t *testing.T) {
-	g, now := limitedPair(t, 2)
+	lb, now := limitedPair(t, 2)
 	var refused *LimitError
 	var last time.Duration
 	for i := range 20 {
-		_, err := g.PickObject(now, ObjectRequest{Object: uint64(i), Class: "c", Tried: []string{"muscat-b-0"}})
+		_, err := lb.PickObject(now, ObjectRequest{Object: uint64(i), Class: "c", Tried: []string{"muscat-b-0"}})
 		if err == nil {
 			continue
 		}
@@ -326,7 +326,7 @@
 	if refused == nil {
 		t.Fatal("nothing was refused")
 	}
-	if _, err := g.PickObject(now.Add(time.Second), ObjectRequest{Object: 1, Class: "c", Tried: []string{"muscat-b-0"}}); err != nil {
+	if _, err := lb.PickObject(now.Add(time.Second), ObjectRequest{Object: 1, Class: "c", Tried: []string{"muscat-b-0"}}); err != nil {
 		t.Errorf("a second later: %v", err)
 	}
 }
@@ -334,17 +334,17 @@
 // TestLimitBelongsToOneLife has an upstream that named a limit start again under its id.
 func TestLimitBelongsToOneLife(t *testing.T) {
 	now := t0
-	g := NewBalancer()
-	g.Update(restartable(1000), now)
-	earlier := g.byID["u1"]
-	name(t, g, "u1", 0.1, now)
-	g.Update(restartable(2000), now)
-	if g.byID["u1"].rate.Limited() || g.limited.Load() != 0 {
+	lb := NewBalancer()
+	lb.Update(restartable(1000), now)
+	earlier := lb.byID["u1"]
+	name(t, lb, "u1", 0.1, now)
+	lb.Update(restartable(2000), now)
+	if lb.byID["u1"].limit.Limited() || lb.limitedCount.Load() != 0 {
 		t.Error("the new life is limited")
 	}
-	g.ObserveLimit(now, Choice{Upstream: earlier.Upstream, PickedAt: now, to: earlier}, RateLimit{Known: true, PerSecond: 0.2})
-	g.ApplyPeerLimits(now, "e2", 1, []LimitUpdate{{Upstream: earlier.key, PerSecond: 0.1, Version: 9}})
-	if g.byID["u1"].rate.Limited() || g.limited.Load() != 0 {
+	lb.ObserveLimit(now, Choice{Upstream: earlier.Upstream, PickedAt: now, state: earlier}, RateLimit{Known: true, PerSecond: 0.2})
+	lb.ApplyPeerLimits(now, "e2", 1, []LimitUpdate{{Upstream: earlier.incarnationKey, PerSecond: 0.1, Version: 9}})
+	if lb.byID["u1"].limit.Limited() || lb.limitedCount.Load() != 0 {
 		t.Error("word of the earlier life limits the new one")
 	}
 }
@@ -352,14 +352,14 @@
 // TestLeavingEntrySendsNothingToLimitedUpstreams retires an entry: the others do not hear of its
 // requests any more.
 func TestLeavingEntrySendsNothingToLimitedUpstreams(t *testing.T) {
-	g, now := limitedPair(t, 100)
-	g.Retire(now)
+	lb, now := limitedPair(t, 100)
+	lb.Retire(now)
 	for i := range 100 {
-		c, err := g.PickObject(now.Add(time.Duration(i)*time.Second), ObjectRequest{Object: uint64(i), Class: "c"})
+		c, err := lb.PickObject(now.Add(time.Duration(i)*time.Second), ObjectRequest{Object: uint64(i), Class: "c"})
 		if err != nil || c.ID != "muscat-b-0" {
 			t.Fatalf("picked %s, %v", c.ID, err)
 		}
-		g.Done(now, c, DoneInfo{Result: Abandoned, Load: -1, Waiting: -1})
+		lb.Done(now, c, DoneInfo{Result: Abandoned, Load: -1, Waiting: -1})
 	}
 }
 
--- a/internal/balance/regions.go
+++ b/internal/balance/regions.go
@@ -10,23 +10,23 @@
 const (
 	// farWeight is the weight of regions that nothing has to spill to: enough to
 	// have an order among their upstreams when all nearer ones are gone.
-	farWeight = 1e-6
+	minRegionWeight = 1e-6
 )
 
 // shares says what part of the own region's requests goes to each region.
-type shares map[string]float64
+type regionShares map[string]float64
 
 // spread returns the shares that load all regions alike. Demand is what part of all
 // requests each region asks for, capacity the slots that may be used there. A region
 // that has the capacity for its demand keeps its requests; the others send what is
 // too much for them to where there is capacity to spare.
-func spread(home string, capacity, demand map[string]float64) shares {
+func spreadDemand(home string, capacity, demand map[string]float64) regionShares {
 	total := 0.0
 	for _, c := range capacity {
 		total += c
 	}
 	if total <= 0 {
-		return shares{home: 1}
+		return regionShares{home: 1}
 	}
 	spare := make(map[string]float64)
 	spareTotal := 0.0
@@ -38,7 +38,7 @@
 	if demand[home] > 0 {
 		kept = math.Min(1, capacity[home]/total/demand[home])
 	}
-	out := shares{home: kept}
+	out := regionShares{home: kept}
 	for region, s := range spare {
 		if region != home && spareTotal > 0 {
 			out[region] = (1 - kept) * s / spareTotal
@@ -49,12 +49,12 @@
 
 // weigh sets the weights of the upstreams for the requests of the own region: by the
 // shares of the regions, and within a region by slots.
-func (g *Balancer) weigh(now time.Time, home string, demand map[string]float64) {
-	capacity := g.capacityByRegion(now)
-	share := spread(home, capacity, demand)
-	for _, m := range g.all {
-		weight := math.Max(farWeight, share[m.Region])
-		m.weight = weight * float64(max(m.Slots, 1)) / math.Max(1, capacity[m.Region])
+func (b *Balancer) updateWeights(now time.Time, home string, demand map[string]float64) {
+	capacity := b.capacityByRegion(now)
+	share := spreadDemand(home, capacity, demand)
+	for _, u := range b.upstreams {
+		weight := math.Max(minRegionWeight, share[u.Region])
+		u.weight = weight * float64(max(u.Slots, 1)) / math.Max(1, capacity[u.Region])
 	}
 }
 
@@ -62,11 +62,11 @@
 // of a failure domain that is being emptied are no capacity: a region that loses half
 // of its upstreams to that and keeps all its requests refuses every second one while
 // others have slots to spare.
-func (g *Balancer) capacityByRegion(now time.Time) map[string]float64 {
+func (b *Balancer) capacityByRegion(now time.Time) map[string]float64 {
 	capacity := make(map[string]float64)
-	for _, m := range g.all {
-		if !g.leaves(m, now) {
-			capacity[m.Region] += float64(max(m.Slots, 1))
+	for _, u := range b.upstreams {
+		if !b.isDraining(u, now) {
+			capacity[u.Region] += float64(max(u.Slots, 1))
 		}
 	}
 	return capacity
--- a/internal/balance/regions_test.go
+++ b/internal/balance/regions_test.go
@@ -14,17 +14,17 @@
 // of its objects must go to the other region until the domain is back.
 func TestDrainedDomainIsNoCapacity(t *testing.T) {
 	s, entries := site(4, 8)
-	g := NewBalancer()
+	lb := NewBalancer()
 	for i, tt := range []struct {
 		drained string
 		far     float64
 	}{{"", 0}, {"muscat-a", 1.0 / 3}, {"", 0}} {
 		drains := func(u *model.Upstream, _ time.Time) bool { return u.Domain == tt.drained }
-		g.Update(ServiceState{Service: s, Draining: drains, Self: entries[0].ID, Region: "muscat", Domain: "muscat-a", Entries: entries}, t0)
+		lb.Update(ServiceState{Service: s, Draining: drains, Self: entries[0].ID, Region: "muscat", Domain: "muscat-a", Entries: entries}, t0)
 		const objects = 2000
 		n := 0
 		for o := range objects {
-			first := g.byPlace(t0, ObjectRequest{Object: HashObject("r", fmt.Sprint(o))})[0].m
+			first := lb.byScore(t0, ObjectRequest{Object: HashObject("r", fmt.Sprint(o))})[0].state
 			if first.Domain == tt.drained {
 				t.Fatalf("object %d is at an upstream that leaves", o)
 			}
--- a/internal/balance/restart_test.go
+++ b/internal/balance/restart_test.go
@@ -21,31 +21,31 @@
 // again under its id: nothing of its earlier life counts.
 func TestRestartUnderTheSameID(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
-	g := NewBalancer()
-	g.Update(restartable(1000), now)
+	lb := NewBalancer()
+	lb.Update(restartable(1000), now)
 	req := ObjectRequest{Object: 7, Class: "c", Objective: time.Second}
-	warmed, err := g.PickObject(now, req)
+	warmed, err := lb.PickObject(now, req)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.Done(now.Add(time.Second), warmed, DoneInfo{Result: OK, Load: -1, Draining: true})
-	g.Update(restartable(1000), now)
-	if _, err := g.PickObject(now.Add(time.Second), req); err == nil {
+	lb.Done(now.Add(time.Second), warmed, DoneInfo{Result: OK, Load: -1, Draining: true})
+	lb.Update(restartable(1000), now)
+	if _, err := lb.PickObject(now.Add(time.Second), req); err == nil {
 		t.Fatal("an upstream that said that it drains gets work")
 	}
-	earlier := g.byID["u1"]
-	under := Choice{Upstream: earlier.Upstream, to: earlier, class: "c", object: 7, PickedAt: now}
-	earlier.inFlight, g.inFlight["m"] = 1, 1
+	earlier := lb.byID["u1"]
+	under := Choice{Upstream: earlier.Upstream, state: earlier, class: "c", object: 7, PickedAt: now}
+	earlier.inFlight, lb.inFlight["m"] = 1, 1
 	for range 5 {
-		earlier.countOutcome(now, true)
+		earlier.recordOutcome(now, true)
 	}
-	earlier.setPeer("e2", 3)
+	earlier.setPeerRequests("e2", 3)
 
 	now = now.Add(2 * time.Second)
-	if got := g.Update(restartable(2000), now); len(got) != 1 || got[0] != "10.0.0.1:80" {
+	if got := lb.Update(restartable(2000), now); len(got) != 1 || got[0] != "10.0.0.1:80" {
 		t.Errorf("restarted: %v", got)
 	}
-	c, err := g.PickObject(now, req)
+	c, err := lb.PickObject(now, req)
 	if err != nil {
 		t.Fatalf("the new life gets no work: %v", err)
 	}
@@ -53,16 +53,16 @@
 		t.Errorf("picked with warm = %v, ahead = %v; the new life knows nothing", c.Warm, c.Outstanding)
 	}
 	// The request of the earlier life ends, broken, and peers still tell of failures there.
-	g.Done(now, under, DoneInfo{Result: Unreachable, Load: -1})
-	g.ApplyPeerLoad(now, PeerLoad{Peer: "e2", Last: ^uint32(0), Loads: map[uint32]Load{
-		earlier.key: {Requests: 9, Outcomes: Outcomes{Failed: 9, Total: 9}},
+	lb.Done(now, under, DoneInfo{Result: Unreachable, Load: -1})
+	lb.ApplyPeerLoad(now, PeerLoad{Peer: "e2", Last: ^uint32(0), Loads: map[uint32]Load{
+		earlier.incarnationKey: {Requests: 9, Outcomes: Outcomes{Failed: 9, Total: 9}},
 	}})
-	m := g.byID["u1"]
-	if m.inFlight != 1 || m.atPeers != 0 || m.ejected(now) || m.outlying(now) || g.inFlight["m"] != 1 {
+	u := lb.byID["u1"]
+	if u.inFlight != 1 || u.peerTotal != 0 || u.ejected(now) || u.isOutlier(now) || lb.inFlight["m"] != 1 {
 		t.Errorf("new life: %d own requests, %d of peers, ejected %v, outlying %v; %d in the region",
-			m.inFlight, m.atPeers, m.ejected(now), m.outlying(now), g.inFlight["m"])
+			u.inFlight, u.peerTotal, u.ejected(now), u.isOutlier(now), lb.inFlight["m"])
 	}
-	if !g.cold(m, now) {
+	if !lb.cold(u, now) {
 		t.Error("the new life is not cold")
 	}
 }
@@ -70,9 +70,9 @@
 // TestRestartWithoutBirth has an upstream that does not tell its birth stay what it is.
 func TestRestartWithoutBirth(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
-	g := NewBalancer()
+	lb := NewBalancer()
 	for _, born := range []int64{1000, 0, 2000} {
-		if got := g.Update(restartable(born), now); got != nil {
+		if got := lb.Update(restartable(born), now); got != nil {
 			t.Errorf("born %d: restarted %v", born, got)
 		}
 	}
--- a/internal/balance/status.go
+++ b/internal/balance/status.go
@@ -8,14 +8,14 @@
 
 // Latency returns the mean latency over the upstreams of a region that have
 // answered, or 0.
-func (g *Balancer) Latency(region string) time.Duration {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (b *Balancer) Latency(region string) time.Duration {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	var sum time.Duration
 	n := 0
-	for _, m := range g.regions[region] {
-		if m.latency > 0 {
-			sum += m.latency
+	for _, u := range b.byRegion[region] {
+		if u.latency > 0 {
+			sum += u.latency
 			n++
 		}
 	}
@@ -27,36 +27,36 @@
 
 // LastReport returns when an upstream of a region last reported its load, or the zero
 // time.
-func (g *Balancer) LastReport(region string) time.Time {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (b *Balancer) LastReport(region string) time.Time {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	var last time.Time
-	for _, m := range g.regions[region] {
-		if m.reported.After(last) {
-			last = m.reported
+	for _, u := range b.byRegion[region] {
+		if u.reportedAt.After(last) {
+			last = u.reportedAt
 		}
 	}
 	return last
 }
 
 // SelfDraining returns the ids of the upstreams that said that they drain.
-func (g *Balancer) SelfDraining(now time.Time) []string {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (b *Balancer) SelfDraining(now time.Time) []string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	var ids []string
-	for _, m := range g.all {
-		if now.Before(m.drainUntil) {
-			ids = append(ids, m.ID)
+	for _, u := range b.upstreams {
+		if now.Before(u.drainUntil) {
+			ids = append(ids, u.ID)
 		}
 	}
 	return ids
 }
 
 // InFlight returns the own requests in flight at a region's upstreams.
-func (g *Balancer) InFlight(region string) int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.inFlight[region]
+func (b *Balancer) InFlight(region string) int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.inFlight[region]
 }
 
 // Status is the state of one upstream, for dumps.
@@ -72,12 +72,12 @@
 }
 
 // Dump returns the state of all upstreams.
-func (g *Balancer) Dump(now time.Time) []Status {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (b *Balancer) Dump(now time.Time) []Status {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	var out []Status
-	for _, m := range g.byID {
-		out = append(out, Status{m.Upstream, m.inFlight, m.sent, g.estimate(m, now), m.latency, m.failures, m.ejected(now), g.leaves(m, now)})
+	for _, u := range b.byID {
+		out = append(out, Status{u.Upstream, u.inFlight, u.sent, b.outstanding(u, now), u.latency, u.failures, u.ejected(now), b.isDraining(u, now)})
 	}
 	return out
 }
