--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -25,7 +25,7 @@
 
 // Entry carries requests and counts how they end.
 type Entry struct {
-	Carrier *forward.Carrier
+	Carrier *forward.Proxy
 	book    *share.Book
 	leaving atomic.Bool
 	mu      sync.Mutex
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -48,7 +48,7 @@
 // attempt sends the call to one upstream. The error, if any, has the verdict of
 // this attempt alone; the answer is then nil, or has only what the upstream told of
 // itself as it refused.
-func (c *Carrier) attempt(ctx context.Context, r *http.Request, cl *call, to balance.Choice) (*answer, *verdict.Error) {
+func (c *Proxy) attempt(ctx context.Context, r *http.Request, cl *call, to balance.Choice) (*answer, *verdict.Error) {
 	body, ok := cl.body.attach(ctx)
 	if !ok {
 		return nil, verdict.New(verdict.NotRun, reasonBodyUsed, nil)
@@ -83,7 +83,7 @@
 }
 
 // request returns what goes to the upstream.
-func (c *Carrier) request(ctx context.Context, r *http.Request, cl *call, to balance.Choice, body *attemptBody) *http.Request {
+func (c *Proxy) request(ctx context.Context, r *http.Request, cl *call, to balance.Choice, body *attemptBody) *http.Request {
 	h := r.Header.Clone()
 	dropHop(h)
 	c.opt.Protocol.Mark(h, &cl.Ask, &to.Upstream, cl.deadline.Sub(c.now()))
@@ -106,7 +106,7 @@
 
 // target returns the URL at an upstream, with the request's path and query to
 // the letter.
-func (c *Carrier) target(r *http.Request, to balance.Choice) *url.URL {
+func (c *Proxy) target(r *http.Request, to balance.Choice) *url.URL {
 	u := &url.URL{Scheme: c.scheme, Host: to.Address, Path: r.URL.Path, RawPath: r.URL.RawPath, RawQuery: r.URL.RawQuery}
 	if strings.HasPrefix(r.RequestURI, "/") {
 		u.Opaque = r.RequestURI
--- a/internal/forward/broken.go
+++ b/internal/forward/broken.go
@@ -32,7 +32,7 @@
 // begin decides whether a request may go to upstreams, by what ended under the same
 // request before, here or at other entries. Refused at once, it costs no upstream. The
 // body is looked at only if something is known of a request that is like it otherwise.
-func (c *Carrier) begin(ctx context.Context, cl *call) *verdict.Error {
+func (c *Proxy) begin(ctx context.Context, cl *call) *verdict.Error {
 	if !c.poison.Known(cl.head) {
 		return nil
 	}
@@ -52,7 +52,7 @@
 }
 
 // end counts a request as under way no longer.
-func (c *Carrier) end(cl *call) {
+func (c *Proxy) end(cl *call) {
 	if cl.counted != nil {
 		c.poison.End(*cl.counted)
 	}
@@ -62,7 +62,7 @@
 // whether the request must not be sent on. After two ends it may be: behind a link that
 // cuts all answers of a region, the third upstream, of another region, serves it. The line
 // tells what the request is, by the keys, whatever id its tries have.
-func (c *Carrier) noteBroken(ctx context.Context, cl *call, to balance.Choice, err *verdict.Error) bool {
+func (c *Proxy) noteBroken(ctx context.Context, cl *call, to balance.Choice, err *verdict.Error) bool {
 	if err.Reason != reasonBroken || err.Verdict != verdict.MayHaveRun || !closedByPeer(err) {
 		return false
 	}
@@ -95,7 +95,7 @@
 }
 
 // noteAlive records that an upstream answered anything.
-func (c *Carrier) noteAlive(from balance.Choice, ans *answer) {
+func (c *Proxy) noteAlive(from balance.Choice, ans *answer) {
 	if ans == nil || ans.told.NotRun == ReasonReplaced {
 		return
 	}
@@ -104,7 +104,7 @@
 
 // noteAnswered records that an upstream answered the request whole. An answer that came
 // before the body's beginning says nothing of the body.
-func (c *Carrier) noteAnswered(cl *call) {
+func (c *Proxy) noteAnswered(cl *call) {
 	prefix, whole := cl.body.begun()
 	if whole || cl.body.length < 0 && len(prefix) > 0 {
 		c.poison.Answered(c.now(), cl.head.WithBody(prefix))
--- a/internal/forward/carrier.go
+++ b/internal/forward/carrier.go
@@ -89,8 +89,8 @@
 	Attempts int
 }
 
-// Carrier is an http.Handler. It is safe for concurrent use.
-type Carrier struct {
+// Proxy is an http.Handler. It is safe for concurrent use.
+type Proxy struct {
 	opt       Options
 	now       func() time.Time
 	scheme    string
@@ -121,7 +121,7 @@
 }
 
 // New returns a Carrier that refuses everything until its first Update.
-func New(opt Options) *Carrier {
+func New(opt Options) *Proxy {
 	if opt.Protocol == nil {
 		opt.Protocol = Native{}
 	}
@@ -134,7 +134,7 @@
 	if opt.Rand == nil {
 		opt.Rand = newRand
 	}
-	c := &Carrier{opt: opt, now: opt.Now, scheme: "http", transport: opt.Transport, lanes: make(map[string]*lane), splits: newSplits(), poison: poison.NewTracker(opt.Self), limits: quota.NewLimiter(), deadlines: newDeadlines(), rateNews: make(chan struct{}, 1),
+	c := &Proxy{opt: opt, now: opt.Now, scheme: "http", transport: opt.Transport, lanes: make(map[string]*lane), splits: newSplits(), poison: poison.NewTracker(opt.Self), limits: quota.NewLimiter(), deadlines: newDeadlines(), rateNews: make(chan struct{}, 1),
 		rateLines: logs.NewLimiter(rateLinesPerSecond, rateLineBurst)}
 	if opt.TLS != nil {
 		c.scheme = "https"
@@ -149,7 +149,7 @@
 }
 
 // Update installs a newer snapshot.
-func (c *Carrier) Update(s *model.Snapshot) {
+func (c *Proxy) Update(s *model.Snapshot) {
 	now := c.now()
 	for name, svc := range s.Services {
 		l := c.lane(name)
@@ -177,7 +177,7 @@
 
 // owned returns the upstreams of a service that this entry uses first. Requests of routes
 // go by their objects instead.
-func (c *Carrier) owned(s *model.Snapshot, svc *model.Service) map[string]bool {
+func (c *Proxy) owned(s *model.Snapshot, svc *model.Service) map[string]bool {
 	if svc.Routed {
 		return nil
 	}
@@ -192,7 +192,7 @@
 type forgetter interface{ Forget(addr string) }
 
 // forget gives up the kept connections to addresses whose upstreams have started again.
-func (c *Carrier) forget(addresses []string) {
+func (c *Proxy) forget(addresses []string) {
 	f, ok := c.transport.(forgetter)
 	if !ok {
 		return
@@ -204,15 +204,15 @@
 }
 
 // Snapshot returns the snapshot in force, or nil before the first.
-func (c *Carrier) Snapshot() *model.Snapshot { return c.snap.Load() }
+func (c *Proxy) Snapshot() *model.Snapshot { return c.snap.Load() }
 
 // Stop makes the Carrier refuse new requests. Those in flight go on.
-func (c *Carrier) Stop() { c.stopping.Store(true) }
+func (c *Proxy) Stop() { c.stopping.Store(true) }
 
 // InFlight returns the number of requests in the entry.
-func (c *Carrier) InFlight() int { return int(c.inFlight.Load()) }
+func (c *Proxy) InFlight() int { return int(c.inFlight.Load()) }
 
-func (c *Carrier) lane(service string) *lane {
+func (c *Proxy) lane(service string) *lane {
 	c.mu.RLock()
 	l := c.lanes[service]
 	c.mu.RUnlock()
@@ -230,7 +230,7 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (c *Carrier) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.inFlight.Add(1)
 	defer c.inFlight.Add(-1)
 	start := c.opt.Check()
@@ -260,7 +260,7 @@
 }
 
 // carry serves a request that is understood.
-func (c *Carrier) carry(w http.ResponseWriter, r *http.Request, snap *model.Snapshot, ask Ask, out *Outcome) {
+func (c *Proxy) carry(w http.ResponseWriter, r *http.Request, snap *model.Snapshot, ask Ask, out *Outcome) {
 	svc := c.serviceOf(snap, &ask)
 	out.Service, out.Version = ask.Service, snap.Revision
 	if ask.Organisation != nil {
@@ -306,21 +306,21 @@
 }
 
 // serviceOf returns the service that takes a request, or nil.
-func (c *Carrier) serviceOf(snap *model.Snapshot, ask *Ask) *model.Service {
+func (c *Proxy) serviceOf(snap *model.Snapshot, ask *Ask) *model.Service {
 	if ask.Route != nil {
 		ask.Service = c.splits.choose(ask.Route, ask.Object)
 	}
 	return snap.Services[ask.Service]
 }
 
-func (c *Carrier) maxBody(snap *model.Snapshot) int64 {
+func (c *Proxy) maxBody(snap *model.Snapshot) int64 {
 	if snap.Limits.MaxBody > 0 {
 		return snap.Limits.MaxBody
 	}
 	return c.opt.MaxBody
 }
 
-func (c *Carrier) refuse(w http.ResponseWriter, out *Outcome, f *refusal) {
+func (c *Proxy) refuse(w http.ResponseWriter, out *Outcome, f *refusal) {
 	out.Status, out.Verdict, out.Reason, out.Detail = f.status, f.verdict, f.reason, f.detail
 	f.write(w, c.opt.Protocol, out.ID)
 }
@@ -329,7 +329,7 @@
 const stopRetry = time.Second
 
 // leaving is the answer of an entry that stops or has no snapshot yet.
-func (c *Carrier) leaving(snap *model.Snapshot) *refusal {
+func (c *Proxy) leaving(snap *model.Snapshot) *refusal {
 	f := &refusal{status: http.StatusServiceUnavailable, reason: "entry-leaving", verdict: verdict.NotRun, retryAfter: stopRetry}
 	if snap == nil {
 		f.reason = "entry-starting"
--- a/internal/forward/fake_test.go
+++ b/internal/forward/fake_test.go
@@ -162,7 +162,7 @@
 
 // entry is a Carrier behind a real server, in front of fakes.
 type entry struct {
-	*Carrier
+	*Proxy
 	url string
 }
 
--- a/internal/forward/home_test.go
+++ b/internal/forward/home_test.go
@@ -34,7 +34,7 @@
 // homes is an entry in muscat with two upstreams in each of three regions.
 type homes struct {
 	t       *testing.T
-	carrier *Carrier
+	carrier *Proxy
 	url     string
 	route   model.Route
 	in      model.RoutedInput
--- a/internal/forward/limit.go
+++ b/internal/forward/limit.go
@@ -13,7 +13,7 @@
 
 // spendLimit takes a request out of its organisation's limit, or returns the refusal. A request
 // that is refused later or that no upstream runs is given back by refundLimit.
-func (c *Carrier) spendLimit(cl *call) *refusal {
+func (c *Proxy) spendLimit(cl *call) *refusal {
 	if cl.Organisation == nil {
 		return nil
 	}
@@ -26,14 +26,14 @@
 }
 
 // refundLimit gives back what a request was let through for if it has not run.
-func (c *Carrier) refundLimit(cl *call) {
+func (c *Proxy) refundLimit(cl *call) {
 	if cl.paid {
 		c.limits.Return(cl.Organisation.Name, c.now())
 	}
 }
 
 // charge counts an attempt against the limit. A further one may be a second run.
-func (c *Carrier) charge(cl *call) {
+func (c *Proxy) charge(cl *call) {
 	if cl.Organisation != nil && !cl.paid {
 		c.limits.Charge(cl.Organisation.Name, c.now())
 		cl.paid = true
@@ -53,7 +53,7 @@
 // another configuration some time ago: it may have waited for its body, or an attempt may
 // have broken off late. It is not sent, nor sent again, once its key was taken away. A
 // request whose route is gone keeps the one that it came under.
-func (c *Carrier) rebind(r *http.Request, cl *call) *refusal {
+func (c *Proxy) rebind(r *http.Request, cl *call) *refusal {
 	snap := c.snap.Load()
 	if cl.Route == nil || snap.Revision == cl.version {
 		return nil
@@ -77,7 +77,7 @@
 }
 
 // send makes one attempt and counts it against the organisation's limit.
-func (c *Carrier) send(ctx context.Context, r *http.Request, cl *call, to balance.Choice) (*answer, *verdict.Error) {
+func (c *Proxy) send(ctx context.Context, r *http.Request, cl *call, to balance.Choice) (*answer, *verdict.Error) {
 	c.charge(cl)
 	ans, err := c.attempt(ctx, r, cl, to)
 	cl.noteRun(err)
--- a/internal/forward/rates.go
+++ b/internal/forward/rates.go
@@ -14,7 +14,7 @@
 )
 
 // noteRate takes in what an answer says of the limit of its upstream.
-func (c *Carrier) noteRate(cl *call, from balance.Choice, r balance.Rate) {
+func (c *Proxy) noteRate(cl *call, from balance.Choice, r balance.Rate) {
 	now := c.now()
 	if !c.lane(cl.service.Name).group.NoteRate(now, from, r) {
 		return
@@ -29,7 +29,7 @@
 }
 
 // notifyRates has other entries told of the limits of upstreams at once.
-func (c *Carrier) notifyRates() {
+func (c *Proxy) notifyRates() {
 	select {
 	case c.rateNews <- struct{}{}:
 	default:
@@ -37,10 +37,10 @@
 }
 
 // UrgentRates has a value when other entries are to hear of the limits of upstreams at once.
-func (c *Carrier) UrgentRates() <-chan struct{} { return c.rateNews }
+func (c *Proxy) UrgentRates() <-chan struct{} { return c.rateNews }
 
 // RateNews returns what to tell other entries of the limits of upstreams.
-func (c *Carrier) RateNews(scope balance.NewsScope) []balance.RateNews {
+func (c *Proxy) RateNews(scope balance.NewsScope) []balance.RateNews {
 	now := c.now()
 	var out []balance.RateNews
 	for _, l := range c.allLanes() {
@@ -50,7 +50,7 @@
 }
 
 // RateSenders returns the ids of the entries that share the limit of an upstream with this one.
-func (c *Carrier) RateSenders() map[string]bool {
+func (c *Proxy) RateSenders() map[string]bool {
 	out := make(map[string]bool)
 	for _, l := range c.allLanes() {
 		l.group.RateSenders(func(id string) { out[id] = true })
@@ -59,7 +59,7 @@
 }
 
 // HeardRates takes in what a peer told of the limits of upstreams in one of its lives.
-func (c *Carrier) HeardRates(peer string, life uint64, told []balance.RateNews) {
+func (c *Proxy) HeardRates(peer string, life uint64, told []balance.RateNews) {
 	now := c.now()
 	for _, l := range c.allLanes() {
 		l.group.HeardRates(now, peer, life, told)
@@ -68,7 +68,7 @@
 
 // Retire has the entry send no more requests to upstreams with limits: it is about to leave,
 // and others will not hear of its requests.
-func (c *Carrier) Retire() {
+func (c *Proxy) Retire() {
 	now := c.now()
 	for _, l := range c.allLanes() {
 		l.group.Retire(now)
@@ -76,7 +76,7 @@
 }
 
 // Rates returns the limits of upstreams, at most n of each service.
-func (c *Carrier) Rates(n int) []balance.RateStatus {
+func (c *Proxy) Rates(n int) []balance.RateStatus {
 	now := c.now()
 	var out []balance.RateStatus
 	for _, l := range c.allLanes() {
--- a/internal/forward/serve.go
+++ b/internal/forward/serve.go
@@ -28,7 +28,7 @@
 )
 
 // serve runs attempts until one is answered or none may follow.
-func (c *Carrier) serve(ctx context.Context, w http.ResponseWriter, r *http.Request, snap *model.Snapshot, cl *call, out *Outcome) {
+func (c *Proxy) serve(ctx context.Context, w http.ResponseWriter, r *http.Request, snap *model.Snapshot, cl *call, out *Outcome) {
 	l := c.lane(cl.service.Name)
 	regions := c.regions(snap, cl, l)
 	if cl.service.Routed {
@@ -87,7 +87,7 @@
 
 // mayRetry decides whether a failed attempt is followed by another: only by its
 // verdict, within the attempts, the deadline and the budget.
-func (c *Carrier) mayRetry(ctx context.Context, cl *call, l *lane, err *verdict.Error, attempts int) bool {
+func (c *Proxy) mayRetry(ctx context.Context, cl *call, l *lane, err *verdict.Error, attempts int) bool {
 	if ctx.Err() != nil || attempts >= cl.attempts {
 		return false
 	}
@@ -135,14 +135,14 @@
 
 // done frees an upstream's slot and gives the next in the queue a turn. It returns the
 // result as it counts.
-func (c *Carrier) done(l *lane, choice balance.Choice, r balance.Report) balance.Result {
+func (c *Proxy) done(l *lane, choice balance.Choice, r balance.Report) balance.Result {
 	result := l.group.Done(c.now(), choice, r)
 	l.queue.Wake()
 	return result
 }
 
 // deliver sends the answer and frees the slot when it has gone out whole.
-func (c *Carrier) deliver(w http.ResponseWriter, l *lane, cl *call, choice balance.Choice, a *answer, out *Outcome) {
+func (c *Proxy) deliver(w http.ResponseWriter, l *lane, cl *call, choice balance.Choice, a *answer, out *Outcome) {
 	report := balance.Report{Result: balance.OK, Load: a.told.Load, Waiting: a.told.Waiting, Draining: a.told.Draining, Connect: a.connect}
 	report.Errored = a.resp.StatusCode >= http.StatusInternalServerError
 	report.Bytes = max(0, cl.body.length) + max(int64(len(a.whole)), a.resp.ContentLength)
@@ -173,7 +173,7 @@
 
 // regions returns the regions to try, in order: the one that a move names, the
 // own, then those for overflow.
-func (c *Carrier) regions(snap *model.Snapshot, cl *call, l *lane) []string {
+func (c *Proxy) regions(snap *model.Snapshot, cl *call, l *lane) []string {
 	var moves []tree.Move
 	for _, m := range snap.Moves {
 		if m.Service == cl.service.Name && m.From == snap.Region {
--- a/internal/forward/slot.go
+++ b/internal/forward/slot.go
@@ -18,7 +18,7 @@
 
 // take admits the call and takes a slot, waiting in the queue if it has to. A
 // patient call waits in any case until a slot may have become free.
-func (c *Carrier) take(ctx context.Context, cl *call, l *lane, regions []string, patient bool) (balance.Choice, *verdict.Error) {
+func (c *Proxy) take(ctx context.Context, cl *call, l *lane, regions []string, patient bool) (balance.Choice, *verdict.Error) {
 	svc := cl.service
 	now := c.now()
 	d := admit.Decide(admit.Input{
@@ -100,14 +100,14 @@
 
 // allowed keeps the requests in flight in a region within the own share of its
 // cap.
-func (c *Carrier) allowed(svc *model.Service) func(string, int) bool {
+func (c *Proxy) allowed(svc *model.Service) func(string, int) bool {
 	return func(region string, inFlight int) bool {
 		return !svc.Capped(region) || c.opt.Book.Allow(svc.Name, region, inFlight, c.opt.Boot())
 	}
 }
 
 // wait holds a place in the queue until a slot is free or it is time to give up.
-func (c *Carrier) wait(ctx context.Context, l *lane, req balance.Request, limit int, giveUp time.Time, patient bool) (balance.Choice, *verdict.Error) {
+func (c *Proxy) wait(ctx context.Context, l *lane, req balance.Request, limit int, giveUp time.Time, patient bool) (balance.Choice, *verdict.Error) {
 	t, ok := l.queue.Join(limit)
 	if !ok {
 		return balance.Choice{}, verdict.New(verdict.NotRun, string(admit.ReasonQueueFull), nil).After(l.retryAfter(req.Regions[0]))
--- a/internal/forward/status.go
+++ b/internal/forward/status.go
@@ -12,7 +12,7 @@
 
 // Usage returns what the entry uses of the caps, with the refusals since the
 // last call.
-func (c *Carrier) Usage() []share.Reported {
+func (c *Proxy) Usage() []share.Reported {
 	limits := make(map[[2]string]share.Use)
 	for _, u := range c.opt.Book.Uses(c.opt.Boot()) {
 		limits[[2]string{u.Service, u.Region}] = u
@@ -37,7 +37,7 @@
 }
 
 // LoadAt calls visit with what the entries that are asked for have at each upstream.
-func (c *Carrier) LoadAt(whose balance.Counted, visit func(upstream uint32, l balance.Load)) {
+func (c *Proxy) LoadAt(whose balance.Counted, visit func(upstream uint32, l balance.Load)) {
 	now := c.now()
 	for _, l := range c.allLanes() {
 		l.group.LoadAt(now, whose, visit)
@@ -45,7 +45,7 @@
 }
 
 // Heard takes in what a peer told.
-func (c *Carrier) Heard(p balance.PeerLoad) {
+func (c *Proxy) Heard(p balance.PeerLoad) {
 	now := c.now()
 	for _, l := range c.allLanes() {
 		l.group.Heard(now, p)
@@ -53,7 +53,7 @@
 }
 
 // Doubt returns what this entry knows of upstreams that forget connections.
-func (c *Carrier) Doubt() Doubt {
+func (c *Proxy) Doubt() Doubt {
 	if p, ok := c.transport.(*Pool); ok {
 		return p.rests.current(c.now())
 	}
@@ -61,17 +61,17 @@
 }
 
 // HeardDoubt takes in what a peer knows of upstreams that forget connections.
-func (c *Carrier) HeardDoubt(d Doubt) {
+func (c *Proxy) HeardDoubt(d Doubt) {
 	if p, ok := c.transport.(*Pool); ok {
 		p.rests.heard(d, c.now())
 	}
 }
 
 // Claims returns what to tell other entries of requests under which upstreams ended.
-func (c *Carrier) Claims(n int, relay bool) []poison.Claim { return c.poison.Claims(c.now(), n, relay) }
+func (c *Proxy) Claims(n int, relay bool) []poison.Claim { return c.poison.Claims(c.now(), n, relay) }
 
 // HeardClaims takes in what other entries told of such requests.
-func (c *Carrier) HeardClaims(words []poison.Claim) {
+func (c *Proxy) HeardClaims(words []poison.Claim) {
 	now := c.now()
 	for _, w := range words {
 		c.poison.Heard(now, w)
@@ -79,27 +79,27 @@
 }
 
 // Limits returns the limits of the organisations.
-func (c *Carrier) Limits() *quota.Limiter { return c.limits }
+func (c *Proxy) Limits() *quota.Limiter { return c.limits }
 
 // Tick drops what is known of such requests and holds no more, and ends requests whose
 // deadline has passed while the machine was suspended. It is called every now and then.
-func (c *Carrier) Tick() {
+func (c *Proxy) Tick() {
 	now := c.opt.Check()
 	c.deadlines.expire(now)
 	c.poison.Forget(now)
 }
 
 // Poison returns how many such requests are known.
-func (c *Carrier) Poison() poison.Status { return c.poison.Status(c.now()) }
+func (c *Proxy) Poison() poison.Status { return c.poison.Status(c.now()) }
 
-func (c *Carrier) allLanes() []*lane {
+func (c *Proxy) allLanes() []*lane {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return slices.Collect(maps.Values(c.lanes))
 }
 
 // SelfDraining returns the ids of the upstreams that said that they drain.
-func (c *Carrier) SelfDraining() []string {
+func (c *Proxy) SelfDraining() []string {
 	now := c.now()
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -118,7 +118,7 @@
 }
 
 // Dump returns the state of all services.
-func (c *Carrier) Dump() map[string]ServiceStatus {
+func (c *Proxy) Dump() map[string]ServiceStatus {
 	now := c.now()
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/test/sessions/world_test.go
+++ b/test/sessions/world_test.go
@@ -62,7 +62,7 @@
 	log       *configlog.Log
 	committer *configlog.Committer
 	regions   []string
-	entries   map[string]*forward.Carrier
+	entries   map[string]*forward.Proxy
 	books     map[string]*share.Book
 	seed      uint64
 	changes   int
@@ -76,7 +76,7 @@
 			t: t, began: time.Now(), latency: latency, regions: regions,
 			upstreams: make(map[string]*upstream), runs: make(map[string]int), cut: make(map[string]bool),
 			store: standin.NewStore(), log: configlog.NewLog(),
-			entries: make(map[string]*forward.Carrier), books: make(map[string]*share.Book),
+			entries: make(map[string]*forward.Proxy), books: make(map[string]*share.Book),
 		}
 		w.committer = configlog.NewCommitter(w.store, w.log, time.Now)
 		for _, r := range regions {
