--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -68,7 +68,7 @@
 		e.latency[o.Service] = l
 	}
 	e.mu.Unlock()
-	l.Record(uint32(o.Took), o.Took)
+	l.Record(uint32(o.Duration), o.Duration)
 	e.log(o)
 }
 
@@ -99,9 +99,9 @@
 		return
 	}
 	klog.InfoS("request", "kind", k, "id", o.ID, "organisation", o.Organisation, "service", o.Service, "route", o.Route, "version", o.Version,
-		"status", o.Status, "verdict", o.Verdict, "reason", o.Reason, "detail", o.Detail, "took", o.Took, "attempts", o.Attempts,
+		"status", o.Status, "verdict", o.Verdict, "reason", o.Reason, "detail", o.Detail, "took", o.Duration, "attempts", o.Attempts,
 		"upstream", o.Choice.ID, "region", o.Choice.Region, "rank", o.Choice.Rank, "warm", o.Choice.Warm,
-		"ahead", o.Choice.Ahead, "expected", o.Choice.Expected, "load", o.Told.Load, "waiting", o.Told.Waiting, "left_out", left)
+		"ahead", o.Choice.Ahead, "expected", o.Choice.Expected, "load", o.Response.Load, "waiting", o.Response.Waiting, "left_out", left)
 }
 
 // kindSecondReplica are requests that another than the first upstream of their object
@@ -121,7 +121,7 @@
 		return "failed"
 	case o.Attempts > 1:
 		return "retried"
-	case o.Objective > 0 && o.Took > o.Objective:
+	case o.Objective > 0 && o.Duration > o.Objective:
 		return "late"
 	case o.Choice.Rank > 0:
 		return kindSecondReplica
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -37,7 +37,7 @@
 // answer is an upstream's answer, ready to go to the caller.
 type answer struct {
 	resp *http.Response
-	told Told
+	told ResponseInfo
 	// connect is how long the connection took to be made; 0 if it was there.
 	connect time.Duration
 	// whole is the body if it has been read to its end.
@@ -63,17 +63,17 @@
 	if err != nil {
 		return nil, sendError(ctx, cl, &watch, err)
 	}
-	told := c.opt.Protocol.Read(resp, &cl.Ask, cl.service)
+	told := c.opt.Protocol.Read(resp, &cl.RequestInfo, cl.service)
 	c.noteRate(cl, to, told.Rate)
-	if told.NotRun != "" {
-		e := verdict.New(verdict.NotRun, told.NotRun, fmt.Errorf("upstream answered %s", resp.Status))
+	if told.NotRunReason != "" {
+		e := verdict.New(verdict.NotRun, told.NotRunReason, fmt.Errorf("upstream answered %s", resp.Status))
 		e.RetryAfter = retryAfterOf(resp)
 		discard(resp)
 		return &answer{told: told}, e
 	}
-	if told.Broken != "" {
+	if told.InvalidReason != "" {
 		discard(resp)
-		return nil, verdict.New(verdict.MayHaveRun, told.Broken, fmt.Errorf("answer %s to request %s", resp.Status, cl.ID))
+		return nil, verdict.New(verdict.MayHaveRun, told.InvalidReason, fmt.Errorf("answer %s to request %s", resp.Status, cl.ID))
 	}
 	ans, verr := readAnswer(ctx, resp)
 	if verr == nil {
@@ -86,7 +86,7 @@
 func (c *Proxy) request(ctx context.Context, r *http.Request, cl *call, to balance.Choice, body *attemptBody) *http.Request {
 	h := r.Header.Clone()
 	dropHop(h)
-	c.opt.Protocol.Mark(h, &cl.Ask, &to.Upstream, cl.deadline.Sub(c.now()))
+	c.opt.Protocol.Mark(h, &cl.RequestInfo, &to.Upstream, cl.deadline.Sub(c.now()))
 	if _, ok := h["User-Agent"]; !ok {
 		h.Set("User-Agent", "")
 	}
@@ -174,7 +174,7 @@
 
 // deliver sends an answer to the caller. A body that breaks off aborts the
 // caller's connection, so that it is never taken for whole.
-func (a *answer) deliver(w http.ResponseWriter, p Protocol, ask *Ask) (int64, error) {
+func (a *answer) deliver(w http.ResponseWriter, p Protocol, ask *RequestInfo) (int64, error) {
 	h := w.Header()
 	for name, values := range a.resp.Header {
 		h[name] = values
--- a/internal/forward/broken.go
+++ b/internal/forward/broken.go
@@ -96,7 +96,7 @@
 
 // noteAlive records that an upstream answered anything.
 func (c *Proxy) noteAlive(from balance.Choice, ans *answer) {
-	if ans == nil || ans.told.NotRun == ReasonReplaced {
+	if ans == nil || ans.told.NotRunReason == ReasonReplaced {
 		return
 	}
 	c.poison.Alive(c.now(), balance.LifeKey(&from.Upstream), from.Picked)
--- a/internal/forward/budget_test.go
+++ b/internal/forward/budget_test.go
@@ -20,8 +20,8 @@
 }
 
 // Parse implements Protocol.
-func (p routed) Parse(r *http.Request, _ *model.Snapshot) (Ask, *Fault) {
-	return Ask{ID: r.Header.Get(header.RequestID), Route: p.route, Safe: p.route.Safe, Object: r.URL.Path}, nil
+func (p routed) Parse(r *http.Request, _ *model.Snapshot) (RequestInfo, *RequestError) {
+	return RequestInfo{ID: r.Header.Get(header.RequestID), Route: p.route, Safe: p.route.Safe, Object: r.URL.Path}, nil
 }
 
 // newRouted returns one of several entries with one route to fakes.
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -16,7 +16,7 @@
 
 // call is one request of a caller.
 type call struct {
-	Ask
+	RequestInfo
 	service  *model.Service
 	began    time.Time
 	deadline time.Time
@@ -44,16 +44,16 @@
 }
 
 // newCall returns the call of a request that asks for a service.
-func newCall(r *http.Request, ask Ask, svc *model.Service, now time.Time) *call {
+func newCall(r *http.Request, ask RequestInfo, svc *model.Service, now time.Time) *call {
 	c := &call{
-		Ask:      ask,
-		service:  svc,
-		began:    now,
-		attempts: svc.Attempts,
-		priority: svc.Priority,
-		body:     newReplayBody(r),
-		outcome:  verdict.NotRun,
-		head:     headOf(r, &ask),
+		RequestInfo: ask,
+		service:     svc,
+		began:       now,
+		attempts:    svc.Attempts,
+		priority:    svc.Priority,
+		body:        newReplayBody(r),
+		outcome:     verdict.NotRun,
+		head:        headOf(r, &ask),
 	}
 	longest := svc.Deadline
 	if ask.Route != nil {
@@ -62,12 +62,12 @@
 		c.priority = admit.PriorityOf(rankOf(&ask))
 		longest = ask.Route.Timeout
 	}
-	c.deadline = now.Add(shorter(ask.Limit, longest))
+	c.deadline = now.Add(shorter(ask.Timeout, longest))
 	return c
 }
 
 // rankOf returns how urgent a request with a route is; 0 is the most urgent.
-func rankOf(ask *Ask) int {
+func rankOf(ask *RequestInfo) int {
 	if o := ask.Organisation; o != nil && o.Priority != model.RoutePriority {
 		return o.Priority
 	}
@@ -75,7 +75,7 @@
 }
 
 // headOf returns the keys of a request without its body. Its caller is told by address.
-func headOf(r *http.Request, ask *Ask) poison.Keys {
+func headOf(r *http.Request, ask *RequestInfo) poison.Keys {
 	caller, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		caller = r.RemoteAddr
--- a/internal/forward/carrier.go
+++ b/internal/forward/carrier.go
@@ -78,14 +78,14 @@
 	Version uint64
 	// Choice is the last upstream that was picked.
 	Choice balance.Choice
-	// Told is what its answer said.
-	Told    Told
-	Status  int
-	Verdict verdict.Verdict
-	Reason  string
+	// Response is what its answer said.
+	Response ResponseInfo
+	Status   int
+	Verdict  verdict.Verdict
+	Reason   string
 	// Detail explains an answer that loomkeel itself made.
 	Detail   string
-	Took     time.Duration
+	Duration time.Duration
 	Attempts int
 }
 
@@ -236,7 +236,7 @@
 	start := c.opt.Check()
 	out := Outcome{}
 	defer func() {
-		out.Took = c.now().Sub(start)
+		out.Duration = c.now().Sub(start)
 		c.opt.Observe(out)
 	}()
 	snap := c.snap.Load()
@@ -260,7 +260,7 @@
 }
 
 // carry serves a request that is understood.
-func (c *Proxy) carry(w http.ResponseWriter, r *http.Request, snap *model.Snapshot, ask Ask, out *Outcome) {
+func (c *Proxy) carry(w http.ResponseWriter, r *http.Request, snap *model.Snapshot, ask RequestInfo, out *Outcome) {
 	svc := c.serviceOf(snap, &ask)
 	out.Service, out.Version = ask.Service, snap.Revision
 	if ask.Organisation != nil {
@@ -306,7 +306,7 @@
 }
 
 // serviceOf returns the service that takes a request, or nil.
-func (c *Proxy) serviceOf(snap *model.Snapshot, ask *Ask) *model.Service {
+func (c *Proxy) serviceOf(snap *model.Snapshot, ask *RequestInfo) *model.Service {
 	if ask.Route != nil {
 		ask.Service = c.splits.choose(ask.Route, ask.Object)
 	}
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -273,7 +273,7 @@
 	e := newEntry(t, []*fake{f})
 	e.Stop()
 	a := e.send(t, "POST", "/x", "")
-	var body Refusal
+	var body ErrorResponse
 	if err := json.Unmarshal([]byte(a.body), &body); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/forward/home_test.go
+++ b/internal/forward/home_test.go
@@ -23,12 +23,12 @@
 type byRoutes struct{ Native }
 
 // Parse implements Protocol.
-func (byRoutes) Parse(r *http.Request, snap *model.Snapshot) (Ask, *Fault) {
+func (byRoutes) Parse(r *http.Request, snap *model.Snapshot) (RequestInfo, *RequestError) {
 	route := snap.Routes.Match(r.Host, r.URL.Path)
 	if route == nil {
-		return Ask{}, &Fault{Status: http.StatusNotFound, Reason: "no-route"}
+		return RequestInfo{}, &RequestError{Status: http.StatusNotFound, Reason: "no-route"}
 	}
-	return Ask{ID: r.Header.Get(header.RequestID), Route: route, Safe: route.Safe, Object: r.URL.Path}, nil
+	return RequestInfo{ID: r.Header.Get(header.RequestID), Route: route, Safe: route.Safe, Object: r.URL.Path}, nil
 }
 
 // homes is an entry in muscat with two upstreams in each of three regions.
--- a/internal/forward/native.go
+++ b/internal/forward/native.go
@@ -22,30 +22,30 @@
 const maxRequestID = 64
 
 // Parse implements Protocol. A request names its service by header or by host.
-func (Native) Parse(r *http.Request, snap *model.Snapshot) (Ask, *Fault) {
+func (Native) Parse(r *http.Request, snap *model.Snapshot) (RequestInfo, *RequestError) {
 	name, known := serviceName(r, snap)
 	svc := snap.Services[name]
 	if svc == nil || !known {
 		detail := fmt.Sprintf("unknown service %q: name one by %s or by host", name, header.Service)
-		return Ask{}, &Fault{http.StatusNotFound, "unknown-service", detail}
+		return RequestInfo{}, &RequestError{http.StatusNotFound, "unknown-service", detail}
 	}
 	safe, err := isSafe(r, svc)
 	if err != nil {
-		return Ask{}, badRequest(err)
+		return RequestInfo{}, badRequest(err)
 	}
 	limit, err := timeLimit(r)
 	if err != nil {
-		return Ask{}, badRequest(err)
+		return RequestInfo{}, badRequest(err)
 	}
-	a := Ask{Service: name, Safe: safe, Limit: limit}
+	a := RequestInfo{Service: name, Safe: safe, Timeout: limit}
 	if id := r.Header.Get(header.RequestID); len(id) <= maxRequestID {
 		a.ID = id
 	}
 	return a, nil
 }
 
-func badRequest(err error) *Fault {
-	return &Fault{http.StatusBadRequest, "bad-request", err.Error()}
+func badRequest(err error) *RequestError {
+	return &RequestError{http.StatusBadRequest, "bad-request", err.Error()}
 }
 
 func serviceName(r *http.Request, snap *model.Snapshot) (string, bool) {
@@ -91,7 +91,7 @@
 }
 
 // Mark implements Protocol.
-func (Native) Mark(h http.Header, ask *Ask, _ *model.Upstream, left time.Duration) {
+func (Native) Mark(h http.Header, ask *RequestInfo, _ *model.Upstream, left time.Duration) {
 	dropOwn(h)
 	h.Set(header.RequestID, ask.ID)
 	h.Set(header.Deadline, strconv.FormatInt(max(1, left.Milliseconds()), 10))
@@ -99,8 +99,8 @@
 
 // Read implements Protocol. An answer that ends with its connection is refused:
 // nobody could tell it from a cut one.
-func (Native) Read(resp *http.Response, ask *Ask, svc *model.Service) Told {
-	t := Told{Load: -1, Waiting: -1}
+func (Native) Read(resp *http.Response, ask *RequestInfo, svc *model.Service) ResponseInfo {
+	t := ResponseInfo{Load: -1, Waiting: -1}
 	if load, err := strconv.Atoi(resp.Header.Get(header.Load)); err == nil {
 		t.Load = load
 	}
@@ -108,12 +108,12 @@
 	echo := resp.Header.Get(header.RequestID)
 	switch {
 	case slices.Contains(svc.NotRunStatuses, resp.StatusCode):
-		t.NotRun = ReasonShed
+		t.NotRunReason = ReasonShed
 		t.Rate, _, _ = ReadRate(resp, header.Limit)
 	case echo != "" && echo != ask.ID:
-		t.Broken = ReasonMismatch
+		t.InvalidReason = ReasonMismatch
 	case endsWithConnection(resp):
-		t.Broken = reasonUnframed
+		t.InvalidReason = reasonUnframed
 	default:
 		t.Rate, _, _ = ReadRate(resp, header.Limit)
 	}
@@ -126,7 +126,7 @@
 }
 
 // Pass implements Protocol.
-func (Native) Pass(h http.Header, ask *Ask) {
+func (Native) Pass(h http.Header, ask *RequestInfo) {
 	dropOwn(h)
 	h.Set(header.RequestID, ask.ID)
 }
--- a/internal/forward/protocol.go
+++ b/internal/forward/protocol.go
@@ -14,14 +14,14 @@
 // another. Implementations are safe for concurrent use.
 type Protocol interface {
 	// Parse reads what a caller asks for.
-	Parse(r *http.Request, snap *model.Snapshot) (Ask, *Fault)
+	Parse(r *http.Request, snap *model.Snapshot) (RequestInfo, *RequestError)
 	// Mark writes on a request what its upstream has to know. The header is a
 	// copy of the caller's.
-	Mark(h http.Header, ask *Ask, to *model.Upstream, left time.Duration)
+	Mark(h http.Header, ask *RequestInfo, to *model.Upstream, left time.Duration)
 	// Read tells what an answer says. It may not read the body.
-	Read(resp *http.Response, ask *Ask, svc *model.Service) Told
+	Read(resp *http.Response, ask *RequestInfo, svc *model.Service) ResponseInfo
 	// Pass prepares the header of an upstream's answer for the caller.
-	Pass(h http.Header, ask *Ask)
+	Pass(h http.Header, ask *RequestInfo)
 	// Refuse prepares the header of an answer that the Carrier itself makes.
 	Refuse(h http.Header, id string, v verdict.Verdict, retryAfter time.Duration)
 	// Mine reports whether an answer belongs to a request. One that does not is
@@ -29,8 +29,8 @@
 	Mine(resp *http.Response, req *http.Request) bool
 }
 
-// Ask is what a caller asks for.
-type Ask struct {
+// RequestInfo is what a caller asks for.
+type RequestInfo struct {
 	// ID is the request's id; empty if the caller gave none.
 	ID string
 	// Service is the service that the request names; unused if there is a Route.
@@ -39,8 +39,8 @@
 	Route *model.Route
 	// Safe is set if the request may run more than once.
 	Safe bool
-	// Limit is how long the caller waits; 0 if it does not say.
-	Limit time.Duration
+	// Timeout is how long the caller waits; 0 if it does not say.
+	Timeout time.Duration
 	// Object is what the request is about; empty if it does not say.
 	Object string
 	// Organisation is whose request it is; nil if the configuration has no organisations.
@@ -49,24 +49,24 @@
 
 // allows reports whether a region may serve the request: its route and its organisation
 // both have a say.
-func (a *Ask) allows(region string) bool {
+func (a *RequestInfo) allows(region string) bool {
 	return a.Route.Allows(region) && a.Organisation.Allows(region)
 }
 
-// Fault is a request that cannot be understood or has no service. It has not
+// RequestError is a request that cannot be understood or has no service. It has not
 // run.
-type Fault struct {
+type RequestError struct {
 	Status int
 	// Reason is a short stable word, Detail an explanation for a person.
 	Reason, Detail string
 }
 
-// Told is what an answer says of the request and of its upstream.
-type Told struct {
-	// NotRun is empty, or the reason why the upstream did not run the request.
-	NotRun string
-	// Broken is empty, or the reason why the answer must not be passed on.
-	Broken string
+// ResponseInfo is what an answer says of the request and of its upstream.
+type ResponseInfo struct {
+	// NotRunReason is empty, or the reason why the upstream did not run the request.
+	NotRunReason string
+	// InvalidReason is empty, or the reason why the answer must not be passed on.
+	InvalidReason string
 	// Load is the number of requests at the upstream, Waiting how many of them
 	// wait; -1 if the answer does not say.
 	Load, Waiting int
--- a/internal/forward/refusal.go
+++ b/internal/forward/refusal.go
@@ -19,8 +19,8 @@
 	entries []string
 }
 
-// Refusal is the JSON body of an answer that loomkeel itself makes.
-type Refusal struct {
+// ErrorResponse is the JSON body of an answer that loomkeel itself makes.
+type ErrorResponse struct {
 	// Verdict is not-run, may-have-run or ran.
 	Verdict string `json:"verdict"`
 	// Reason is a short stable word.
@@ -35,7 +35,7 @@
 	Entries []string `json:"entries,omitempty"`
 }
 
-func (f *Fault) refusal() *refusal {
+func (f *RequestError) refusal() *refusal {
 	return &refusal{status: f.Status, reason: f.Reason, detail: f.Detail, verdict: verdict.NotRun}
 }
 
@@ -46,7 +46,7 @@
 	h.Set("Content-Type", "application/json")
 	h.Set("Cache-Control", "no-store")
 	w.WriteHeader(f.status)
-	_ = json.NewEncoder(w).Encode(Refusal{
+	_ = json.NewEncoder(w).Encode(ErrorResponse{
 		Verdict:          f.verdict.String(),
 		Reason:           f.reason,
 		Detail:           f.detail,
--- a/internal/forward/serve.go
+++ b/internal/forward/serve.go
@@ -149,7 +149,7 @@
 	if a.read {
 		c.done(l, choice, report)
 	}
-	_, err := a.deliver(w, c.opt.Protocol, &cl.Ask)
+	_, err := a.deliver(w, c.opt.Protocol, &cl.RequestInfo)
 	if err != nil {
 		report.Result = balance.Abandoned
 	}
@@ -159,7 +159,7 @@
 	if err == nil {
 		c.noteAnswered(cl)
 	}
-	out.Status, out.Verdict, out.Told = a.resp.StatusCode, verdict.Ran, a.told
+	out.Status, out.Verdict, out.Response = a.resp.StatusCode, verdict.Ran, a.told
 	if err != nil {
 		out.Reason = reasonBroken
 		klog.InfoS("answer broke off", "request", cl.ID, "upstream", choice.ID, "err", err)
--- a/internal/forward/shed_test.go
+++ b/internal/forward/shed_test.go
@@ -10,9 +10,9 @@
 )
 
 // Read implements Protocol: 429 is a shed, by an upstream that does not tell its load.
-func (p routed) Read(resp *http.Response, ask *Ask, svc *model.Service) Told {
+func (p routed) Read(resp *http.Response, ask *RequestInfo, svc *model.Service) ResponseInfo {
 	if resp.StatusCode == http.StatusTooManyRequests {
-		return Told{NotRun: ReasonShed, Load: -1, Waiting: -1}
+		return ResponseInfo{NotRunReason: ReasonShed, Load: -1, Waiting: -1}
 	}
 	return p.Native.Read(resp, ask, svc)
 }
