--- a/cmd/loomkeel-entry/main.go
+++ b/cmd/loomkeel-entry/main.go
@@ -41,7 +41,7 @@
 	}
 	dialer := rpc.NewDialer(clientTLS, nil)
 	defer dialer.Close()
-	e := entry.New(forward.Options{Self: s.Instance.ID, Room: s.Entry.Room, MaxBody: int64(s.Entry.MaxBody), TLS: upstreamTLS, Now: time.Now})
+	e := entry.New(forward.Options{Self: s.Instance.ID, MaxInFlight: s.Entry.Room, MaxBody: int64(s.Entry.MaxBody), TLS: upstreamTLS, Now: time.Now})
 	f := follow.New(follow.Options{
 		Dialer: dialer, Agent: s.Agent.Peer, Process: agent.ProcessEntry, Region: s.Instance.Region,
 		Update: e.Carrier.Update, Skip: tree.IsBlocks,
--- a/cmd/loomkeel-node/main.go
+++ b/cmd/loomkeel-node/main.go
@@ -101,7 +101,7 @@
 		Rejoin:  rejoin,
 		Policy:  policy(s.Bounds),
 	}, forward.Options{
-		Self: s.ID, Domain: s.Domain, Room: room, Now: clock.Now, Check: clock.Check,
+		Self: s.ID, Domain: s.Domain, MaxInFlight: room, Now: clock.Now, SyncNow: clock.Check,
 		Protocol: platform.Protocol{Fields: fields}, DialTimeout: dialTimeout,
 	})
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -47,7 +47,7 @@
 	e := &Entry{book: share.NewBook(), byEnd: make(map[end]int64), latency: make(map[string]*metrics.Latency),
 		lines: logs.NewLimiter(linesPerSecond, lineBurst), routine: logs.NewLimiter(routinePerSecond, routineBurst)}
 	opt.Observe, opt.NewID = e.observe, newID
-	opt.Book, opt.Boot = e.book, bootclock.Now
+	opt.CapShares, opt.BootClock = e.book, bootclock.Now
 	e.Carrier = forward.New(opt)
 	return e
 }
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -33,8 +33,8 @@
 }
 
 func (e *Entry) report(ctx context.Context, r Reporter, leaving bool) error {
-	req := &pb.ReportRequest{Leaving: leaving, Draining: e.Carrier.SelfDraining()}
-	for _, u := range e.Carrier.Usage() {
+	req := &pb.ReportRequest{Leaving: leaving, Draining: e.Carrier.DrainingUpstreams()}
+	for _, u := range e.Carrier.CapUsage() {
 		req.Usage = append(req.Usage, &pb.CapUsage{
 			Service: u.Service, Region: u.Region,
 			InFlight: uint32(max(0, u.InFlight)), Refused: uint32(u.Refused), Limit: uint32(u.Limit),
--- a/internal/forward/slot.go
+++ b/internal/forward/admission.go
@@ -29,11 +29,11 @@
 		Limit:    svc.Queue,
 		Wait:     max(0, svc.QueueWait-now.Sub(cl.began)),
 		InFlight: int(c.inFlight.Load()),
-		Room:     c.opt.Room,
+		Room:     c.opt.MaxInFlight,
 		Priority: cl.priority,
 	})
 	if d.Reason != "" {
-		return balance.Choice{}, verdict.New(verdict.NotRun, string(d.Reason), nil).After(d.RetryAfter)
+		return balance.Choice{}, verdict.New(verdict.NotRun, string(d.Reason), nil).WithRetryAfter(d.RetryAfter)
 	}
 	if svc.Routed {
 		return takeForObject(now, cl, l, regions[0])
@@ -45,7 +45,7 @@
 			return choice, nil
 		}
 		if errors.Is(err, balance.ErrNoUpstream) {
-			return balance.Choice{}, verdict.New(verdict.NotRun, reasonNoUpstream, err).After(stopRetry)
+			return balance.Choice{}, verdict.New(verdict.NotRun, reasonNoUpstream, err).WithRetryAfter(stopRetry)
 		}
 	}
 	return c.wait(ctx, l, req, svc.Queue, d.GiveUp, patient)
@@ -71,11 +71,11 @@
 	case err == nil:
 		return choice, nil
 	case errors.As(err, &limit):
-		return balance.Choice{}, verdict.New(verdict.NotRun, reasonUpstreamLimit, err).After(limit.RetryAfter)
+		return balance.Choice{}, verdict.New(verdict.NotRun, reasonUpstreamLimit, err).WithRetryAfter(limit.RetryAfter)
 	case errors.As(err, &late):
-		return balance.Choice{}, verdict.New(verdict.NotRun, reasonLate, err).After(late.RetryAfter)
+		return balance.Choice{}, verdict.New(verdict.NotRun, reasonLate, err).WithRetryAfter(late.RetryAfter)
 	}
-	return balance.Choice{}, verdict.New(verdict.NotRun, reasonOf(err), err).After(l.retryAfter(region))
+	return balance.Choice{}, verdict.New(verdict.NotRun, reasonOf(err), err).WithRetryAfter(l.retryAfter(region))
 }
 
 // Reasons of a request that no upstream can take.
@@ -102,7 +102,7 @@
 // cap.
 func (c *Proxy) allowed(svc *model.Service) func(string, int) bool {
 	return func(region string, inFlight int) bool {
-		return !svc.Capped(region) || c.opt.Book.Allow(svc.Name, region, inFlight, c.opt.Boot())
+		return !svc.Capped(region) || c.opt.CapShares.Allow(svc.Name, region, inFlight, c.opt.BootClock())
 	}
 }
 
@@ -110,7 +110,7 @@
 func (c *Proxy) wait(ctx context.Context, l *lane, req balance.Request, limit int, giveUp time.Time, patient bool) (balance.Choice, *verdict.Error) {
 	t, ok := l.queue.Join(limit)
 	if !ok {
-		return balance.Choice{}, verdict.New(verdict.NotRun, string(admit.ReasonQueueFull), nil).After(l.retryAfter(req.Regions[0]))
+		return balance.Choice{}, verdict.New(verdict.NotRun, string(admit.ReasonQueueFull), nil).WithRetryAfter(l.retryAfter(req.Regions[0]))
 	}
 	defer l.queue.Leave(t)
 	if patient {
@@ -130,7 +130,7 @@
 				return choice, nil
 			}
 		case <-timer.C:
-			return balance.Choice{}, verdict.New(verdict.NotRun, reasonNoSlot, nil).After(l.retryAfter(req.Regions[0]))
+			return balance.Choice{}, verdict.New(verdict.NotRun, reasonNoSlot, nil).WithRetryAfter(l.retryAfter(req.Regions[0]))
 		case <-ctx.Done():
 			return balance.Choice{}, verdict.New(verdict.NotRun, reasonCallerGone, ctx.Err())
 		}
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, sendError(ctx, cl, &watch, err)
 	}
-	told := c.opt.Protocol.Read(resp, &cl.RequestInfo, cl.service)
+	told := c.opt.Protocol.ParseResponse(resp, &cl.RequestInfo, cl.service)
 	c.noteRate(cl, to, told.Rate)
 	if told.NotRunReason != "" {
 		e := verdict.New(verdict.NotRun, told.NotRunReason, fmt.Errorf("upstream answered %s", resp.Status))
@@ -86,7 +86,7 @@
 func (c *Proxy) request(ctx context.Context, r *http.Request, cl *call, to balance.Choice, body *attemptBody) *http.Request {
 	h := r.Header.Clone()
 	dropHop(h)
-	c.opt.Protocol.Mark(h, &cl.RequestInfo, &to.Upstream, cl.deadline.Sub(c.now()))
+	c.opt.Protocol.SetRequestHeaders(h, &cl.RequestInfo, &to.Upstream, cl.deadline.Sub(c.now()))
 	if _, ok := h["User-Agent"]; !ok {
 		h.Set("User-Agent", "")
 	}
@@ -180,7 +180,7 @@
 		h[name] = values
 	}
 	dropHop(h)
-	p.Pass(h, ask)
+	p.SetResponseHeaders(h, ask)
 	if a.resp.ContentLength >= 0 {
 		h.Set("Content-Length", strconv.FormatInt(a.resp.ContentLength, 10))
 	}
--- a/internal/forward/budget_test.go
+++ b/internal/forward/budget_test.go
@@ -19,16 +19,16 @@
 	route *model.Route
 }
 
-// Parse implements Protocol.
-func (p routed) Parse(r *http.Request, _ *model.Snapshot) (RequestInfo, *RequestError) {
+// ParseRequest implements Protocol.
+func (p routed) ParseRequest(r *http.Request, _ *model.Snapshot) (RequestInfo, *RequestError) {
 	return RequestInfo{ID: r.Header.Get(header.RequestID), Route: p.route, Safe: p.route.Safe, Object: r.URL.Path}, nil
 }
 
 // newRouted returns one of several entries with one route to fakes.
 func newRouted(t *testing.T, entries int, route *model.Route, fakes []*fake) *entry {
 	c := New(Options{
-		Room: 100, Now: time.Now, Protocol: routed{route: route}, Book: share.NewBook(), Domain: "a",
-		Boot: func() int64 { return 0 }, NewID: func() string { return "own" }, Observe: func(Outcome) {},
+		MaxInFlight: 100, Now: time.Now, Protocol: routed{route: route}, CapShares: share.NewBook(), Domain: "a",
+		BootClock: func() int64 { return 0 }, NewID: func() string { return "own" }, Observe: func(Outcome) {},
 	})
 	in := model.RoutedInput{
 		Region: "muscat", RetryBudget: 0.2, RetryBurst: 12,
--- a/internal/forward/exchange.go
+++ b/internal/forward/conn.go
@@ -234,7 +234,7 @@
 		if resp.StatusCode >= 100 && resp.StatusCode < 200 {
 			continue
 		}
-		if first || c.pool.opt.Mine(resp, req) || endsWithConnection(resp) {
+		if first || c.pool.opt.Matches(resp, req) || endsWithConnection(resp) {
 			return resp, surplus, nil
 		}
 		surplus = true
--- a/internal/forward/deadline_test.go
+++ b/internal/forward/deadline_test.go
@@ -26,8 +26,8 @@
 	}))
 	t.Cleanup(up.Close)
 	c := New(Options{
-		Room: 100, Now: time.Now, Protocol: byRoutes{}, Book: share.NewBook(), Domain: "muscat-a",
-		Boot: func() int64 { return 0 }, NewID: func() string { return "own" }, Observe: func(Outcome) {},
+		MaxInFlight: 100, Now: time.Now, Protocol: byRoutes{}, CapShares: share.NewBook(), Domain: "muscat-a",
+		BootClock: func() int64 { return 0 }, NewID: func() string { return "own" }, Observe: func(Outcome) {},
 	})
 	route := func(name string, limit time.Duration) *model.Route {
 		return &model.Route{
--- a/internal/forward/fake_test.go
+++ b/internal/forward/fake_test.go
@@ -171,10 +171,10 @@
 	n := 0
 	var mu sync.Mutex
 	c := New(Options{
-		Room: 100,
-		Now:  time.Now,
-		Book: share.NewBook(),
-		Boot: func() int64 { return time.Now().UnixNano() },
+		MaxInFlight: 100,
+		Now:         time.Now,
+		CapShares:   share.NewBook(),
+		BootClock:   func() int64 { return time.Now().UnixNano() },
 		NewID: func() string {
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/forward/header.go
+++ b/internal/forward/header.go
@@ -28,7 +28,7 @@
 // dropOwn removes loomkeel's own headers.
 func dropOwn(h http.Header) {
 	for name := range h {
-		if strings.HasPrefix(name, header.OwnPrefix) {
+		if strings.HasPrefix(name, header.Prefix) {
 			delete(h, name)
 		}
 	}
--- a/internal/forward/limit.go
+++ b/internal/forward/limit.go
@@ -59,7 +59,7 @@
 		return nil
 	}
 	cl.version = snap.Revision
-	ask, fault := c.opt.Protocol.Parse(r, snap)
+	ask, fault := c.opt.Protocol.ParseRequest(r, snap)
 	if fault != nil && fault.Status == http.StatusUnauthorized {
 		return fault.refusal()
 	}
--- a/internal/forward/native.go
+++ b/internal/forward/native.go
@@ -21,8 +21,8 @@
 // maxRequestID is the largest length of a request id from a caller in bytes.
 const maxRequestID = 64
 
-// Parse implements Protocol. A request names its service by header or by host.
-func (Native) Parse(r *http.Request, snap *model.Snapshot) (RequestInfo, *RequestError) {
+// ParseRequest implements Protocol. A request names its service by header or by host.
+func (Native) ParseRequest(r *http.Request, snap *model.Snapshot) (RequestInfo, *RequestError) {
 	name, known := serviceName(r, snap)
 	svc := snap.Services[name]
 	if svc == nil || !known {
@@ -90,16 +90,16 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// Mark implements Protocol.
-func (Native) Mark(h http.Header, ask *RequestInfo, _ *model.Upstream, left time.Duration) {
+// SetRequestHeaders implements Protocol.
+func (Native) SetRequestHeaders(h http.Header, ask *RequestInfo, _ *model.Upstream, left time.Duration) {
 	dropOwn(h)
 	h.Set(header.RequestID, ask.ID)
 	h.Set(header.Deadline, strconv.FormatInt(max(1, left.Milliseconds()), 10))
 }
 
-// Read implements Protocol. An answer that ends with its connection is refused:
+// ParseResponse implements Protocol. An answer that ends with its connection is refused:
 // nobody could tell it from a cut one.
-func (Native) Read(resp *http.Response, ask *RequestInfo, svc *model.Service) ResponseInfo {
+func (Native) ParseResponse(resp *http.Response, ask *RequestInfo, svc *model.Service) ResponseInfo {
 	t := ResponseInfo{Load: -1, Waiting: -1}
 	if load, err := strconv.Atoi(resp.Header.Get(header.Load)); err == nil {
 		t.Load = load
@@ -109,13 +109,13 @@
 	switch {
 	case slices.Contains(svc.NotRunStatuses, resp.StatusCode):
 		t.NotRunReason = ReasonShed
-		t.Rate, _, _ = ReadRate(resp, header.Limit)
+		t.Rate, _, _ = ParseRate(resp, header.RateLimit)
 	case echo != "" && echo != ask.ID:
 		t.InvalidReason = ReasonMismatch
 	case endsWithConnection(resp):
 		t.InvalidReason = reasonUnframed
 	default:
-		t.Rate, _, _ = ReadRate(resp, header.Limit)
+		t.Rate, _, _ = ParseRate(resp, header.RateLimit)
 	}
 	return t
 }
@@ -125,14 +125,14 @@
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.Request.Method != http.MethodHead
 }
 
-// Pass implements Protocol.
-func (Native) Pass(h http.Header, ask *RequestInfo) {
+// SetResponseHeaders implements Protocol.
+func (Native) SetResponseHeaders(h http.Header, ask *RequestInfo) {
 	dropOwn(h)
 	h.Set(header.RequestID, ask.ID)
 }
 
-// Refuse implements Protocol.
-func (Native) Refuse(h http.Header, id string, v verdict.Verdict, retryAfter time.Duration) {
+// SetErrorHeaders implements Protocol.
+func (Native) SetErrorHeaders(h http.Header, id string, v verdict.Verdict, retryAfter time.Duration) {
 	h.Set(verdict.Header, v.String())
 	h.Set(header.RequestID, id)
 	if retryAfter > 0 {
@@ -140,6 +140,6 @@
 	}
 }
 
-// Mine implements Protocol. An upstream need not echo the id, so that a
+// Matches implements Protocol. An upstream need not echo the id, so that a
 // surplus answer cannot be told; Read refuses one with another id.
-func (Native) Mine(*http.Response, *http.Request) bool { return true }
+func (Native) Matches(*http.Response, *http.Request) bool { return true }
--- a/internal/forward/ratefield.go
+++ b/internal/forward/parserate.go
@@ -9,11 +9,11 @@
 	"github.com/loomkeel/loomkeel/internal/ratelimit"
 )
 
-// ReadRate reads the limit that an upstream names for itself in a field of an answer: the lowest,
+// ParseRate reads the limit that an upstream names for itself in a field of an answer: the lowest,
 // if it names several. A field that is no decimal number says nothing, neither that there is a
 // limit nor that there is none; then ok is false and value is the field's. One in the trailer says
 // nothing either.
-func ReadRate(resp *http.Response, field string) (rate balance.Rate, value string, ok bool) {
+func ParseRate(resp *http.Response, field string) (rate balance.Rate, value string, ok bool) {
 	if _, inTrailer := resp.Trailer[field]; inTrailer {
 		return balance.Rate{}, "", true
 	}
--- a/internal/forward/ratefield_test.go
+++ b/internal/forward/parserate_test.go
@@ -31,13 +31,13 @@
 	} {
 		resp := &http.Response{StatusCode: tt.status, Header: http.Header{}, Request: &http.Request{Method: http.MethodGet}}
 		if tt.fields != nil {
-			resp.Header[header.Limit] = tt.fields
+			resp.Header[header.RateLimit] = tt.fields
 		}
 		if tt.echo != "" {
 			resp.Header.Set(header.RequestID, tt.echo)
 		}
 		svc := &model.Service{NotRunStatuses: []int{http.StatusTooManyRequests}}
-		if got := (Native{}).Read(resp, &RequestInfo{ID: "r1"}, svc).Rate; got != tt.want {
+		if got := (Native{}).ParseResponse(resp, &RequestInfo{ID: "r1"}, svc).Rate; got != tt.want {
 			t.Errorf("%s: %v, want %v", tt.name, got, tt.want)
 		}
 	}
--- a/internal/forward/broken.go
+++ b/internal/forward/poison.go
@@ -45,7 +45,7 @@
 	}
 	d := c.poison.Begin(c.now(), keys)
 	if d.Held {
-		return verdict.New(verdict.NotRun, reasonPoison, nil).After(d.RetryAfter)
+		return verdict.New(verdict.NotRun, reasonPoison, nil).WithRetryAfter(d.RetryAfter)
 	}
 	cl.counted = &keys
 	return nil
--- a/internal/forward/pool.go
+++ b/internal/forward/pool.go
@@ -43,8 +43,8 @@
 	DialTimeout time.Duration
 	// Now is the clock.
 	Now func() time.Time
-	// Mine reports whether an answer belongs to a request; nil means that all do.
-	Mine func(*http.Response, *http.Request) bool
+	// Matches reports whether an answer belongs to a request; nil means that all do.
+	Matches func(*http.Response, *http.Request) bool
 }
 
 // Pool holds the connections to upstreams, one request at a time on each. It is
@@ -68,8 +68,8 @@
 	if opt.DialTimeout <= 0 {
 		opt.DialTimeout = defaultDialTimeout
 	}
-	if opt.Mine == nil {
-		opt.Mine = func(*http.Response, *http.Request) bool { return true }
+	if opt.Matches == nil {
+		opt.Matches = func(*http.Response, *http.Request) bool { return true }
 	}
 	p := &Pool{opt: opt, idle: make(map[string][]*upstreamConn)}
 	p.dialer = net.Dialer{Timeout: opt.DialTimeout, Control: setUnackedTimeout}
@@ -135,7 +135,7 @@
 	if d.Until.IsZero() || !isOnce(ctx) {
 		return time.Time{}
 	}
-	return now.Add(-d.Rest)
+	return now.Add(-d.MaxIdle)
 }
 
 // pop returns the idle connection that was used last, if it was after a time.
@@ -197,9 +197,9 @@
 	p.idle[c.addr] = append(list, c)
 }
 
-// Forget closes the idle connections to an address. They lead to an earlier life of its
+// CloseIdle closes the idle connections to an address. They lead to an earlier life of its
 // upstream, and would break under the next request.
-func (p *Pool) Forget(addr string) {
+func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle[addr] {
--- a/internal/forward/pool_test.go
+++ b/internal/forward/pool_test.go
@@ -48,7 +48,7 @@
 const idHeader = "Test-Id"
 
 func newTestPool() *Pool {
-	return NewPool(PoolOptions{Now: time.Now, Mine: func(resp *http.Response, req *http.Request) bool {
+	return NewPool(PoolOptions{Now: time.Now, Matches: func(resp *http.Response, req *http.Request) bool {
 		return resp.Header.Get(idHeader) == req.Header.Get(idHeader)
 	}})
 }
@@ -273,7 +273,7 @@
 		connections int
 	}{{"a", 1}, {"b", 1}, {"after the restart", 2}} {
 		if tt.connections == 2 {
-			p.Forget(s.lis.Addr().String())
+			p.CloseIdle(s.lis.Addr().String())
 		}
 		if _, err := s.send(t, p, tt.id, "/x", nil, 0); err != nil {
 			t.Fatal(err)
--- a/internal/forward/protocol.go
+++ b/internal/forward/protocol.go
@@ -13,20 +13,20 @@
 // decides by. Native is the project's own; an adapter for a platform brings
 // another. Implementations are safe for concurrent use.
 type Protocol interface {
-	// Parse reads what a caller asks for.
-	Parse(r *http.Request, snap *model.Snapshot) (RequestInfo, *RequestError)
-	// Mark writes on a request what its upstream has to know. The header is a
+	// ParseRequest reads what a caller asks for.
+	ParseRequest(r *http.Request, snap *model.Snapshot) (RequestInfo, *RequestError)
+	// SetRequestHeaders writes on a request what its upstream has to know. The header is a
 	// copy of the caller's.
-	Mark(h http.Header, ask *RequestInfo, to *model.Upstream, left time.Duration)
-	// Read tells what an answer says. It may not read the body.
-	Read(resp *http.Response, ask *RequestInfo, svc *model.Service) ResponseInfo
-	// Pass prepares the header of an upstream's answer for the caller.
-	Pass(h http.Header, ask *RequestInfo)
-	// Refuse prepares the header of an answer that the Carrier itself makes.
-	Refuse(h http.Header, id string, v verdict.Verdict, retryAfter time.Duration)
-	// Mine reports whether an answer belongs to a request. One that does not is
+	SetRequestHeaders(h http.Header, ask *RequestInfo, to *model.Upstream, left time.Duration)
+	// ParseResponse tells what an answer says. It may not read the body.
+	ParseResponse(resp *http.Response, ask *RequestInfo, svc *model.Service) ResponseInfo
+	// SetResponseHeaders prepares the header of an upstream's answer for the caller.
+	SetResponseHeaders(h http.Header, ask *RequestInfo)
+	// SetErrorHeaders prepares the header of an answer that the Carrier itself makes.
+	SetErrorHeaders(h http.Header, id string, v verdict.Verdict, retryAfter time.Duration)
+	// Matches reports whether an answer belongs to a request. One that does not is
 	// a surplus answer to an earlier request on the same connection.
-	Mine(resp *http.Response, req *http.Request) bool
+	Matches(resp *http.Response, req *http.Request) bool
 }
 
 // RequestInfo is what a caller asks for.
--- a/internal/forward/carrier.go
+++ b/internal/forward/proxy.go
@@ -36,8 +36,8 @@
 	Domain string
 	// Protocol is how callers and upstreams speak; nil means Native.
 	Protocol Protocol
-	// Room is how many requests may be in the entry at one time.
-	Room int
+	// MaxInFlight is how many requests may be in the entry at one time.
+	MaxInFlight int
 	// MaxBody is the largest request body in bytes; 0 means no bound.
 	MaxBody int64
 	// TLS is for upstreams; nil means plain HTTP.
@@ -49,15 +49,15 @@
 	// DialTimeout bounds the wait for a connection to an upstream; 0 means the
 	// usual bound.
 	DialTimeout time.Duration
-	// Now is the clock, Check the same after it was looked whether the machine was
+	// Now is the clock, SyncNow the same after it was looked whether the machine was
 	// suspended meanwhile; nil means Now.
-	Now, Check func() time.Time
+	Now, SyncNow func() time.Time
 	// Rand returns the source for the random choices of one decision; nil means
 	// one seeded from the process's own.
 	Rand func() *rand.Rand
-	// Book holds the own shares of the caps, by the clock Boot.
-	Book *share.Book
-	Boot func() int64
+	// CapShares holds the own shares of the caps, by the clock BootClock.
+	CapShares *share.Book
+	BootClock func() int64
 	// NewID makes request ids.
 	NewID func() string
 	// Observe is called at the end of each request; it must be quick.
@@ -126,10 +126,10 @@
 		opt.Protocol = Native{}
 	}
 	if opt.Transport == nil {
-		opt.Transport = NewPool(PoolOptions{TLS: opt.TLS, DialTimeout: opt.DialTimeout, Now: opt.Now, Mine: opt.Protocol.Mine})
+		opt.Transport = NewPool(PoolOptions{TLS: opt.TLS, DialTimeout: opt.DialTimeout, Now: opt.Now, Matches: opt.Protocol.Matches})
 	}
-	if opt.Check == nil {
-		opt.Check = opt.Now
+	if opt.SyncNow == nil {
+		opt.SyncNow = opt.Now
 	}
 	if opt.Rand == nil {
 		opt.Rand = newRand
@@ -189,7 +189,7 @@
 }
 
 // forgetter is a transport that keeps connections which it can give up.
-type forgetter interface{ Forget(addr string) }
+type forgetter interface{ CloseIdle(addr string) }
 
 // forget gives up the kept connections to addresses whose upstreams have started again.
 func (c *Proxy) forget(addresses []string) {
@@ -199,7 +199,7 @@
 	}
 	for _, addr := range addresses {
 		klog.InfoS("upstream has started again, connections given up", "address", addr)
-		f.Forget(addr)
+		f.CloseIdle(addr)
 	}
 }
 
@@ -233,7 +233,7 @@
 func (c *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.inFlight.Add(1)
 	defer c.inFlight.Add(-1)
-	start := c.opt.Check()
+	start := c.opt.SyncNow()
 	out := Outcome{}
 	defer func() {
 		out.Duration = c.now().Sub(start)
@@ -244,7 +244,7 @@
 		c.refuse(w, &out, c.leaving(snap))
 		return
 	}
-	ask, fault := c.opt.Protocol.Parse(r, snap)
+	ask, fault := c.opt.Protocol.ParseRequest(r, snap)
 	if ask.ID == "" {
 		ask.ID = c.opt.NewID()
 	}
@@ -271,7 +271,7 @@
 	}
 	if svc == nil {
 		// A route may name a service that has no settings and no upstream yet.
-		c.refuse(w, out, refusalFor(verdict.New(verdict.NotRun, reasonNoUpstream, nil).After(stopRetry), verdict.NotRun))
+		c.refuse(w, out, refusalFor(verdict.New(verdict.NotRun, reasonNoUpstream, nil).WithRetryAfter(stopRetry), verdict.NotRun))
 		return
 	}
 	cl := newCall(r, ask, svc, c.now())
--- a/internal/forward/rates.go
+++ b/internal/forward/rates.go
@@ -66,9 +66,9 @@
 	}
 }
 
-// Retire has the entry send no more requests to upstreams with limits: it is about to leave,
+// StopRateLimited has the entry send no more requests to upstreams with limits: it is about to leave,
 // and others will not hear of its requests.
-func (c *Proxy) Retire() {
+func (c *Proxy) StopRateLimited() {
 	now := c.now()
 	for _, l := range c.allLanes() {
 		l.group.Retire(now)
--- a/internal/forward/home_test.go
+++ b/internal/forward/regions_test.go
@@ -22,8 +22,8 @@
 // byRoutes is the native protocol with the routes of the configuration.
 type byRoutes struct{ Native }
 
-// Parse implements Protocol.
-func (byRoutes) Parse(r *http.Request, snap *model.Snapshot) (RequestInfo, *RequestError) {
+// ParseRequest implements Protocol.
+func (byRoutes) ParseRequest(r *http.Request, snap *model.Snapshot) (RequestInfo, *RequestError) {
 	route := snap.Routes.Match(r.Host, r.URL.Path)
 	if route == nil {
 		return RequestInfo{}, &RequestError{Status: http.StatusNotFound, Reason: "no-route"}
@@ -51,8 +51,8 @@
 func newHomes(t *testing.T, regions ...string) *homes {
 	h := &homes{t: t, under: func(int) bool { return false }}
 	h.carrier = New(Options{
-		Room: 100, Now: time.Now, Protocol: byRoutes{}, Book: share.NewBook(), Domain: "muscat-a",
-		Boot: func() int64 { return 0 }, NewID: func() string { return "own" }, Observe: func(Outcome) {},
+		MaxInFlight: 100, Now: time.Now, Protocol: byRoutes{}, CapShares: share.NewBook(), Domain: "muscat-a",
+		BootClock: func() int64 { return 0 }, NewID: func() string { return "own" }, Observe: func(Outcome) {},
 	})
 	srv := httptest.NewServer(h.carrier)
 	t.Cleanup(srv.Close)
--- a/internal/forward/refusal.go
+++ b/internal/forward/reply.go
@@ -42,7 +42,7 @@
 // write sends the refusal as the final answer.
 func (f *refusal) write(w http.ResponseWriter, p Protocol, id string) {
 	h := w.Header()
-	p.Refuse(h, id, f.verdict, f.retryAfter)
+	p.SetErrorHeaders(h, id, f.verdict, f.retryAfter)
 	h.Set("Content-Type", "application/json")
 	h.Set("Cache-Control", "no-store")
 	w.WriteHeader(f.status)
--- a/internal/forward/rest.go
+++ b/internal/forward/reuse.go
@@ -31,33 +31,33 @@
 	return took < time.Duration(promptShare*float64(connect))+promptSlack
 }
 
-// Doubt says that connections which rested for longer than a time are not to be
+// ReuseLimit says that connections which rested for longer than a time are not to be
 // trusted with a request that may run only once: the upstream may have forgotten
 // them silently, and after a reset nobody can tell whether the request ran.
-type Doubt struct {
-	// Rest is the longest rest that is trusted, Until when the doubt ends.
-	Rest  time.Duration
-	Until time.Time
+type ReuseLimit struct {
+	// MaxIdle is the longest rest that is trusted, Until when the doubt ends.
+	MaxIdle time.Duration
+	Until   time.Time
 }
 
 // rests holds what is known of how long connections may rest. It is safe for
 // concurrent use.
 type rests struct {
 	mu    sync.Mutex
-	doubt Doubt
+	doubt ReuseLimit
 }
 
 // broke records that a connection broke that had rested for a time.
 func (r *rests) broke(rest time.Duration, now time.Time) {
-	r.take(Doubt{time.Duration(doubtShare * float64(rest)), now.Add(doubtFor)}, 0, now)
+	r.take(ReuseLimit{time.Duration(doubtShare * float64(rest)), now.Add(doubtFor)}, 0, now)
 }
 
 // heard takes in a doubt that a peer told.
-func (r *rests) heard(d Doubt, now time.Time) { r.take(d, echoSlack, now) }
+func (r *rests) heard(d ReuseLimit, now time.Time) { r.take(d, echoSlack, now) }
 
 // take takes in a doubt. Of two that hold the shorter rest counts, for as long as the
 // later one holds, if that is later by more than a slack.
-func (r *rests) take(d Doubt, slack time.Duration, now time.Time) {
+func (r *rests) take(d ReuseLimit, slack time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !now.Before(d.Until) {
@@ -70,18 +70,18 @@
 		}
 		return
 	}
-	r.doubt.Rest = min(r.doubt.Rest, d.Rest)
+	r.doubt.MaxIdle = min(r.doubt.MaxIdle, d.MaxIdle)
 	if longer {
 		r.doubt.Until = d.Until
 	}
 }
 
 // current returns the doubt that holds; zero if none does.
-func (r *rests) current(now time.Time) Doubt {
+func (r *rests) current(now time.Time) ReuseLimit {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !now.Before(r.doubt.Until) {
-		return Doubt{}
+		return ReuseLimit{}
 	}
 	return r.doubt
 }
--- a/internal/forward/rest_test.go
+++ b/internal/forward/reuse_test.go
@@ -17,8 +17,8 @@
 	expect := func(after, rest, until time.Duration) {
 		t.Helper()
 		d := r.current(t0.Add(after))
-		if d.Rest != rest || !d.Until.IsZero() && d.Until.Sub(t0) != until {
-			t.Errorf("after %v: %v until %v", after, d.Rest, d.Until.Sub(t0))
+		if d.MaxIdle != rest || !d.Until.IsZero() && d.Until.Sub(t0) != until {
+			t.Errorf("after %v: %v until %v", after, d.MaxIdle, d.Until.Sub(t0))
 		}
 	}
 	expect(0, 0, 0)
@@ -26,9 +26,9 @@
 	expect(0, 200*time.Millisecond, doubtFor)
 	r.broke(2*time.Second, t0.Add(time.Second))
 	expect(time.Second, 200*time.Millisecond, time.Second+doubtFor)
-	r.heard(Doubt{100 * time.Millisecond, t0.Add(2 * time.Second)}, t0.Add(time.Second))
+	r.heard(ReuseLimit{100 * time.Millisecond, t0.Add(2 * time.Second)}, t0.Add(time.Second))
 	expect(time.Second, 100*time.Millisecond, time.Second+doubtFor)
-	r.heard(Doubt{time.Millisecond, t0}, t0.Add(time.Second))
+	r.heard(ReuseLimit{time.Millisecond, t0}, t0.Add(time.Second))
 	expect(2*time.Second, 100*time.Millisecond, time.Second+doubtFor)
 	expect(time.Second+doubtFor, 0, 0)
 }
@@ -43,7 +43,7 @@
 	tell := func(from, to *rests, now time.Time) {
 		if d := from.current(now); !d.Until.IsZero() {
 			left := d.Until.Sub(now)
-			to.heard(Doubt{d.Rest, now.Add(way + left)}, now.Add(way))
+			to.heard(ReuseLimit{d.MaxIdle, now.Add(way + left)}, now.Add(way))
 		}
 	}
 	end := t0.Add(doubtFor + 2*echoSlack)
@@ -53,7 +53,7 @@
 	}
 	for name, r := range map[string]*rests{"a": &a, "b": &b} {
 		if d := r.current(end); !d.Until.IsZero() {
-			t.Errorf("%s still doubts rests over %v, until %v after the end", name, d.Rest, d.Until.Sub(end))
+			t.Errorf("%s still doubts rests over %v, until %v after the end", name, d.MaxIdle, d.Until.Sub(end))
 		}
 	}
 }
--- a/internal/forward/shed_test.go
+++ b/internal/forward/shed_test.go
@@ -9,12 +9,12 @@
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
-// Read implements Protocol: 429 is a shed, by an upstream that does not tell its load.
-func (p routed) Read(resp *http.Response, ask *RequestInfo, svc *model.Service) ResponseInfo {
+// ParseResponse implements Protocol: 429 is a shed, by an upstream that does not tell its load.
+func (p routed) ParseResponse(resp *http.Response, ask *RequestInfo, svc *model.Service) ResponseInfo {
 	if resp.StatusCode == http.StatusTooManyRequests {
 		return ResponseInfo{NotRunReason: ReasonShed, Load: -1, Waiting: -1}
 	}
-	return p.Native.Read(resp, ask, svc)
+	return p.Native.ParseResponse(resp, ask, svc)
 }
 
 // TestIdleShedIsAskedAgain has the upstream of an object refuse requests although it
--- a/internal/forward/status.go
+++ b/internal/forward/status.go
@@ -10,11 +10,11 @@
 	"github.com/loomkeel/loomkeel/internal/share"
 )
 
-// Usage returns what the entry uses of the caps, with the refusals since the
+// CapUsage returns what the entry uses of the caps, with the refusals since the
 // last call.
-func (c *Proxy) Usage() []share.Reported {
+func (c *Proxy) CapUsage() []share.Reported {
 	limits := make(map[[2]string]share.Use)
-	for _, u := range c.opt.Book.Uses(c.opt.Boot()) {
+	for _, u := range c.opt.CapShares.Uses(c.opt.BootClock()) {
 		limits[[2]string{u.Service, u.Region}] = u
 	}
 	snap := c.snap.Load()
@@ -36,61 +36,63 @@
 	return out
 }
 
-// LoadAt calls visit with what the entries that are asked for have at each upstream.
-func (c *Proxy) LoadAt(whose balance.Counted, visit func(upstream uint32, l balance.Load)) {
+// VisitLoads calls visit with what the entries that are asked for have at each upstream.
+func (c *Proxy) VisitLoads(whose balance.Counted, visit func(upstream uint32, l balance.Load)) {
 	now := c.now()
 	for _, l := range c.allLanes() {
 		l.group.LoadAt(now, whose, visit)
 	}
 }
 
-// Heard takes in what a peer told.
-func (c *Proxy) Heard(p balance.PeerLoad) {
+// MergePeerLoad takes in what a peer told.
+func (c *Proxy) MergePeerLoad(p balance.PeerLoad) {
 	now := c.now()
 	for _, l := range c.allLanes() {
 		l.group.Heard(now, p)
 	}
 }
 
-// Doubt returns what this entry knows of upstreams that forget connections.
-func (c *Proxy) Doubt() Doubt {
+// ReuseLimit returns what this entry knows of upstreams that forget connections.
+func (c *Proxy) ReuseLimit() ReuseLimit {
 	if p, ok := c.transport.(*Pool); ok {
 		return p.rests.current(c.now())
 	}
-	return Doubt{}
+	return ReuseLimit{}
 }
 
-// HeardDoubt takes in what a peer knows of upstreams that forget connections.
-func (c *Proxy) HeardDoubt(d Doubt) {
+// MergeReuseLimit takes in what a peer knows of upstreams that forget connections.
+func (c *Proxy) MergeReuseLimit(d ReuseLimit) {
 	if p, ok := c.transport.(*Pool); ok {
 		p.rests.heard(d, c.now())
 	}
 }
 
-// Claims returns what to tell other entries of requests under which upstreams ended.
-func (c *Proxy) Claims(n int, relay bool) []poison.Claim { return c.poison.Claims(c.now(), n, relay) }
+// PoisonClaims returns what to tell other entries of requests under which upstreams ended.
+func (c *Proxy) PoisonClaims(n int, relay bool) []poison.Claim {
+	return c.poison.Claims(c.now(), n, relay)
+}
 
-// HeardClaims takes in what other entries told of such requests.
-func (c *Proxy) HeardClaims(words []poison.Claim) {
+// MergePoisonClaims takes in what other entries told of such requests.
+func (c *Proxy) MergePoisonClaims(words []poison.Claim) {
 	now := c.now()
 	for _, w := range words {
 		c.poison.Heard(now, w)
 	}
 }
 
-// Limits returns the limits of the organisations.
-func (c *Proxy) Limits() *quota.Limiter { return c.limits }
+// OrganisationLimits returns the limits of the organisations.
+func (c *Proxy) OrganisationLimits() *quota.Limiter { return c.limits }
 
 // Tick drops what is known of such requests and holds no more, and ends requests whose
 // deadline has passed while the machine was suspended. It is called every now and then.
 func (c *Proxy) Tick() {
-	now := c.opt.Check()
+	now := c.opt.SyncNow()
 	c.deadlines.expire(now)
 	c.poison.Forget(now)
 }
 
-// Poison returns how many such requests are known.
-func (c *Proxy) Poison() poison.Status { return c.poison.Status(c.now()) }
+// PoisonStatus returns how many such requests are known.
+func (c *Proxy) PoisonStatus() poison.Status { return c.poison.Status(c.now()) }
 
 func (c *Proxy) allLanes() []*lane {
 	c.mu.RLock()
@@ -98,8 +100,8 @@
 	return slices.Collect(maps.Values(c.lanes))
 }
 
-// SelfDraining returns the ids of the upstreams that said that they drain.
-func (c *Proxy) SelfDraining() []string {
+// DrainingUpstreams returns the ids of the upstreams that said that they drain.
+func (c *Proxy) DrainingUpstreams() []string {
 	now := c.now()
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/internal/header/header.go
+++ b/internal/header/header.go
@@ -12,8 +12,8 @@
 	RequestID = "X-Request-Id"
 	// Load is the number of requests in flight that an upstream reports.
 	Load = "Upstream-Load"
-	// Limit is the requests a second that an upstream takes from all entries together.
-	Limit = "Upstream-Limit"
+	// RateLimit is the requests a second that an upstream takes from all entries together.
+	RateLimit = "Upstream-Limit"
 	// State is StateDraining on answers of an upstream that wants no new work.
 	State = "Upstream-State"
 )
@@ -21,6 +21,6 @@
 // StateDraining is the value of State by which an upstream leaves.
 const StateDraining = "draining"
 
-// OwnPrefix starts the names of loomkeel's own headers. Those from a caller that
+// Prefix starts the names of loomkeel's own headers. Those from a caller that
 // loomkeel has no use for are dropped.
-const OwnPrefix = "Loomkeel-"
+const Prefix = "Loomkeel-"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -67,7 +67,7 @@
 
 // New returns a Node that refuses everything until it is synced.
 func New(opt view.Options, carrier forward.Options) *Node {
-	n := &Node{Entry: entry.New(carrier), Strangers: relay.NewStrangers(), now: carrier.Now, check: carrier.Check, view: view.New(opt)}
+	n := &Node{Entry: entry.New(carrier), Strangers: relay.NewStrangers(), now: carrier.Now, check: carrier.SyncNow, view: view.New(opt)}
 	if n.check == nil {
 		n.check = n.now
 	}
@@ -194,7 +194,7 @@
 	klog.InfoS("stopping", "grace", grace)
 	began := n.now()
 	n.stopping.Store(true)
-	n.Entry.Carrier.Retire()
+	n.Entry.Carrier.StopRateLimited()
 	time.Sleep(min(linger, grace/2))
 	n.Entry.Carrier.Stop()
 	for n.Entry.Carrier.InFlight() > 0 && n.now().Sub(began) < grace-killMargin {
@@ -226,7 +226,7 @@
 		Ready: n.Ready(), Stopping: n.stopping.Load(), Members: len(*n.members.Load()), InFlight: n.Entry.Carrier.InFlight(),
 		Upstreams: make(map[string]int), Leaving: make(map[string]int),
 	}
-	s.Poison = n.Entry.Carrier.Poison()
+	s.Poison = n.Entry.Carrier.PoisonStatus()
 	n.mu.Lock()
 	s.Service = n.view.Service()
 	n.mu.Unlock()
@@ -268,7 +268,9 @@
 const maxLimits = 1000
 
 // Limits returns the limits of the organisations that have requests.
-func (n *Node) Limits() []quota.Status { return n.Entry.Carrier.Limits().Status(maxLimits, n.now()) }
+func (n *Node) Limits() []quota.Status {
+	return n.Entry.Carrier.OrganisationLimits().Status(maxLimits, n.now())
+}
 
 // maxRates bounds the upstreams with limits of each service in metrics and dumps.
 const maxRates = 1000
@@ -285,8 +287,8 @@
 		Fleet:       func() inflight.Fleet { return n.fleet.of(self, n.members.Load()) },
 		Counts:      n.counts,
 		Doubt:       n.doubt,
-		Claims:      n.Entry.Carrier.Claims,
-		Limits:      n.Entry.Carrier.Limits(),
+		Claims:      n.Entry.Carrier.PoisonClaims,
+		Limits:      n.Entry.Carrier.OrganisationLimits(),
 		Rates:       n.Entry.Carrier,
 		Leaving:     n.stopping.Load,
 		Busy:        n.busy,
@@ -299,19 +301,19 @@
 // busy reports whether others have to hear of the node's requests at once.
 func (n *Node) busy() bool {
 	c := n.Entry.Carrier
-	return c.InFlight() > lightLoad || c.Limits().InUse(n.now()) || len(c.RateSenders()) > 0
+	return c.InFlight() > lightLoad || c.OrganisationLimits().InUse(n.now()) || len(c.RateSenders()) > 0
 }
 
 func (n *Node) counts(whose balance.Counted) []inflight.Count {
 	var out []inflight.Count
-	n.Entry.Carrier.LoadAt(whose, func(upstream uint32, l balance.Load) {
+	n.Entry.Carrier.VisitLoads(whose, func(upstream uint32, l balance.Load) {
 		out = append(out, inflight.Count{Upstream: upstream, Requests: l.Requests, Failed: l.Failed, Answered: l.Answered})
 	})
 	return out
 }
 
 func (n *Node) heard(peer string, r *inflight.Report) {
-	n.Entry.Carrier.HeardClaims(r.Claims)
+	n.Entry.Carrier.MergePoisonClaims(r.Claims)
 	if r.Scope == inflight.ScopeNone {
 		return
 	}
@@ -319,20 +321,20 @@
 	for _, c := range r.Counts {
 		load.At[c.Upstream] = balance.Load{Requests: c.Requests, Outcomes: balance.Outcomes{Failed: c.Failed, Answered: c.Answered}}
 	}
-	n.Entry.Carrier.Heard(load)
+	n.Entry.Carrier.MergePeerLoad(load)
 	if r.DoubtLeft > 0 {
-		n.Entry.Carrier.HeardDoubt(forward.Doubt{Rest: r.Doubt, Until: n.now().Add(r.DoubtLeft)})
+		n.Entry.Carrier.MergeReuseLimit(forward.ReuseLimit{MaxIdle: r.Doubt, Until: n.now().Add(r.DoubtLeft)})
 	}
 }
 
 // doubt returns what the node knows of upstreams that forget connections, and for how
 // long that holds.
 func (n *Node) doubt() (rest, left time.Duration) {
-	d := n.Entry.Carrier.Doubt()
+	d := n.Entry.Carrier.ReuseLimit()
 	if d.Until.IsZero() {
 		return 0, 0
 	}
-	return d.Rest, d.Until.Sub(n.now())
+	return d.MaxIdle, d.Until.Sub(n.now())
 }
 
 // Self returns the member that a node announces.
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -75,8 +75,8 @@
 	return &Error{Verdict: v, Reason: reason, Err: err}
 }
 
-// After returns a copy of e that advises the caller to come back after d.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter returns a copy of e that advises the caller to come back after d.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
--- a/test/sessions/world_test.go
+++ b/test/sessions/world_test.go
@@ -94,15 +94,15 @@
 	book := share.NewBook()
 	w.books[region] = book
 	w.entries[region] = forward.New(forward.Options{
-		Self:      "entry-" + region,
-		Room:      1000,
-		Transport: transport{w, region},
-		Now:       time.Now,
-		Rand:      func() *rand.Rand { w.seed++; return rand.New(rand.NewPCG(w.seed, 7)) },
-		Book:      book,
-		Boot:      func() int64 { return time.Now().UnixNano() },
-		NewID:     func() string { return "id" },
-		Observe:   func(forward.Outcome) {},
+		Self:        "entry-" + region,
+		MaxInFlight: 1000,
+		Transport:   transport{w, region},
+		Now:         time.Now,
+		Rand:        func() *rand.Rand { w.seed++; return rand.New(rand.NewPCG(w.seed, 7)) },
+		CapShares:   book,
+		BootClock:   func() int64 { return time.Now().UnixNano() },
+		NewID:       func() string { return "id" },
+		Observe:     func(forward.Outcome) {},
 	})
 }
 
