--- a/cmd/loomkeel-node/main.go
+++ b/cmd/loomkeel-node/main.go
@@ -110,8 +110,8 @@
 	feed := platform.NewFeed(platform.FeedOptions{
 		Store: store, Apply: n.Apply, Self: self, Members: n.Members, Now: clock.Check,
 		Peers:     relay.NewClient(relay.Over(dialer), clock.Now),
-		Strangers: func() []relay.Source { return n.Strangers.Sources(clock.Now()) },
-		Within:    s.Bounds.Apply,
+		Seeds: func() []relay.Source { return n.Strangers.Sources(clock.Now()) },
+		MaxApplyDelay:    s.Bounds.Apply,
 	})
 	registrar, err := platform.NewRegistrar(store, feed, self, s.Store.MinLease)
 	if err != nil {
@@ -129,7 +129,7 @@
 	if err := listen(n, named, dump, s); err != nil {
 		return err
 	}
-	if err := serveRelay(ctx, s.Peer, feed.Relay()); err != nil {
+	if err := serveRelay(ctx, s.Peer, feed.RelayServer()); err != nil {
 		return err
 	}
 	klog.InfoS("node started", "id", s.ID, "entry", s.Entry, "store", s.Store.Address)
