--- a/cmd/loomkeel-node/main.go
+++ b/cmd/loomkeel-node/main.go
@@ -122,7 +122,7 @@
 		return eris.Wrapf(err, "listen on %s", s.Peer)
 	}
 	named := func() []model.Member { return n.Named(exchange.Absent(clock.Now())) }
-	metrics.Publish("store", func() any { return store.Calls() })
+	metrics.Publish("store", func() any { return store.CallCounts() })
 	metrics.Publish("answer_fields", func() any { return fields.Status() })
 	metrics.Publish("feed", func() any { return feed.Status() })
 	dump := func() any { return stateDump{n.Dump(), feed.Status()} }
