--- a/cmd/loomkeel-node/main.go
+++ b/cmd/loomkeel-node/main.go
@@ -60,7 +60,7 @@
 		Usage:   "answer look-ups and carry requests on an instance of the platform",
 		Version: process.Version,
 		Action: func(ctx context.Context, _ *urfave.Command) error {
-			s, err := platform.Load(platform.SettingsPath())
+			s, err := platform.LoadSettings(platform.SettingsPath())
 			if err != nil {
 				return err
 			}
@@ -72,7 +72,7 @@
 			Name:  "check",
 			Usage: "read the settings, print all faults, and exit with 1 if there are any",
 			Action: func(context.Context, *urfave.Command) error {
-				if _, err := platform.Load(platform.SettingsPath()); err != nil {
+				if _, err := platform.LoadSettings(platform.SettingsPath()); err != nil {
 					return err
 				}
 				fmt.Println("settings are valid")
@@ -93,7 +93,7 @@
 	defer cancel()
 	clock := bootclock.NewClock()
 	fields := new(platform.FieldCounts)
-	self := node.Self(s.ID, s.Region, s.Domain, s.Entry, s.Peer, time.Now())
+	self := node.Self(s.ID, s.Region, s.Domain, s.EntryAddress, s.PeerAddress, time.Now())
 	self.LinkMbps, self.Cores = s.LinkMbps, s.Cores
 	n := node.New(view.Options{
 		Self:    self,
@@ -111,15 +111,15 @@
 		Store: store, Apply: n.Apply, Self: self, Members: n.Members, Now: clock.Check,
 		Peers:     relay.NewClient(relay.Over(dialer), clock.Now),
 		Seeds: func() []relay.Source { return n.Strangers.Sources(clock.Now()) },
-		MaxApplyDelay:    s.Bounds.Apply,
+		MaxApplyDelay:    s.Bounds.MaxApplyDelay,
 	})
-	registrar, err := platform.NewRegistrar(store, feed, self, s.Store.MinLease)
+	registrar, err := platform.NewRegistrar(store, feed, self, s.Store.MinLeaseTTL)
 	if err != nil {
 		return eris.Wrap(err, "registration")
 	}
 	exchange, err := inflight.Listen(n.Reports(self))
 	if err != nil {
-		return eris.Wrapf(err, "listen on %s", s.Peer)
+		return eris.Wrapf(err, "listen on %s", s.PeerAddress)
 	}
 	named := func() []model.Member { return n.Named(exchange.Absent(clock.Now())) }
 	metrics.Publish("store", func() any { return store.CallCounts() })
@@ -129,10 +129,10 @@
 	if err := listen(n, named, dump, s); err != nil {
 		return err
 	}
-	if err := serveRelay(ctx, s.Peer, feed.RelayServer()); err != nil {
+	if err := serveRelay(ctx, s.PeerAddress, feed.RelayServer()); err != nil {
 		return err
 	}
-	klog.InfoS("node started", "id", s.ID, "entry", s.Entry, "store", s.Store.Address)
+	klog.InfoS("node started", "id", s.ID, "entry", s.EntryAddress, "store", s.Store.Address)
 	following, end := context.WithCancel(context.Background())
 	defer end()
 	go feed.Run(following)
@@ -144,15 +144,15 @@
 	}()
 	go registrar.Run(stop)
 	var grace atomic.Int64
-	grace.Store(int64(s.Bounds.Grace))
-	go process.Reload(following, path, s.Content, reloadEvery, func(content []byte) {
+	grace.Store(int64(s.Bounds.GracePeriod))
+	go process.Reload(following, path, s.Raw, reloadEvery, func(content []byte) {
 		next, err := platform.ParseSettings(path, content)
 		if err != nil {
 			klog.ErrorS(err, "settings refused, those before stay in force")
 			return
 		}
 		klog.InfoS("settings changed", "path", path)
-		grace.Store(int64(next.Bounds.Grace))
+		grace.Store(int64(next.Bounds.GracePeriod))
 		n.Apply(func(v *view.View, _ time.Time) { v.SetPolicy(policy(next.Bounds)) })
 	})
 	<-stop.Done()
@@ -178,13 +178,13 @@
 		addr string
 		open func() (*process.Server, error)
 	}{
-		{s.Entry, func() (*process.Server, error) { return process.Listen(s.Entry, n.Handler()) }},
-		{s.Directory, func() (*process.Server, error) {
-			return process.Listen(s.Directory, platform.DirectoryHandler(named, n.Homes, s.Bounds.MaxLifetime))
+		{s.EntryAddress, func() (*process.Server, error) { return process.Listen(s.EntryAddress, n.Handler()) }},
+		{s.DirectoryAddress, func() (*process.Server, error) {
+			return process.Listen(s.DirectoryAddress, platform.DirectoryHandler(named, n.Homes, s.Bounds.MaxLookupTTL))
 		}},
-		{s.Debug, func() (*process.Server, error) { return process.Listen(s.Debug, debugHandler(n, dump)) }},
-		{s.Readiness, func() (*process.Server, error) {
-			return process.Listen(s.Readiness, platform.ReadinessHandler(n.Ready))
+		{s.DebugAddress, func() (*process.Server, error) { return process.Listen(s.DebugAddress, debugHandler(n, dump)) }},
+		{s.ReadinessAddress, func() (*process.Server, error) {
+			return process.Listen(s.ReadinessAddress, platform.ReadinessHandler(n.Ready))
 		}},
 	} {
 		srv, err := l.open()
