--- a/internal/forward/status.go
+++ b/internal/forward/status.go
@@ -76,7 +76,7 @@
 func (c *Proxy) MergePoisonClaims(words []poison.Claim) {
 	now := c.now()
 	for _, w := range words {
-		c.poison.Heard(now, w)
+		c.poison.HandleClaim(now, w)
 	}
 }
 
@@ -88,7 +88,7 @@
 func (c *Proxy) Tick() {
 	now := c.opt.SyncNow()
 	c.deadlines.expire(now)
-	c.poison.Forget(now)
+	c.poison.Expire(now)
 }
 
 // PoisonStatus returns how many such requests are known.
