--- a/cmd/loomkeel-node/main.go
+++ b/cmd/loomkeel-node/main.go
@@ -109,9 +109,9 @@
 	dialer := rpc.NewDialer(nil, nil)
 	feed := platform.NewFeed(platform.FeedOptions{
 		Store: store, Apply: n.Apply, Self: self, Members: n.Members, Now: clock.Check,
-		Peers:     relay.NewClient(relay.Over(dialer), clock.Now),
-		Seeds: func() []relay.Source { return n.Strangers.Sources(clock.Now()) },
-		MaxApplyDelay:    s.Bounds.MaxApplyDelay,
+		Peers:         relay.NewClient(relay.Over(dialer), clock.Now),
+		Seeds:         func() []relay.Source { return n.Strangers.Sources(clock.Now()) },
+		MaxApplyDelay: s.Bounds.MaxApplyDelay,
 	})
 	registrar, err := platform.NewRegistrar(store, feed, self, s.Store.MinLeaseTTL)
 	if err != nil {
