--- a/internal/forward/slot.go
+++ b/internal/forward/admission.go
@@ -18,22 +18,22 @@
 
 // take admits the call and takes a slot, waiting in the queue if it has to. A
 // patient call waits in any case until a slot may have become free.
-func (c *Carrier) take(ctx context.Context, cl *call, l *lane, regions []string, patient bool) (balance.Choice, *verdict.Error) {
+func (c *Proxy) take(ctx context.Context, cl *call, l *lane, regions []string, patient bool) (balance.Choice, *verdict.Error) {
 	svc := cl.service
 	now := c.now()
 	d := admit.Decide(admit.Input{
-		Now:      now,
-		Deadline: cl.deadline,
-		Expected: expected(cl, l.group, regions[0]),
-		Waiting:  l.queue.Len(),
-		Limit:    svc.Queue,
-		Wait:     max(0, svc.QueueWait-now.Sub(cl.began)),
-		InFlight: int(c.inFlight.Load()),
-		Room:     c.opt.Room,
-		Priority: cl.priority,
+		Now:             now,
+		Deadline:        cl.deadline,
+		ExpectedLatency: expected(cl, l.group, regions[0]),
+		Queued:          l.queue.Len(),
+		QueueLimit:      svc.Queue,
+		MaxWait:         max(0, svc.QueueWait-now.Sub(cl.began)),
+		InFlight:        int(c.inFlight.Load()),
+		Capacity:        c.opt.MaxInFlight,
+		Priority:        cl.priority,
 	})
 	if d.Reason != "" {
-		return balance.Choice{}, verdict.New(verdict.NotRun, string(d.Reason), nil).After(d.RetryAfter)
+		return balance.Choice{}, verdict.New(verdict.NotRun, string(d.Reason), nil).WithRetryAfter(d.RetryAfter)
 	}
 	if svc.Routed {
 		return takeForObject(now, cl, l, regions[0])
@@ -45,19 +45,19 @@
 			return choice, nil
 		}
 		if errors.Is(err, balance.ErrNoUpstream) {
-			return balance.Choice{}, verdict.New(verdict.NotRun, reasonNoUpstream, err).After(stopRetry)
+			return balance.Choice{}, verdict.New(verdict.NotRun, reasonNoUpstream, err).WithRetryAfter(stopRetry)
 		}
 	}
-	return c.wait(ctx, l, req, svc.Queue, d.GiveUp, patient)
+	return c.wait(ctx, l, req, svc.Queue, d.WaitUntil, patient)
 }
 
 // expected returns how long an answer takes at the least, 0 if unknown: half of what is usual.
 // That of a request with a route is the work of its own route. By the latency of the service
 // a route of short requests, among others whose work is long, would be refused for ever, as
 // it never came to tell its own.
-func expected(cl *call, group *balance.Group, region string) time.Duration {
+func expected(cl *call, group *balance.Balancer, region string) time.Duration {
 	if cl.Route != nil {
-		return group.Work(cl.Route.Name) / 2
+		return group.ServiceTime(cl.Route.Name) / 2
 	}
 	return group.Latency(region) / 2
 }
@@ -71,11 +71,11 @@
 	case err == nil:
 		return choice, nil
 	case errors.As(err, &limit):
-		return balance.Choice{}, verdict.New(verdict.NotRun, reasonUpstreamLimit, err).After(limit.RetryAfter)
+		return balance.Choice{}, verdict.New(verdict.NotRun, reasonUpstreamLimit, err).WithRetryAfter(limit.RetryAfter)
 	case errors.As(err, &late):
-		return balance.Choice{}, verdict.New(verdict.NotRun, reasonLate, err).After(late.RetryAfter)
+		return balance.Choice{}, verdict.New(verdict.NotRun, reasonLate, err).WithRetryAfter(late.RetryAfter)
 	}
-	return balance.Choice{}, verdict.New(verdict.NotRun, reasonOf(err), err).After(l.retryAfter(region))
+	return balance.Choice{}, verdict.New(verdict.NotRun, reasonOf(err), err).WithRetryAfter(l.retryAfter(region))
 }
 
 // Reasons of a request that no upstream can take.
@@ -100,21 +100,21 @@
 
 // allowed keeps the requests in flight in a region within the own share of its
 // cap.
-func (c *Carrier) allowed(svc *model.Service) func(string, int) bool {
+func (c *Proxy) allowed(svc *model.Service) func(string, int) bool {
 	return func(region string, inFlight int) bool {
-		return !svc.Capped(region) || c.opt.Book.Allow(svc.Name, region, inFlight, c.opt.Boot())
+		return !svc.Capped(region) || c.opt.CapShares.Allow(svc.Name, region, inFlight, c.opt.BootClock())
 	}
 }
 
 // wait holds a place in the queue until a slot is free or it is time to give up.
-func (c *Carrier) wait(ctx context.Context, l *lane, req balance.Request, limit int, giveUp time.Time, patient bool) (balance.Choice, *verdict.Error) {
-	t, ok := l.queue.Join(limit)
+func (c *Proxy) wait(ctx context.Context, l *lane, req balance.Request, limit int, giveUp time.Time, patient bool) (balance.Choice, *verdict.Error) {
+	t, ok := l.queue.Enqueue(limit)
 	if !ok {
-		return balance.Choice{}, verdict.New(verdict.NotRun, string(admit.ReasonQueueFull), nil).After(l.retryAfter(req.Regions[0]))
+		return balance.Choice{}, verdict.New(verdict.NotRun, string(admit.ReasonQueueFull), nil).WithRetryAfter(l.retryAfter(req.Regions[0]))
 	}
-	defer l.queue.Leave(t)
+	defer l.queue.Remove(t)
 	if patient {
-		t.Pass()
+		t.DiscardTurn()
 	}
 	timer := time.NewTimer(giveUp.Sub(c.now()))
 	defer timer.Stop()
@@ -130,7 +130,7 @@
 				return choice, nil
 			}
 		case <-timer.C:
-			return balance.Choice{}, verdict.New(verdict.NotRun, reasonNoSlot, nil).After(l.retryAfter(req.Regions[0]))
+			return balance.Choice{}, verdict.New(verdict.NotRun, reasonNoSlot, nil).WithRetryAfter(l.retryAfter(req.Regions[0]))
 		case <-ctx.Done():
 			return balance.Choice{}, verdict.New(verdict.NotRun, reasonCallerGone, ctx.Err())
 		}
--- a/internal/forward/deadline_test.go
+++ b/internal/forward/deadline_test.go
@@ -26,13 +26,13 @@
 	}))
 	t.Cleanup(up.Close)
 	c := New(Options{
-		Room: 100, Now: time.Now, Protocol: byRoutes{}, Book: share.NewBook(), Domain: "muscat-a",
-		Boot: func() int64 { return 0 }, NewID: func() string { return "own" }, Observe: func(Outcome) {},
+		MaxInFlight: 100, Now: time.Now, Protocol: byRoutes{}, CapShares: share.NewBook(), Domain: "muscat-a",
+		BootClock: func() int64 { return 0 }, NewID: func() string { return "own" }, Observe: func(Outcome) {},
 	})
 	route := func(name string, limit time.Duration) *model.Route {
 		return &model.Route{
-			Name: name, Host: "127.0.0.1", Prefix: "/" + name + "/", Attempts: 1, Timeout: limit, Objective: limit, Safe: true,
-			Parts: []model.Part{{Service: "orders", Weight: 1}},
+			Name: name, Host: "127.0.0.1", Prefix: "/" + name + "/", Attempts: 1, Timeout: limit, Objective: limit, Idempotent: true,
+			Services: []model.WeightedService{{Service: "orders", Weight: 1}},
 		}
 	}
 	c.Update(model.CompileRouted(model.RoutedInput{
--- a/internal/forward/carrier.go
+++ b/internal/forward/proxy.go
@@ -36,8 +36,8 @@
 	Domain string
 	// Protocol is how callers and upstreams speak; nil means Native.
 	Protocol Protocol
-	// Room is how many requests may be in the entry at one time.
-	Room int
+	// MaxInFlight is how many requests may be in the entry at one time.
+	MaxInFlight int
 	// MaxBody is the largest request body in bytes; 0 means no bound.
 	MaxBody int64
 	// TLS is for upstreams; nil means plain HTTP.
@@ -49,15 +49,15 @@
 	// DialTimeout bounds the wait for a connection to an upstream; 0 means the
 	// usual bound.
 	DialTimeout time.Duration
-	// Now is the clock, Check the same after it was looked whether the machine was
+	// Now is the clock, SyncNow the same after it was looked whether the machine was
 	// suspended meanwhile; nil means Now.
-	Now, Check func() time.Time
+	Now, SyncNow func() time.Time
 	// Rand returns the source for the random choices of one decision; nil means
 	// one seeded from the process's own.
 	Rand func() *rand.Rand
-	// Book holds the own shares of the caps, by the clock Boot.
-	Book *share.Book
-	Boot func() int64
+	// CapShares holds the own shares of the caps, by the clock BootClock.
+	CapShares *share.Book
+	BootClock func() int64
 	// NewID makes request ids.
 	NewID func() string
 	// Observe is called at the end of each request; it must be quick.
@@ -78,19 +78,19 @@
 	Version uint64
 	// Choice is the last upstream that was picked.
 	Choice balance.Choice
-	// Told is what its answer said.
-	Told    Told
-	Status  int
-	Verdict verdict.Verdict
-	Reason  string
+	// Response is what its answer said.
+	Response ResponseInfo
+	Status   int
+	Verdict  verdict.Verdict
+	Reason   string
 	// Detail explains an answer that loomkeel itself made.
 	Detail   string
-	Took     time.Duration
+	Duration time.Duration
 	Attempts int
 }
 
-// Carrier is an http.Handler. It is safe for concurrent use.
-type Carrier struct {
+// Proxy is an http.Handler. It is safe for concurrent use.
+type Proxy struct {
 	opt       Options
 	now       func() time.Time
 	scheme    string
@@ -112,29 +112,29 @@
 
 // lane is the state of one service.
 type lane struct {
-	group  *balance.Group
+	group  *balance.Balancer
 	queue  admit.Queue
-	budget *balance.Budget
+	budget *balance.RetryBudget
 	// sheds limits how often requests go on after a shed.
-	sheds *balance.Budget
+	sheds *balance.RetryBudget
 	shift *shift.Meter
 }
 
 // New returns a Carrier that refuses everything until its first Update.
-func New(opt Options) *Carrier {
+func New(opt Options) *Proxy {
 	if opt.Protocol == nil {
 		opt.Protocol = Native{}
 	}
 	if opt.Transport == nil {
-		opt.Transport = NewPool(PoolOptions{TLS: opt.TLS, DialTimeout: opt.DialTimeout, Now: opt.Now, Mine: opt.Protocol.Mine})
+		opt.Transport = NewPool(PoolOptions{TLS: opt.TLS, DialTimeout: opt.DialTimeout, Now: opt.Now, Matches: opt.Protocol.Matches})
 	}
-	if opt.Check == nil {
-		opt.Check = opt.Now
+	if opt.SyncNow == nil {
+		opt.SyncNow = opt.Now
 	}
 	if opt.Rand == nil {
 		opt.Rand = newRand
 	}
-	c := &Carrier{opt: opt, now: opt.Now, scheme: "http", transport: opt.Transport, lanes: make(map[string]*lane), splits: newSplits(), poison: poison.NewTracker(opt.Self), limits: quota.NewLimiter(), deadlines: newDeadlines(), rateNews: make(chan struct{}, 1),
+	c := &Proxy{opt: opt, now: opt.Now, scheme: "http", transport: opt.Transport, lanes: make(map[string]*lane), splits: newSplits(), poison: poison.NewTracker(opt.Self), limits: quota.NewLimiter(), deadlines: newDeadlines(), rateNews: make(chan struct{}, 1),
 		rateLines: logs.NewLimiter(rateLinesPerSecond, rateLineBurst)}
 	if opt.TLS != nil {
 		c.scheme = "https"
@@ -149,13 +149,13 @@
 }
 
 // Update installs a newer snapshot.
-func (c *Carrier) Update(s *model.Snapshot) {
+func (c *Proxy) Update(s *model.Snapshot) {
 	now := c.now()
 	for name, svc := range s.Services {
 		l := c.lane(name)
-		restarted := l.group.Update(balance.Input{
-			Service: svc, Draining: s.Draining, Owned: c.owned(s, svc),
-			Self: c.opt.Self, Home: s.Region, Domain: c.opt.Domain, Entries: entriesOf(s),
+		restarted := l.group.Update(balance.ServiceState{
+			Service: svc, Draining: s.Draining, Subset: c.owned(s, svc),
+			Self: c.opt.Self, Region: s.Region, Domain: c.opt.Domain, Entries: entriesOf(s),
 		}, now)
 		c.forget(restarted)
 		if svc.Routed {
@@ -169,50 +169,50 @@
 
 // entriesOf returns the entries that carry requests to the upstreams.
 func entriesOf(s *model.Snapshot) []model.Member {
-	if s.Carriers != nil {
-		return s.Carriers
+	if s.Advertised != nil {
+		return s.Advertised
 	}
-	return s.HomeEntries()
+	return s.LocalEntries()
 }
 
 // owned returns the upstreams of a service that this entry uses first. Requests of routes
 // go by their objects instead.
-func (c *Carrier) owned(s *model.Snapshot, svc *model.Service) map[string]bool {
+func (c *Proxy) owned(s *model.Snapshot, svc *model.Service) map[string]bool {
 	if svc.Routed {
 		return nil
 	}
 	var entries []string
-	for _, m := range s.HomeEntries() {
+	for _, m := range s.LocalEntries() {
 		entries = append(entries, m.ID)
 	}
-	return balance.Owned(svc.Upstreams, s.Region, c.opt.Self, entries)
+	return balance.Subset(svc.Upstreams, s.Region, c.opt.Self, entries)
 }
 
 // forgetter is a transport that keeps connections which it can give up.
-type forgetter interface{ Forget(addr string) }
+type forgetter interface{ CloseIdle(addr string) }
 
 // forget gives up the kept connections to addresses whose upstreams have started again.
-func (c *Carrier) forget(addresses []string) {
+func (c *Proxy) forget(addresses []string) {
 	f, ok := c.transport.(forgetter)
 	if !ok {
 		return
 	}
 	for _, addr := range addresses {
 		klog.InfoS("upstream has started again, connections given up", "address", addr)
-		f.Forget(addr)
+		f.CloseIdle(addr)
 	}
 }
 
 // Snapshot returns the snapshot in force, or nil before the first.
-func (c *Carrier) Snapshot() *model.Snapshot { return c.snap.Load() }
+func (c *Proxy) Snapshot() *model.Snapshot { return c.snap.Load() }
 
 // Stop makes the Carrier refuse new requests. Those in flight go on.
-func (c *Carrier) Stop() { c.stopping.Store(true) }
+func (c *Proxy) Stop() { c.stopping.Store(true) }
 
 // InFlight returns the number of requests in the entry.
-func (c *Carrier) InFlight() int { return int(c.inFlight.Load()) }
+func (c *Proxy) InFlight() int { return int(c.inFlight.Load()) }
 
-func (c *Carrier) lane(service string) *lane {
+func (c *Proxy) lane(service string) *lane {
 	c.mu.RLock()
 	l := c.lanes[service]
 	c.mu.RUnlock()
@@ -222,21 +222,21 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if l = c.lanes[service]; l == nil {
-		l = &lane{group: balance.NewGroup(), budget: balance.NewBudget(retryBurst), sheds: balance.NewBudget(shedBurst), shift: shift.NewMeter()}
-		l.group.OnRateNews(c.notifyRates)
+		l = &lane{group: balance.NewBalancer(), budget: balance.NewRetryBudget(retryBurst), sheds: balance.NewRetryBudget(shedBurst), shift: shift.NewMeter()}
+		l.group.OnLimitUpdate(c.notifyRates)
 		c.lanes[service] = l
 	}
 	return l
 }
 
 // ServeHTTP implements http.Handler.
-func (c *Carrier) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.inFlight.Add(1)
 	defer c.inFlight.Add(-1)
-	start := c.opt.Check()
+	start := c.opt.SyncNow()
 	out := Outcome{}
 	defer func() {
-		out.Took = c.now().Sub(start)
+		out.Duration = c.now().Sub(start)
 		c.opt.Observe(out)
 	}()
 	snap := c.snap.Load()
@@ -244,7 +244,7 @@
 		c.refuse(w, &out, c.leaving(snap))
 		return
 	}
-	ask, fault := c.opt.Protocol.Parse(r, snap)
+	ask, fault := c.opt.Protocol.ParseRequest(r, snap)
 	if ask.ID == "" {
 		ask.ID = c.opt.NewID()
 	}
@@ -260,7 +260,7 @@
 }
 
 // carry serves a request that is understood.
-func (c *Carrier) carry(w http.ResponseWriter, r *http.Request, snap *model.Snapshot, ask Ask, out *Outcome) {
+func (c *Proxy) carry(w http.ResponseWriter, r *http.Request, snap *model.Snapshot, ask RequestInfo, out *Outcome) {
 	svc := c.serviceOf(snap, &ask)
 	out.Service, out.Version = ask.Service, snap.Revision
 	if ask.Organisation != nil {
@@ -271,7 +271,7 @@
 	}
 	if svc == nil {
 		// A route may name a service that has no settings and no upstream yet.
-		c.refuse(w, out, refusalFor(verdict.New(verdict.NotRun, reasonNoUpstream, nil).After(stopRetry), verdict.NotRun))
+		c.refuse(w, out, refusalFor(verdict.New(verdict.NotRun, reasonNoUpstream, nil).WithRetryAfter(stopRetry), verdict.NotRun))
 		return
 	}
 	cl := newCall(r, ask, svc, c.now())
@@ -306,21 +306,21 @@
 }
 
 // serviceOf returns the service that takes a request, or nil.
-func (c *Carrier) serviceOf(snap *model.Snapshot, ask *Ask) *model.Service {
+func (c *Proxy) serviceOf(snap *model.Snapshot, ask *RequestInfo) *model.Service {
 	if ask.Route != nil {
 		ask.Service = c.splits.choose(ask.Route, ask.Object)
 	}
 	return snap.Services[ask.Service]
 }
 
-func (c *Carrier) maxBody(snap *model.Snapshot) int64 {
+func (c *Proxy) maxBody(snap *model.Snapshot) int64 {
 	if snap.Limits.MaxBody > 0 {
 		return snap.Limits.MaxBody
 	}
 	return c.opt.MaxBody
 }
 
-func (c *Carrier) refuse(w http.ResponseWriter, out *Outcome, f *refusal) {
+func (c *Proxy) refuse(w http.ResponseWriter, out *Outcome, f *refusal) {
 	out.Status, out.Verdict, out.Reason, out.Detail = f.status, f.verdict, f.reason, f.detail
 	f.write(w, c.opt.Protocol, out.ID)
 }
@@ -329,13 +329,13 @@
 const stopRetry = time.Second
 
 // leaving is the answer of an entry that stops or has no snapshot yet.
-func (c *Carrier) leaving(snap *model.Snapshot) *refusal {
+func (c *Proxy) leaving(snap *model.Snapshot) *refusal {
 	f := &refusal{status: http.StatusServiceUnavailable, reason: "entry-leaving", verdict: verdict.NotRun, retryAfter: stopRetry}
 	if snap == nil {
 		f.reason = "entry-starting"
 		return f
 	}
-	for _, m := range snap.HomeEntries() {
+	for _, m := range snap.LocalEntries() {
 		f.entries = append(f.entries, m.Entry)
 	}
 	return f
--- a/internal/forward/home_test.go
+++ b/internal/forward/regions_test.go
@@ -22,19 +22,19 @@
 // byRoutes is the native protocol with the routes of the configuration.
 type byRoutes struct{ Native }
 
-// Parse implements Protocol.
-func (byRoutes) Parse(r *http.Request, snap *model.Snapshot) (Ask, *Fault) {
+// ParseRequest implements Protocol.
+func (byRoutes) ParseRequest(r *http.Request, snap *model.Snapshot) (RequestInfo, *RequestError) {
 	route := snap.Routes.Match(r.Host, r.URL.Path)
 	if route == nil {
-		return Ask{}, &Fault{Status: http.StatusNotFound, Reason: "no-route"}
+		return RequestInfo{}, &RequestError{Status: http.StatusNotFound, Reason: "no-route"}
 	}
-	return Ask{ID: r.Header.Get(header.RequestID), Route: route, Safe: route.Safe, Object: r.URL.Path}, nil
+	return RequestInfo{ID: r.Header.Get(header.RequestID), Route: route, Safe: route.Idempotent, Object: r.URL.Path}, nil
 }
 
 // homes is an entry in muscat with two upstreams in each of three regions.
 type homes struct {
 	t       *testing.T
-	carrier *Carrier
+	carrier *Proxy
 	url     string
 	route   model.Route
 	in      model.RoutedInput
@@ -51,15 +51,15 @@
 func newHomes(t *testing.T, regions ...string) *homes {
 	h := &homes{t: t, under: func(int) bool { return false }}
 	h.carrier = New(Options{
-		Room: 100, Now: time.Now, Protocol: byRoutes{}, Book: share.NewBook(), Domain: "muscat-a",
-		Boot: func() int64 { return 0 }, NewID: func() string { return "own" }, Observe: func(Outcome) {},
+		MaxInFlight: 100, Now: time.Now, Protocol: byRoutes{}, CapShares: share.NewBook(), Domain: "muscat-a",
+		BootClock: func() int64 { return 0 }, NewID: func() string { return "own" }, Observe: func(Outcome) {},
 	})
 	srv := httptest.NewServer(h.carrier)
 	t.Cleanup(srv.Close)
 	h.url = srv.URL
 	h.route = model.Route{
-		Name: "r", Host: "127.0.0.1", Prefix: "/", Attempts: 3, Timeout: time.Minute, Safe: true, Affinity: true,
-		Parts: []model.Part{{Service: "orders", Weight: 1}}, Regions: regions,
+		Name: "r", Host: "127.0.0.1", Prefix: "/", Attempts: 3, Timeout: time.Minute, Idempotent: true, Affinity: true,
+		Services: []model.WeightedService{{Service: "orders", Weight: 1}}, Regions: regions,
 	}
 	h.in = model.RoutedInput{
 		Region: "muscat", RetryBudget: 1, RetryBurst: 100,
--- a/internal/inflight/exchange.go
+++ b/internal/inflight/exchange.go
@@ -43,9 +43,9 @@
 	// Fleet returns the other entries.
 	Fleet func() Fleet
 	// Counts returns what to report.
-	Counts func(balance.Counted) []Count
-	// Doubt returns the Doubt and DoubtLeft of reports.
-	Doubt func() (rest, left time.Duration)
+	Counts func(balance.EntryFilter) []Count
+	// MaxConnIdle returns the MaxConnIdle and DoubtLeft of reports.
+	MaxConnIdle func() (rest, left time.Duration)
 	// Claims returns what to tell of requests under which upstreams ended, at most n Claims;
 	// nil means nothing. A hub also relays those of others.
 	Claims func(n int, relay bool) []poison.Claim
@@ -60,10 +60,10 @@
 	// Busy reports whether the own entry carries more than a few requests; nil means
 	// always.
 	Busy func() bool
-	// Heard takes in a report. Peer names whose requests it counts.
-	Heard func(peer string, r *Report)
-	// Stranger is told of reports by entries that are not in the fleet.
-	Stranger func(from netip.AddrPort)
+	// OnReport takes in a report. Peer names whose requests it counts.
+	OnReport func(peer string, r *Report)
+	// OnUnknownSender is told of reports by entries that are not in the fleet.
+	OnUnknownSender func(from netip.AddrPort)
 }
 
 // Exchange sends the own reports and receives those of others.
@@ -131,7 +131,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if len(fleet.Peers) > maxDirect {
-		return x.absentByHub(fleet.Hubs, now)
+		return x.absentByHub(fleet.HubCandidates, now)
 	}
 	x.presence.list(fleet.Peers, now)
 	return x.presence.absent(x.hubs.heard, now)
@@ -219,7 +219,7 @@
 	case len(fleet.Peers) == 0:
 		x.useToAll(fleet, now)
 	case len(fleet.Peers) <= maxDirect:
-		x.tell(fleet.Peers, Report{Scope: ScopeOwn}, balance.Counted{Own: true})
+		x.tell(fleet.Peers, Report{Scope: ScopeOwn}, balance.EntryFilter{Own: true})
 		x.tellClaims(fleet.Peers, false)
 		x.periodicRates(fleet, fleet.Peers)
 		x.useToAll(fleet, now)
@@ -237,28 +237,28 @@
 		silence = idleHubSilence
 	}
 	x.mu.Lock()
-	hub := x.hubs.pick(fleet.Hubs, silence, now)
+	hub := x.hubs.pick(fleet.HubCandidates, silence, now)
 	busy, idle := x.hubs.reporting(now)
-	absent := x.absentOf(fleet.Hubs, now)
-	remote := make([]Peer, len(fleet.Remote))
-	for i, c := range fleet.Remote {
+	absent := x.absentOf(fleet.HubCandidates, now)
+	remote := make([]Peer, len(fleet.RemoteHubs))
+	for i, c := range fleet.RemoteHubs {
 		remote[i] = x.hubs.speaker(c, now)
 	}
 	x.mu.Unlock()
 	isHub := hub.ID == x.opt.Entry
 	x.useByHubs(fleet, hub, busy, idle, remote, now)
 	if !isHub {
-		x.tell([]Peer{hub}, Report{Scope: ScopeOwn, Idle: x.idle(now)}, balance.Counted{Own: true})
+		x.tell([]Peer{hub}, Report{Scope: ScopeOwn, Idle: x.idle(now)}, balance.EntryFilter{Own: true})
 	}
 	toReporters := Report{Scope: ScopeOthers, Absent: absent}
 	for _, p := range busy {
-		x.tell([]Peer{p}, toReporters, balance.Counted{Own: true, Peers: func(peer string) bool { return peer != p.ID && peer != others }})
+		x.tell([]Peer{p}, toReporters, balance.EntryFilter{Own: true, Peers: func(peer string) bool { return peer != p.ID && peer != others }})
 	}
 	if len(idle) > 0 && now.Sub(x.toldIdle) >= idlePeriod-nearPeriod/2 {
 		// They have little use for the loads of upstreams: once they carry more requests
 		// they are told all within a period.
 		x.toldIdle = now
-		x.tell(idle, toReporters, balance.Counted{})
+		x.tell(idle, toReporters, balance.EntryFilter{})
 	}
 	x.periodicRates(fleet, listenersByHubs(x.opt.Entry, hub, busy, idle, remote))
 	if !isHub && len(busy)+len(idle) == 0 {
@@ -270,7 +270,7 @@
 		for _, p := range append(busy, idle...) {
 			from[p.ID] = true
 		}
-		x.tell(remote, Report{Scope: ScopeDomain}, balance.Counted{Own: isHub, Peers: func(peer string) bool { return from[peer] }})
+		x.tell(remote, Report{Scope: ScopeDomain}, balance.EntryFilter{Own: isHub, Peers: func(peer string) bool { return from[peer] }})
 	}
 }
 
@@ -293,11 +293,11 @@
 
 // tell sends one report, with the counts of whose requests it is about, to the peers that
 // are due for it. A datagram that cannot be sent is as good as lost.
-func (x *Exchange) tell(peers []Peer, whole Report, whose balance.Counted) {
+func (x *Exchange) tell(peers []Peer, whole Report, whose balance.EntryFilter) {
 	far := x.farDue()
 	due := make([]netip.AddrPort, 0, len(peers))
 	for _, p := range peers {
-		if p.Near || far {
+		if p.SameRegion || far {
 			due = append(due, p.Address)
 		}
 	}
@@ -307,7 +307,7 @@
 	whole.Entry, whole.Incarnation, whole.Sequence = x.opt.Entry, x.opt.Incarnation, x.seq
 	whole.Counts = x.opt.Counts(whose)
 	whole.Leaving = x.opt.Leaving()
-	whole.Doubt, whole.DoubtLeft = x.opt.Doubt()
+	whole.MaxConnIdle, whole.MaxConnIdleLeft = x.opt.MaxConnIdle()
 	for _, r := range whole.split() {
 		x.buf = r.Append(x.buf[:0])
 		for _, addr := range due {
@@ -385,7 +385,7 @@
 		}
 		if r.Scope == ScopeNone {
 			r.Claims = trusted(r, len(fleet.Peers) > maxDirect)
-			x.opt.Heard(r.Entry, r)
+			x.opt.OnReport(r.Entry, r)
 			return
 		}
 		x.mu.Lock()
@@ -395,10 +395,10 @@
 			x.absent, x.absentAt = r.Absent, now
 		}
 		x.mu.Unlock()
-		x.opt.Heard(nameOf(r), r)
+		x.opt.OnReport(nameOf(r), r)
 		return
 	}
-	x.opt.Stranger(from)
+	x.opt.OnUnknownSender(from)
 }
 
 // sameAddress compares addresses, of which one may be IPv4 written as IPv6.
