--- a/internal/poison/tracker.go
+++ b/internal/poison/tracker.go
@@ -60,7 +60,7 @@
 
 // Crash is the crash of an upstream while a request was in flight there.
 type Crash struct {
-	// Upstream identifies the incarnation of the upstream; see balance.LifeKey.
+	// Upstream identifies the incarnation of the upstream; see balance.IncarnationKey.
 	Upstream uint32
 	// Age is the time since the crash.
 	Age time.Duration
