--- a/cmd/loomkeel-node/main.go
+++ b/cmd/loomkeel-node/main.go
@@ -96,10 +96,10 @@
 	self := node.Self(s.ID, s.Region, s.Domain, s.EntryAddress, s.PeerAddress, time.Now())
 	self.LinkMbps, self.Cores = s.LinkMbps, s.Cores
 	n := node.New(view.Options{
-		Self:    self,
-		Regions: s.Regions,
-		Rejoin:  rejoin,
-		Policy:  policy(s.Bounds),
+		Self:                self,
+		Regions:             s.Regions,
+		ReregistrationGrace: rejoin,
+		Policy:              policy(s.Bounds),
 	}, forward.Options{
 		Self: s.ID, Domain: s.Domain, MaxInFlight: room, Now: clock.Now, SyncNow: clock.Check,
 		Protocol: platform.Protocol{Fields: fields}, DialTimeout: dialTimeout,
@@ -109,7 +109,7 @@
 	dialer := rpc.NewDialer(nil, nil)
 	feed := platform.NewFeed(platform.FeedOptions{
 		Store: store, Apply: n.Apply, Self: self, Members: n.Members, Now: clock.Check,
-		Peers:         relay.NewClient(relay.Over(dialer), clock.Now),
+		Peers:         relay.NewClient(relay.NewCall(dialer), clock.Now),
 		Seeds:         func() []relay.Source { return n.Strangers.Sources(clock.Now()) },
 		MaxApplyDelay: s.Bounds.MaxApplyDelay,
 	})
--- a/internal/balance/ratelimit_fleet_test.go
+++ b/internal/balance/ratelimit_fleet_test.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"github.com/loomkeel/loomkeel/internal/agenda"
+	"github.com/loomkeel/loomkeel/internal/eventsim"
 	"github.com/loomkeel/loomkeel/internal/model"
 	"github.com/loomkeel/loomkeel/internal/ratelimit"
 )
@@ -51,7 +51,7 @@
 // limitFleet is a fleet of entries and upstreams of one service.
 type limitFleet struct {
 	rnd     *rand.Rand
-	agenda  *agenda.Agenda
+	agenda  *eventsim.Scheduler
 	entries []*limitedEntry
 	service *model.Service
 	// limitOf is the limit that an upstream names at a time.
@@ -74,7 +74,7 @@
 // domains of three regions.
 func newLimitFleet(seed uint64, entries, upstreams int) *limitFleet {
 	f := &limitFleet{
-		rnd: rand.New(rand.NewPCG(seed, 3)), agenda: agenda.New(t0), arrivals: make(map[string][]time.Duration),
+		rnd: rand.New(rand.NewPCG(seed, 3)), agenda: eventsim.New(t0), arrivals: make(map[string][]time.Duration),
 		service: &model.Service{Name: "s", Routed: true}, work: 150 * time.Millisecond, objects: 40 * upstreams,
 	}
 	place := func(i int) (region, domain string) {
--- a/internal/agenda/agenda.go
+++ b/internal/eventsim/eventsim.go
@@ -1,49 +1,49 @@
-// Package agenda plays events in virtual time, for simulations that repeat exactly.
-package agenda
+// Package eventsim plays events in virtual time, for simulations that repeat exactly.
+package eventsim
 
 import (
 	"container/heap"
 	"time"
 )
 
-// Agenda holds the events to come, in the order of their times; of two at one time the one that
+// Scheduler holds the events to come, in the order of their times; of two at one time the one that
 // was planned first comes first. It is not safe for concurrent use.
-type Agenda struct {
+type Scheduler struct {
 	now     time.Time
 	planned int
 	queue   queue
 }
 
 // New returns an empty Agenda that begins at a time.
-func New(begin time.Time) *Agenda { return &Agenda{now: begin} }
+func New(begin time.Time) *Scheduler { return &Scheduler{now: begin} }
 
 // Now returns the time of the present event.
-func (a *Agenda) Now() time.Time { return a.now }
+func (a *Scheduler) Now() time.Time { return a.now }
 
 // At plans an event for a time.
-func (a *Agenda) At(t time.Time, do func()) {
+func (a *Scheduler) At(t time.Time, do func()) {
 	a.planned++
 	heap.Push(&a.queue, event{t, a.planned, do})
 }
 
 // After plans an event.
-func (a *Agenda) After(d time.Duration, do func()) { a.At(a.now.Add(d), do) }
+func (a *Scheduler) After(d time.Duration, do func()) { a.At(a.now.Add(d), do) }
 
 // Run plays all events, and those that they plan.
-func (a *Agenda) Run() {
+func (a *Scheduler) Run() {
 	for len(a.queue) > 0 {
 		a.next()
 	}
 }
 
 // RunUntil plays the events up to a time, and those that they plan.
-func (a *Agenda) RunUntil(t time.Time) {
+func (a *Scheduler) RunUntil(t time.Time) {
 	for len(a.queue) > 0 && !a.queue[0].at.After(t) {
 		a.next()
 	}
 }
 
-func (a *Agenda) next() {
+func (a *Scheduler) next() {
 	e := heap.Pop(&a.queue).(event)
 	a.now = e.at
 	e.do()
--- a/internal/agenda/agenda_test.go
+++ b/internal/eventsim/eventsim_test.go
@@ -1,4 +1,4 @@
-package agenda
+package eventsim
 
 import (
 	"slices"
--- a/internal/node/apply_bench_test.go
+++ b/internal/node/apply_bench_test.go
@@ -19,7 +19,7 @@
 		regions[fmt.Sprint("d", d)] = fmt.Sprint("r", d/3)
 	}
 	self := model.Member{ID: "n0", Region: "r0", Domain: "d0", State: membership.Alive, Entry: "10.0.0.1:80", Agent: "10.0.0.1:7200", LinkMbps: 200, Cores: 0.8}
-	n := New(view.Options{Self: self, Regions: regions, Rejoin: time.Second}, forward.Options{Self: self.ID, Domain: self.Domain, MaxInFlight: 100, Now: time.Now})
+	n := New(view.Options{Self: self, Regions: regions, ReregistrationGrace: time.Second}, forward.Options{Self: self.ID, Domain: self.Domain, MaxInFlight: 100, Now: time.Now})
 	n.Apply(func(v *view.View, _ time.Time) {
 		v.SetConfig(&model.Config{Version: 1, Services: map[string]model.ServiceConfig{"s0": {}, "s1": {}, "s2": {}}})
 		for i := range 1617 {
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -48,7 +48,7 @@
 		}
 	}
 	for domain, list := range byDomain {
-		ordered := relay.Order(domain, list)
+		ordered := relay.RankMembers(domain, list)
 		if domain != self.Domain {
 			p, _ := peerOf(self, ordered[0])
 			f.RemoteHubs = append(f.RemoteHubs, p)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -51,7 +51,7 @@
 type Node struct {
 	Entry *entry.Entry
 	// Strangers are entries that report to this one without being known.
-	Strangers *relay.Strangers
+	Strangers *relay.UnknownSenders
 	now       func() time.Time
 	// check is now after a look whether the machine was suspended meanwhile.
 	check func() time.Time
@@ -67,7 +67,7 @@
 
 // New returns a Node that refuses everything until it is synced.
 func New(opt view.Options, carrier forward.Options) *Node {
-	n := &Node{Entry: entry.New(carrier), Strangers: relay.NewStrangers(), now: carrier.Now, check: carrier.SyncNow, view: view.New(opt)}
+	n := &Node{Entry: entry.New(carrier), Strangers: relay.NewUnknownSenders(), now: carrier.Now, check: carrier.SyncNow, view: view.New(opt)}
 	if n.check == nil {
 		n.check = n.now
 	}
@@ -122,7 +122,7 @@
 	if !n.stopping.Load() {
 		return all
 	}
-	return n.view.Others(all)
+	return n.view.WithoutSelf(all)
 }
 
 // Homes returns the regions that may serve the requests of a host; empty means all.
@@ -168,8 +168,8 @@
 	n.Entry.Carrier.Tick()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	kept := n.view.Kept()
-	if !n.view.Tick(n.now()) {
+	kept := n.view.Retained()
+	if !n.view.ExpireLapsed(n.now()) {
 		return
 	}
 	n.publish()
@@ -217,7 +217,7 @@
 	// Poison is how many requests under which upstreams ended the node knows.
 	Poison poison.Status `json:"poison"`
 	// Service is what the node believes of the platform's service.
-	Service view.Service `json:"service"`
+	Service view.StoreStatus `json:"service"`
 }
 
 // Status returns what the node knows in short.
@@ -228,7 +228,7 @@
 	}
 	s.Poison = n.Entry.Carrier.PoisonStatus()
 	n.mu.Lock()
-	s.Service = n.view.Service()
+	s.Service = n.view.StoreStatus()
 	n.mu.Unlock()
 	snap := n.Entry.Carrier.Snapshot()
 	if snap == nil {
@@ -294,7 +294,7 @@
 		Busy:            n.busy,
 		OnReport:        n.heard,
 		Now:             n.check,
-		OnUnknownSender: func(from netip.AddrPort) { n.Strangers.Heard(from.String(), n.now()) },
+		OnUnknownSender: func(from netip.AddrPort) { n.Strangers.RecordReport(from.String(), n.now()) },
 	}
 }
 
--- a/internal/outage/outage.go
+++ b/internal/outage/outage.go
@@ -17,14 +17,14 @@
 
 // Options sets up a Judge.
 type Options struct {
-	// Notice is the longest time from a change of the service, away or back, until a
+	// DetectionTime is the longest time from a change of the service, away or back, until a
 	// heartbeat shows it: the time between two heartbeats and the timeout of one.
-	Notice time.Duration
+	DetectionTime time.Duration
 }
 
-// Judge follows the own calls and the words of peers. It is not safe for concurrent
+// Detector follows the own calls and the words of peers. It is not safe for concurrent
 // use.
-type Judge struct {
+type Detector struct {
 	opt Options
 	// answered is set if the last heartbeat that ended was answered, broken is when one
 	// last failed.
@@ -35,30 +35,30 @@
 }
 
 // New returns a Judge that takes the service to be there.
-func New(opt Options) *Judge { return &Judge{opt: opt} }
+func New(opt Options) *Detector { return &Detector{opt: opt} }
 
-// Lost reports whether the service is taken to be away.
-func (j *Judge) Lost() bool { return j.lost }
+// Unreachable reports whether the service is taken to be away.
+func (j *Detector) Unreachable() bool { return j.lost }
 
-// Returned returns when the service was taken to be back after an outage; zero if it
+// RecoveredAt returns when the service was taken to be back after an outage; zero if it
 // never was away.
-func (j *Judge) Returned() time.Time { return j.returned }
+func (j *Detector) RecoveredAt() time.Time { return j.returned }
 
-// HeartbeatAnswered records that a heartbeat of the entry was answered. It reports
+// RecordHeartbeatSuccess records that a heartbeat of the entry was answered. It reports
 // whether the service is back with it.
-func (j *Judge) HeartbeatAnswered(now time.Time) bool {
+func (j *Detector) RecordHeartbeatSuccess(now time.Time) bool {
 	j.answered = true
-	return j.Answered(now)
+	return j.RecordSuccess(now)
 }
 
-// HeartbeatFailed records that a heartbeat of the entry was not answered.
-func (j *Judge) HeartbeatFailed(now time.Time) {
+// RecordHeartbeatFailure records that a heartbeat of the entry was not answered.
+func (j *Detector) RecordHeartbeatFailure(now time.Time) {
 	j.answered, j.broken = false, now
 }
 
-// Answered records that a call of the entry was answered. It reports whether the
+// RecordSuccess records that a call of the entry was answered. It reports whether the
 // service is back with it.
-func (j *Judge) Answered(now time.Time) bool {
+func (j *Detector) RecordSuccess(now time.Time) bool {
 	if !j.lost {
 		return false
 	}
@@ -66,13 +66,13 @@
 	return true
 }
 
-// Failed records that somebody who read the service cannot reach it: the entry itself,
+// RecordReadFailure records that somebody who read the service cannot reach it: the entry itself,
 // or the peer that it followed. It reports whether the service is taken for lost with it.
 //
 // While heartbeats are answered it is not. Entries that take their reader's loss for the
 // service's keep upstreams that have left, in case their entries lapsed. An outage that no
 // heartbeat meets is too short for entries to lapse.
-func (j *Judge) Failed() bool {
+func (j *Detector) RecordReadFailure() bool {
 	if j.answered || j.lost {
 		return false
 	}
@@ -80,19 +80,19 @@
 	return true
 }
 
-// Vouched records that a peer reaches the service, which ends a loss. Whether there was
+// RecordPeerReachable records that a peer reaches the service, which ends a loss. Whether there was
 // an outage the peer has to say (PeerReturned). It reports whether that is news.
-func (j *Judge) Vouched() bool {
+func (j *Detector) RecordPeerReachable() bool {
 	news := j.lost
 	j.lost = false
 	return news
 }
 
-// PeerReturned records that a peer reached the service again after a loss of its own. It
+// RecordPeerRecovery records that a peer reached the service again after a loss of its own. It
 // reports whether the entry takes that for the return of the service: not if it knew
 // already, nor if none of its own heartbeats failed near that time, since then only the
 // peer was cut off.
-func (j *Judge) PeerReturned(at time.Time) bool {
+func (j *Detector) RecordPeerRecovery(at time.Time) bool {
 	if j.contradicts(at) || at.Sub(j.returned) <= returnSlack {
 		return false
 	}
@@ -102,6 +102,6 @@
 
 // contradicts reports whether the own heartbeats were answered when an outage is said
 // to have ended. Both they and the peer noticed the end within Notice.
-func (j *Judge) contradicts(at time.Time) bool {
-	return j.answered && (j.broken.IsZero() || at.Sub(j.broken) > 2*j.opt.Notice)
+func (j *Detector) contradicts(at time.Time) bool {
+	return j.answered && (j.broken.IsZero() || at.Sub(j.broken) > 2*j.opt.DetectionTime)
 }
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"github.com/loomkeel/loomkeel/internal/agenda"
+	"github.com/loomkeel/loomkeel/internal/eventsim"
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
@@ -47,7 +47,7 @@
 // simFleet is a simulated fleet that serves one organisation with a limit.
 type simFleet struct {
 	rnd       *rand.Rand
-	agenda    *agenda.Agenda
+	agenda    *eventsim.Scheduler
 	nodes     []*simNode
 	domains   int
 	perDomain int
@@ -74,7 +74,7 @@
 
 // newSimFleet returns a fleet of n nodes in six failure domains, with two serving nodes in each.
 func newSimFleet(seed uint64, n int, limit model.Limit) *simFleet {
-	f := &simFleet{rnd: rand.New(rand.NewPCG(seed, 7)), agenda: agenda.New(t0), domains: simDomains, perDomain: n / simDomains, limit: limit}
+	f := &simFleet{rnd: rand.New(rand.NewPCG(seed, 7)), agenda: eventsim.New(t0), domains: simDomains, perDomain: n / simDomains, limit: limit}
 	f.table = organisationTable(limit)
 	for i := range f.domains * f.perDomain {
 		node := &simNode{id: i, name: "n" + strconv.Itoa(i), domain: i % f.domains}
--- a/internal/relay/cache.go
+++ b/internal/relay/cache.go
@@ -33,10 +33,10 @@
 	// Following is set while the entry follows the service itself and reaches it.
 	// Only then others may follow the entry, so that no two follow each other.
 	Following bool
-	// Lost is set while the entry cannot reach the service.
-	Lost bool
-	// Returned is when the service was last reached again after a loss.
-	Returned time.Time
+	// Unreachable is set while the entry cannot reach the service.
+	Unreachable bool
+	// RecoveredAt is when the service was last reached again after a loss.
+	RecoveredAt time.Time
 }
 
 // NewCache returns an empty Cache.
@@ -51,17 +51,17 @@
 	return c.revision
 }
 
-// Complete returns until when the Cache certainly holds every change of the service; zero if
+// CompleteUntil returns until when the Cache certainly holds every change of the service; zero if
 // that was never certain.
-func (c *Cache) Complete() time.Time {
+func (c *Cache) CompleteUntil() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.complete
 }
 
-// SetComplete records that the Cache holds every change until a time. An earlier time than
+// SetCompleteUntil records that the Cache holds every change until a time. An earlier time than
 // is known changes nothing.
-func (c *Cache) SetComplete(until time.Time) {
+func (c *Cache) SetCompleteUntil(until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if until.After(c.complete) {
@@ -79,14 +79,14 @@
 	}
 }
 
-// Take brings a batch in.
-func (c *Cache) Take(b Batch) {
+// Apply brings a batch in.
+func (c *Cache) Apply(b Batch) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.revision == 0 {
 		c.floor = b.Revision
 	}
-	if b.Whole {
+	if b.Full {
 		c.endMissing(b)
 	}
 	for _, r := range b.Records {
@@ -95,8 +95,8 @@
 	if c.deleted > maxDeleted {
 		c.forgetDeleted(max(c.revision, b.Revision))
 	}
-	if b.Complete.After(c.complete) {
-		c.complete = b.Complete
+	if b.CompleteUntil.After(c.complete) {
+		c.complete = b.CompleteUntil
 	}
 	if b.Revision > c.revision {
 		c.revision = b.Revision
@@ -168,12 +168,12 @@
 func (c *Cache) since(after int64) (Batch, State, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	b := Batch{Revision: max(after, c.revision), Whole: after < c.floor, Complete: c.complete}
-	if after >= c.revision && !b.Whole {
+	b := Batch{Revision: max(after, c.revision), Full: after < c.floor, CompleteUntil: c.complete}
+	if after >= c.revision && !b.Full {
 		return b, c.state, c.changed
 	}
 	for key, r := range c.records {
-		if b.Whole && r.Deleted || !b.Whole && r.Revision <= after {
+		if b.Full && r.Deleted || !b.Full && r.Revision <= after {
 			continue
 		}
 		if r.packed == nil {
--- a/internal/relay/cache_test.go
+++ b/internal/relay/cache_test.go
@@ -30,15 +30,15 @@
 func following(batches ...Batch) *Cache {
 	c := NewCache()
 	c.SetState(State{Following: true})
-	c.SetComplete(time.Now().Add(time.Hour))
+	c.SetCompleteUntil(time.Now().Add(time.Hour))
 	for _, b := range batches {
-		c.Take(b)
+		c.Apply(b)
 	}
 	return c
 }
 
 func TestSince(t *testing.T) {
-	whole := Batch{Whole: true, Records: []Record{put("a", 3), put("b", 5)}, Revision: 10}
+	whole := Batch{Full: true, Records: []Record{put("a", 3), put("b", 5)}, Revision: 10}
 	changes := Batch{Records: []Record{put("c", 11), gone("a", 12)}, Revision: 12}
 	for _, tt := range []struct {
 		name  string
@@ -54,12 +54,12 @@
 		{"one that is ahead gets nothing", following(whole, changes), 12, false, nil},
 		{
 			"a new listing ends what it does not name",
-			following(whole, Batch{Whole: true, Records: []Record{put("b", 5), put("d", 14)}, Revision: 15}),
+			following(whole, Batch{Full: true, Records: []Record{put("b", 5), put("d", 14)}, Revision: 15}),
 			10, false, []string{"d", "-a"},
 		},
 		{
 			"an older listing does not end what came after it",
-			following(whole, Batch{Records: []Record{put("new", 20)}, Revision: 20}, Batch{Whole: true, Records: []Record{put("a", 3), put("b", 5)}, Revision: 15}),
+			following(whole, Batch{Records: []Record{put("new", 20)}, Revision: 20}, Batch{Full: true, Records: []Record{put("a", 3), put("b", 5)}, Revision: 15}),
 			10, false, []string{"new"},
 		},
 		{
@@ -70,8 +70,8 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			b, _, _ := tt.cache.since(tt.after)
-			if b.Whole != tt.whole || !slices.Equal(keysOf(b), tt.want) {
-				t.Errorf("whole %v, %v", b.Whole, keysOf(b))
+			if b.Full != tt.whole || !slices.Equal(keysOf(b), tt.want) {
+				t.Errorf("whole %v, %v", b.Full, keysOf(b))
 			}
 		})
 	}
@@ -80,24 +80,24 @@
 // A peer that is behind the ends that were forgotten must get everything, or it
 // would keep what is gone.
 func TestForgottenEnds(t *testing.T) {
-	c := following(Batch{Whole: true, Records: []Record{put("stays", 1), put("goes", 1)}, Revision: 1})
-	c.Take(Batch{Records: []Record{gone("goes", 2)}, Revision: 2})
+	c := following(Batch{Full: true, Records: []Record{put("stays", 1), put("goes", 1)}, Revision: 1})
+	c.Apply(Batch{Records: []Record{gone("goes", 2)}, Revision: 2})
 	for i := range maxDeleted + 1 {
 		key := string(rune('A' + i))
-		c.Take(Batch{Records: []Record{gone(key, int64(3+i))}, Revision: int64(3 + i)})
+		c.Apply(Batch{Records: []Record{gone(key, int64(3+i))}, Revision: int64(3 + i)})
 	}
 	b, _, _ := c.since(1)
-	if !b.Whole || !slices.Equal(keysOf(b), []string{"stays"}) {
-		t.Errorf("whole %v, %v", b.Whole, keysOf(b))
+	if !b.Full || !slices.Equal(keysOf(b), []string{"stays"}) {
+		t.Errorf("whole %v, %v", b.Full, keysOf(b))
 	}
 }
 
 func TestWaitEndsAtAChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := following(Batch{Whole: true, Revision: 5})
+		c := following(Batch{Full: true, Revision: 5})
 		go func() {
 			time.Sleep(time.Second)
-			c.Take(Batch{Records: []Record{put("a", 6)}, Revision: 6})
+			c.Apply(Batch{Records: []Record{put("a", 6)}, Revision: 6})
 		}()
 		began := time.Now()
 		b, _ := c.Wait(context.Background(), 5, time.Minute)
@@ -110,7 +110,7 @@
 // Who waits at an entry that loses the service has to turn elsewhere at once.
 func TestWaitEndsWithTheService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := following(Batch{Whole: true, Revision: 5})
+		c := following(Batch{Full: true, Revision: 5})
 		go func() {
 			time.Sleep(time.Second)
 			c.SetState(State{})
@@ -125,7 +125,7 @@
 
 func TestWaitRunsOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := following(Batch{Whole: true, Revision: 5})
+		c := following(Batch{Full: true, Revision: 5})
 		b, s := c.Wait(context.Background(), 5, time.Second)
 		if b.Revision != 5 || len(b.Records) > 0 || !s.Following {
 			t.Errorf("%+v, %+v", b, s)
--- a/internal/relay/record.go
+++ b/internal/relay/record.go
@@ -73,14 +73,14 @@
 
 // Batch is what changed since a revision.
 type Batch struct {
-	// Whole is set if the records are all that there are, rather than changes.
-	Whole   bool
+	// Full is set if the records are all that there are, rather than changes.
+	Full    bool
 	Records []Record
 	// Revision is from where to go on.
 	Revision int64
-	// Complete is until when whoever takes the batch certainly knows every change; zero if
+	// CompleteUntil is until when whoever takes the batch certainly knows every change; zero if
 	// that is not certain.
-	Complete time.Time
+	CompleteUntil time.Time
 }
 
 func recordsToProto(rs []Record) []*pb.KeyRecord {
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -25,8 +25,8 @@
 var (
 	// ErrUnavailable means that the peer does not itself follow the service.
 	ErrUnavailable = errors.New("relay: peer does not follow the service")
-	// ErrLost means that the peer has lost the service.
-	ErrLost = errors.New("relay: peer has lost the service")
+	// ErrStoreUnreachable means that the peer has lost the service.
+	ErrStoreUnreachable = errors.New("relay: peer has lost the service")
 )
 
 // Server serves a Cache to peers.
@@ -57,22 +57,22 @@
 	asked := s.now()
 	wait := min(maxWait, time.Duration(req.GetWaitMilli())*time.Millisecond)
 	b, state := s.cache.Wait(ctx, req.GetAfter(), wait)
-	followed := state.Following && s.now().Sub(b.Complete) < s.maxAge
-	reply := &pb.RelayReply{Unavailable: !followed, Lost: state.Lost, AgeMilli: asked.Sub(b.Complete).Milliseconds()}
-	if ago := s.now().Sub(state.Returned); !state.Returned.IsZero() && ago < returnedRecently {
+	followed := state.Following && s.now().Sub(b.CompleteUntil) < s.maxAge
+	reply := &pb.RelayReply{Unavailable: !followed, Lost: state.Unreachable, AgeMilli: asked.Sub(b.CompleteUntil).Milliseconds()}
+	if ago := s.now().Sub(state.RecoveredAt); !state.RecoveredAt.IsZero() && ago < returnedRecently {
 		reply.ReturnedMilli = uint32(max(1, ago.Milliseconds()))
 	}
 	// What is known is told also by one that cannot be followed: it may have been told of a
 	// change just before it lost the service, and whoever asks may have nobody else to ask.
-	reply.Whole, reply.Records, reply.Revision = b.Whole, recordsToProto(b.Records), b.Revision
+	reply.Whole, reply.Records, reply.Revision = b.Full, recordsToProto(b.Records), b.Revision
 	return reply, nil
 }
 
 // Call asks the peer at an address for changes.
 type Call func(ctx context.Context, addr string, req *pb.RelayRequest) (*pb.RelayReply, error)
 
-// Over returns the Call that goes over a dialer's connections.
-func Over(dialer *rpc.Dialer) Call {
+// NewCall returns the Call that goes over a dialer's connections.
+func NewCall(dialer *rpc.Dialer) Call {
 	return func(ctx context.Context, addr string, req *pb.RelayRequest) (*pb.RelayReply, error) {
 		conn := dialer.Conn(addr)
 		defer conn.Close()
@@ -92,9 +92,9 @@
 // Reply is what a peer tells.
 type Reply struct {
 	Batch
-	// Returned is when the service was reached again after a loss; zero if that is long
+	// RecoveredAt is when the service was reached again after a loss; zero if that is long
 	// past. It is told also by a peer that cannot be followed now.
-	Returned time.Time
+	RecoveredAt time.Time
 }
 
 // Changes asks the peer at an address for what changed after a revision, for which
@@ -110,21 +110,21 @@
 	}
 	var reply Reply
 	if ago := answer.GetReturnedMilli(); ago > 0 {
-		reply.Returned = c.now().Add(-time.Duration(ago) * time.Millisecond)
+		reply.RecoveredAt = c.now().Add(-time.Duration(ago) * time.Millisecond)
 	}
 	records, err := recordsFromProto(answer.GetRecords())
 	if err != nil {
 		return reply, err
 	}
-	reply.Batch = Batch{Whole: answer.GetWhole(), Records: records, Revision: answer.GetRevision()}
+	reply.Batch = Batch{Full: answer.GetWhole(), Records: records, Revision: answer.GetRevision()}
 	switch {
 	case answer.GetLost():
-		return reply, ErrLost
+		return reply, ErrStoreUnreachable
 	case answer.GetUnavailable():
 		return reply, ErrUnavailable
 	}
 	// The question was under way for an unknown part of the time, so that its age counts
 	// from when it was sent.
-	reply.Complete = asked.Add(-time.Duration(answer.GetAgeMilli()) * time.Millisecond)
+	reply.CompleteUntil = asked.Add(-time.Duration(answer.GetAgeMilli()) * time.Millisecond)
 	return reply, nil
 }
--- a/internal/relay/serve_test.go
+++ b/internal/relay/serve_test.go
@@ -45,42 +45,42 @@
 func newClient(t *testing.T) *Client {
 	dialer := rpc.NewDialer(nil, nil)
 	t.Cleanup(func() { dialer.Close() })
-	return NewClient(Over(dialer), time.Now)
+	return NewClient(NewCall(dialer), time.Now)
 }
 
 func TestFollowOverTheWire(t *testing.T) {
-	cache := following(Batch{Whole: true, Records: []Record{{Key: "a", Value: []byte("1"), Revision: 4}}, Revision: 7})
+	cache := following(Batch{Full: true, Records: []Record{{Key: "a", Value: []byte("1"), Revision: 4}}, Revision: 7})
 	addr, client := serve(t, cache), newClient(t)
 	b, err := client.Changes(t.Context(), addr, 0, time.Second)
-	if err != nil || !b.Whole || b.Revision != 7 || string(b.Records[0].Value) != "1" || !b.Returned.IsZero() {
+	if err != nil || !b.Full || b.Revision != 7 || string(b.Records[0].Value) != "1" || !b.RecoveredAt.IsZero() {
 		t.Fatalf("%+v, %v", b, err)
 	}
-	cache.Take(Batch{Records: []Record{gone("a", 8)}, Revision: 8})
+	cache.Apply(Batch{Records: []Record{gone("a", 8)}, Revision: 8})
 	b, err = client.Changes(t.Context(), addr, b.Revision, time.Second)
-	if err != nil || b.Whole || !slices.Equal(keysOf(b.Batch), []string{"-a"}) {
+	if err != nil || b.Full || !slices.Equal(keysOf(b.Batch), []string{"-a"}) {
 		t.Fatalf("%+v, %v", b, err)
 	}
 }
 
 func TestPeerThatDoesNotFollow(t *testing.T) {
-	cache := following(Batch{Whole: true, Revision: 7})
+	cache := following(Batch{Full: true, Revision: 7})
 	cache.SetState(State{Following: false})
 	reply, err := newClient(t).Changes(t.Context(), serve(t, cache), 5, time.Second)
-	if !errors.Is(err, ErrUnavailable) || errors.Is(err, ErrLost) {
+	if !errors.Is(err, ErrUnavailable) || errors.Is(err, ErrStoreUnreachable) {
 		t.Error(err)
 	}
-	if reply.Revision != 7 || !reply.Complete.IsZero() {
-		t.Errorf("revision %d, complete until %v; want what the peer knows, and no word that it is complete", reply.Revision, reply.Complete)
+	if reply.Revision != 7 || !reply.CompleteUntil.IsZero() {
+		t.Errorf("revision %d, complete until %v; want what the peer knows, and no word that it is complete", reply.Revision, reply.CompleteUntil)
 	}
 }
 
 func TestPeerTellsThatTheServiceWasAway(t *testing.T) {
-	cache := following(Batch{Whole: true, Revision: 7})
+	cache := following(Batch{Full: true, Revision: 7})
 	back := time.Now().Add(-time.Second)
-	cache.SetState(State{Following: true, Returned: back})
+	cache.SetState(State{Following: true, RecoveredAt: back})
 	reply, err := newClient(t).Changes(t.Context(), serve(t, cache), 0, time.Second)
-	if err != nil || reply.Returned.Before(back.Add(-time.Second)) || reply.Returned.After(time.Now()) {
-		t.Error(reply.Returned, back, err)
+	if err != nil || reply.RecoveredAt.Before(back.Add(-time.Second)) || reply.RecoveredAt.After(time.Now()) {
+		t.Error(reply.RecoveredAt, back, err)
 	}
 }
 
@@ -94,9 +94,9 @@
 		synctest.Test(t, func(t *testing.T) {
 			cache := NewCache()
 			cache.SetState(State{Following: true})
-			cache.Take(Batch{Whole: true, Records: []Record{put("a", 1)}, Revision: 1})
+			cache.Apply(Batch{Full: true, Records: []Record{put("a", 1)}, Revision: 1})
 			complete := time.Now().Add(-tt.age)
-			cache.SetComplete(complete)
+			cache.SetCompleteUntil(complete)
 			const way = 100 * time.Millisecond
 			far := func(ctx context.Context, _ string, req *pb.RelayRequest) (*pb.RelayReply, error) {
 				time.Sleep(way)
@@ -106,8 +106,8 @@
 			if !errors.Is(err, tt.want) {
 				t.Fatalf("%v, want %v", err, tt.want)
 			}
-			if early := complete.Sub(got.Complete); err == nil && (early < 0 || early > way) {
-				t.Errorf("complete until %v ago, told to be so until %v ago", time.Since(complete), time.Since(got.Complete))
+			if early := complete.Sub(got.CompleteUntil); err == nil && (early < 0 || early > way) {
+				t.Errorf("complete until %v ago, told to be so until %v ago", time.Since(complete), time.Since(got.CompleteUntil))
 			}
 		})
 	}
@@ -116,27 +116,27 @@
 // TestAgeIsThatOfTheRecords proves the knowledge of a reader complete, with a change, just
 // after an answer was made. The answer lacks the change and must not be told to be complete.
 func TestAgeIsThatOfTheRecords(t *testing.T) {
-	cache := following(Batch{Whole: true, Revision: 1})
+	cache := following(Batch{Full: true, Revision: 1})
 	b, _ := cache.Wait(t.Context(), 1, 0)
-	cache.Take(Batch{Records: []Record{put("a", 2)}, Revision: 2, Complete: b.Complete.Add(time.Second)})
-	if !b.Complete.Before(cache.Complete()) || len(b.Records) > 0 {
-		t.Errorf("%+v, complete until %v", b, cache.Complete())
+	cache.Apply(Batch{Records: []Record{put("a", 2)}, Revision: 2, CompleteUntil: b.CompleteUntil.Add(time.Second)})
+	if !b.CompleteUntil.Before(cache.CompleteUntil()) || len(b.Records) > 0 {
+		t.Errorf("%+v, complete until %v", b, cache.CompleteUntil())
 	}
 }
 
 // TestAgeAfterAWait has a reader prove its knowledge complete while it holds an answer back.
 func TestAgeAfterAWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cache := following(Batch{Whole: true, Revision: 1})
+		cache := following(Batch{Full: true, Revision: 1})
 		direct := func(ctx context.Context, _ string, req *pb.RelayRequest) (*pb.RelayReply, error) {
 			return NewServer(cache, maxAge, time.Now).Changes(ctx, req)
 		}
 		proved := time.Now().Add(400 * time.Millisecond)
 		cache.complete = time.Time{}
-		time.AfterFunc(450*time.Millisecond, func() { cache.SetComplete(proved) })
+		time.AfterFunc(450*time.Millisecond, func() { cache.SetCompleteUntil(proved) })
 		got, err := NewClient(direct, time.Now).Changes(t.Context(), "peer", 1, 500*time.Millisecond)
-		if err != nil || !got.Complete.Equal(proved) {
-			t.Errorf("complete until %v, want %v; %v", got.Complete, proved, err)
+		if err != nil || !got.CompleteUntil.Equal(proved) {
+			t.Errorf("complete until %v, want %v; %v", got.CompleteUntil, proved, err)
 		}
 	})
 }
@@ -158,7 +158,7 @@
 // sends to all of its failure domain over one link.
 func TestLongValuesShrink(t *testing.T) {
 	long := []byte(strings.Repeat(`{"host":"a.example","pathPrefix":"/x/","timeoutS":2.5},`, 10_000))
-	cache := following(Batch{Whole: true, Records: []Record{{Key: "config", Value: long, Revision: 1}}, Revision: 1})
+	cache := following(Batch{Full: true, Records: []Record{{Key: "config", Value: long, Revision: 1}}, Revision: 1})
 	b, _ := cache.Wait(t.Context(), 0, 0)
 	if sent := recordsToProto(b.Records)[0]; len(sent.GetPacked()) > len(long)/10 || len(sent.GetValue()) > 0 {
 		t.Errorf("%d bytes become %d", len(long), len(sent.GetPacked())+len(sent.GetValue()))
--- a/internal/relay/plan.go
+++ b/internal/relay/sources.go
@@ -30,28 +30,28 @@
 	ID, Address string
 }
 
-// Service is the source that is the key-value service itself.
-var Service = Source{}
+// StoreSource is the source that is the key-value service itself.
+var StoreSource = Source{}
 
-// Plan returns whom an entry follows, the best first. Members may contain the
+// RankSources returns whom an entry follows, the best first. Members may contain the
 // entry itself.
-func Plan(self model.Member, members []model.Member) []Source {
+func RankSources(self model.Member, members []model.Member) []Source {
 	byDomain := group(self, members)
 	own := reader(self.Domain, byDomain[self.Domain])
 	remote := remoteReaders(self, byDomain, maxRemote)
 	if own.ID == self.ID {
-		return append([]Source{Service}, remote...)
+		return append([]Source{StoreSource}, remote...)
 	}
-	return append(append([]Source{sourceOf(own)}, remote...), Service)
+	return append(append([]Source{sourceOf(own)}, remote...), StoreSource)
 }
 
-// PlanCutOff returns whom an entry follows that the service does not answer, the best
+// RankSourcesCutOff returns whom an entry follows that the service does not answer, the best
 // first: its reader, the readers of other failure domains, members of its own one, which
 // read the service if their reader is cut off too, and the service last.
-func PlanCutOff(self model.Member, members []model.Member) []Source {
+func RankSourcesCutOff(self model.Member, members []model.Member) []Source {
 	byDomain := group(self, members)
 	var out []Source
-	own := Order(self.Domain, byDomain[self.Domain])
+	own := RankMembers(self.Domain, byDomain[self.Domain])
 	if own[0].ID != self.ID {
 		out = append(out, sourceOf(own[0]))
 	}
@@ -61,7 +61,7 @@
 			out = append(out, sourceOf(m))
 		}
 	}
-	return append(out, Service)
+	return append(out, StoreSource)
 }
 
 // group returns the live members by failure domain, the entry itself among them.
@@ -75,10 +75,10 @@
 	return byDomain
 }
 
-// Order returns the members of a failure domain in the order in which they do the
+// RankMembers returns the members of a failure domain in the order in which they do the
 // work of the domain: one that reads or collects for the others sends everything to
 // all of them, so that those with the fastest links come first.
-func Order(domain string, members []model.Member) []model.Member {
+func RankMembers(domain string, members []model.Member) []model.Member {
 	byID := make(map[string]model.Member, len(members))
 	ids := make([]string, len(members))
 	for i, m := range members {
@@ -94,7 +94,9 @@
 }
 
 // reader returns the member that follows the service for a failure domain.
-func reader(domain string, members []model.Member) model.Member { return Order(domain, members)[0] }
+func reader(domain string, members []model.Member) model.Member {
+	return RankMembers(domain, members)[0]
+}
 
 // remoteReaders returns readers of other failure domains, at most a number of them, those
 // of the own region first. Entries spread over them by their ids.
@@ -119,16 +121,16 @@
 
 func sourceOf(m model.Member) Source { return Source{m.ID, m.Agent} }
 
-// Chooser remembers which sources failed. It is not safe for concurrent use.
-type Chooser struct {
+// Picker remembers which sources failed. It is not safe for concurrent use.
+type Picker struct {
 	failed map[Source]time.Time
 }
 
-// NewChooser returns a Chooser that knows of no failure.
-func NewChooser() *Chooser { return &Chooser{failed: make(map[Source]time.Time)} }
+// NewPicker returns a Chooser that knows of no failure.
+func NewPicker() *Picker { return &Picker{failed: make(map[Source]time.Time)} }
 
-// Failed records that a source failed.
-func (c *Chooser) Failed(s Source, now time.Time) {
+// RecordFailure records that a source failed.
+func (c *Picker) RecordFailure(s Source, now time.Time) {
 	for known, at := range c.failed {
 		if now.Sub(at) >= avoidFor {
 			delete(c.failed, known)
@@ -139,7 +141,7 @@
 
 // Pick returns the first source of a plan that has not failed just before. If all
 // have, it is the one whose failure is longest ago, and untried is false.
-func (c *Chooser) Pick(plan []Source, now time.Time) (s Source, untried bool) {
+func (c *Picker) Pick(plan []Source, now time.Time) (s Source, untried bool) {
 	for _, s := range plan {
 		at, failed := c.failed[s]
 		if !failed || now.Sub(at) >= avoidFor {
--- a/internal/relay/plan_test.go
+++ b/internal/relay/sources_test.go
@@ -27,8 +27,8 @@
 	readers := make(map[string][]string)
 	followed := make(map[string]map[Source]bool)
 	for _, m := range all {
-		plan := Plan(m, all)
-		if plan[0] == Service {
+		plan := RankSources(m, all)
+		if plan[0] == StoreSource {
 			readers[m.Domain] = append(readers[m.Domain], m.ID)
 			continue
 		}
@@ -36,7 +36,7 @@
 			followed[m.Domain] = make(map[Source]bool)
 		}
 		followed[m.Domain][plan[0]] = true
-		if last := plan[len(plan)-1]; last != Service {
+		if last := plan[len(plan)-1]; last != StoreSource {
 			t.Errorf("%s: %v", m.ID, plan)
 		}
 	}
@@ -56,12 +56,12 @@
 	all := fleet(5)
 	readers := make(map[string]bool)
 	for _, m := range all {
-		if Plan(m, all)[0] == Service {
+		if RankSources(m, all)[0] == StoreSource {
 			readers[m.ID] = true
 		}
 	}
 	for _, m := range all {
-		plan := Plan(m, all)
+		plan := RankSources(m, all)
 		second := plan[1]
 		if !readers[second.ID] || second.ID[:1] != m.Region || second.ID[:2] == m.Domain {
 			t.Errorf("%s: %v", m.ID, plan)
@@ -74,15 +74,15 @@
 func TestCutOffAllReadersAreAsked(t *testing.T) {
 	all := fleet(5)
 	for _, m := range all {
-		plan := PlanCutOff(m, all)
+		plan := RankSourcesCutOff(m, all)
 		asked := make(map[string]int)
 		for _, s := range plan[:len(plan)-1] {
-			if s.ID == m.ID || s == Service {
+			if s.ID == m.ID || s == StoreSource {
 				t.Errorf("%s asks itself or the service first: %v", m.ID, plan)
 			}
 			asked[s.ID[:2]]++
 		}
-		if plan[len(plan)-1] != Service {
+		if plan[len(plan)-1] != StoreSource {
 			t.Errorf("%s does not ask the service last: %v", m.ID, plan)
 		}
 		for _, domain := range []string{"m1", "m2", "s1", "s2"} {
@@ -95,7 +95,7 @@
 
 func TestAloneTheServiceIsRead(t *testing.T) {
 	m := fleet(1)[0]
-	if plan := Plan(m, nil); len(plan) != 1 || plan[0] != Service {
+	if plan := RankSources(m, nil); len(plan) != 1 || plan[0] != StoreSource {
 		t.Error(plan)
 	}
 }
@@ -107,7 +107,7 @@
 			all[i].State = membership.Dead
 		}
 	}
-	if plan := Plan(all[0], all); len(plan) != 1 || plan[0] != Service {
+	if plan := RankSources(all[0], all); len(plan) != 1 || plan[0] != StoreSource {
 		t.Error(plan)
 	}
 }
@@ -115,8 +115,8 @@
 func TestChooser(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	a, b := Source{ID: "a"}, Source{ID: "b"}
-	plan := []Source{a, b, Service}
-	c := NewChooser()
+	plan := []Source{a, b, StoreSource}
+	c := NewPicker()
 	expect := func(want Source, untried bool) {
 		t.Helper()
 		if got, ok := c.Pick(plan, now); got != want || ok != untried {
@@ -124,12 +124,12 @@
 		}
 	}
 	expect(a, true)
-	c.Failed(a, now)
+	c.RecordFailure(a, now)
 	expect(b, true)
 	now = now.Add(time.Second)
-	c.Failed(b, now)
-	expect(Service, true)
-	c.Failed(Service, now)
+	c.RecordFailure(b, now)
+	expect(StoreSource, true)
+	c.RecordFailure(StoreSource, now)
 	expect(a, false)
 	now = now.Add(avoidFor)
 	expect(a, true)
@@ -146,9 +146,9 @@
 		}
 	}
 	for _, m := range all {
-		plan := Plan(m, all)
+		plan := RankSources(m, all)
 		fast := m.Domain + "-3"
-		if reads := plan[0] == Service; reads != (m.ID == fast) || !reads && plan[0].ID != fast {
+		if reads := plan[0] == StoreSource; reads != (m.ID == fast) || !reads && plan[0].ID != fast {
 			t.Errorf("%s: %v", m.ID, plan)
 		}
 	}
--- a/internal/relay/strangers.go
+++ b/internal/relay/unknown_senders.go
@@ -15,19 +15,19 @@
 	maxStrangers = 3
 )
 
-// Strangers are entries that report to this one though it does not know them yet: it
+// UnknownSenders are entries that report to this one though it does not know them yet: it
 // has just started, and they still list its earlier life. If the service is away they
 // are the only ones who can tell it anything. It is safe for concurrent use.
-type Strangers struct {
+type UnknownSenders struct {
 	mu    sync.Mutex
 	heard map[string]time.Time
 }
 
-// NewStrangers returns an empty set.
-func NewStrangers() *Strangers { return &Strangers{heard: make(map[string]time.Time)} }
+// NewUnknownSenders returns an empty set.
+func NewUnknownSenders() *UnknownSenders { return &UnknownSenders{heard: make(map[string]time.Time)} }
 
-// Heard records that an entry reported from an address.
-func (s *Strangers) Heard(addr string, now time.Time) {
+// RecordReport records that an entry reported from an address.
+func (s *UnknownSenders) RecordReport(addr string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for known, at := range s.heard {
@@ -39,7 +39,7 @@
 }
 
 // Sources returns the strangers to ask, those heard last first.
-func (s *Strangers) Sources(now time.Time) []Source {
+func (s *UnknownSenders) Sources(now time.Time) []Source {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []Source
--- a/internal/relay/strangers_test.go
+++ b/internal/relay/unknown_senders_test.go
@@ -8,11 +8,11 @@
 
 func TestStrangersAreTheFreshest(t *testing.T) {
 	t0 := time.Unix(1_700_000_000, 0)
-	s := NewStrangers()
+	s := NewUnknownSenders()
 	for i, addr := range []string{"stale", "a", "b", "c", "d"} {
-		s.Heard(addr, t0.Add(time.Duration(i)*100*time.Millisecond))
+		s.RecordReport(addr, t0.Add(time.Duration(i)*100*time.Millisecond))
 	}
-	s.Heard("a", t0.Add(time.Second))
+	s.RecordReport("a", t0.Add(time.Second))
 	var got []string
 	for _, src := range s.Sources(t0.Add(strangerFresh)) {
 		got = append(got, src.Address)
--- a/internal/sim/play.go
+++ b/internal/sim/play.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/loomkeel/loomkeel/internal/agenda"
+	"github.com/loomkeel/loomkeel/internal/eventsim"
 	"github.com/loomkeel/loomkeel/internal/ratelimit"
 )
 
@@ -92,7 +92,7 @@
 	site      *Site
 	policy    Policy
 	rnd       *rand.Rand
-	agenda    *agenda.Agenda
+	agenda    *eventsim.Scheduler
 	upstreams []*upstream
 	entries   []entry
 	// regionOf is the index of a region, entriesOf the indexes of its entries.
@@ -118,7 +118,7 @@
 // New returns a play of a site under the policy that newPolicy returns.
 func New(site *Site, seed uint64, newPolicy func(*Play) Policy) *Play {
 	p := &Play{
-		site: site, rnd: rand.New(rand.NewPCG(seed, 1)), agenda: agenda.New(epoch), burst: 1,
+		site: site, rnd: rand.New(rand.NewPCG(seed, 1)), agenda: eventsim.New(epoch), burst: 1,
 		regionOf: make(map[string]int), result: newResult(site),
 	}
 	p.addEntries()
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -23,9 +23,9 @@
 	Self model.Member
 	// Regions maps failure domains to regions.
 	Regions map[string]string
-	// Rejoin is how long entries that lapsed while the service was away have to
+	// ReregistrationGrace is how long entries that lapsed while the service was away have to
 	// come back after its return.
-	Rejoin time.Duration
+	ReregistrationGrace time.Duration
 	// Policy bounds what all entries may do together.
 	Policy Policy
 }
@@ -145,9 +145,9 @@
 	return true
 }
 
-// DropUpstream forgets an upstream at once, because what stands in place of its entry
+// RemoveUpstreamNow forgets an upstream at once, because what stands in place of its entry
 // names none.
-func (v *View) DropUpstream(id string, now time.Time) {
+func (v *View) RemoveUpstreamNow(id string, now time.Time) {
 	v.end(id, now)
 	delete(v.lapsed, id)
 }
@@ -185,28 +185,28 @@
 	return true
 }
 
-// Departures are the upstreams whose entries went, ordered by id.
-type Departures struct {
-	// Gone are forgotten, Kept stay until their owners had time to come back.
-	Gone, Kept []string
+// Removals are the upstreams whose entries went, ordered by id.
+type Removals struct {
+	// Removed are forgotten, Retained stay until their owners had time to come back.
+	Removed, Retained []string
 }
 
 // ReplaceUpstreams takes in all upstreams' entries at once. It returns those of
 // which there are none any more.
-func (v *View) ReplaceUpstreams(all []model.Upstream, now time.Time) Departures {
+func (v *View) ReplaceUpstreams(all []model.Upstream, now time.Time) Removals {
 	listed := make(map[string]bool, len(all))
 	for _, u := range all {
 		listed[u.ID] = true
 		v.PutUpstream(u)
 	}
-	var out Departures
+	var out Removals
 	for _, id := range slices.Sorted(maps.Keys(v.upstreams)) {
 		switch {
 		case listed[id]:
 		case v.RemoveUpstream(id, now):
-			out.Gone = append(out.Gone, id)
+			out.Removed = append(out.Removed, id)
 		default:
-			out.Kept = append(out.Kept, id)
+			out.Retained = append(out.Retained, id)
 		}
 	}
 	return out
@@ -277,8 +277,8 @@
 	v.sorted.members = nil
 }
 
-// DropNode forgets a registration at once, because what stands in its place names no node.
-func (v *View) DropNode(key string) {
+// RemoveNodeNow forgets a registration at once, because what stands in its place names no node.
+func (v *View) RemoveNodeNow(key string) {
 	delete(v.nodes, key)
 	v.sorted.members = nil
 	delete(v.lapsed, key)
@@ -296,24 +296,24 @@
 	}
 }
 
-// ServiceLost records that the key-value service cannot be reached.
-func (v *View) ServiceLost() { v.lost = true }
+// MarkStoreUnreachable records that the key-value service cannot be reached.
+func (v *View) MarkStoreUnreachable() { v.lost = true }
 
-// ServiceReached records that the key-value service answers.
-func (v *View) ServiceReached(now time.Time) {
+// MarkStoreReached records that the key-value service answers.
+func (v *View) MarkStoreReached(now time.Time) {
 	if v.lost {
 		v.returned = now
 	}
 	v.lost = false
 }
 
-// ServiceVouched records that another node, which follows the key-value service, says
+// MarkStoreReachedByPeer records that another node, which follows the key-value service, says
 // that it is there.
-func (v *View) ServiceVouched() { v.lost = false }
+func (v *View) MarkStoreReachedByPeer() { v.lost = false }
 
-// ServiceReturned records when the key-value service came back after it was away,
+// SetStoreRecovered records when the key-value service came back after it was away,
 // though this node need not have noticed.
-func (v *View) ServiceReturned(at time.Time) {
+func (v *View) SetStoreRecovered(at time.Time) {
 	if at.After(v.returned) {
 		v.returned = at
 	}
@@ -322,12 +322,12 @@
 // unsettled reports whether entries may be missing because the service is or was
 // away, rather than because their owners are.
 func (v *View) unsettled(now time.Time) bool {
-	return v.lost || !v.returned.IsZero() && now.Sub(v.returned) < v.opt.Rejoin
+	return v.lost || !v.returned.IsZero() && now.Sub(v.returned) < v.opt.ReregistrationGrace
 }
 
-// Tick forgets the lapsed entries whose owners did not come back in time. It
+// ExpireLapsed forgets the lapsed entries whose owners did not come back in time. It
 // reports whether anything changed.
-func (v *View) Tick(now time.Time) bool {
+func (v *View) ExpireLapsed(now time.Time) bool {
 	if v.unsettled(now) || len(v.lapsed) == 0 {
 		return false
 	}
@@ -340,22 +340,22 @@
 	return true
 }
 
-// Kept returns the upstreams and registrations whose entries went and that stay for
+// Retained returns the upstreams and registrations whose entries went and that stay for
 // now, ordered.
-func (v *View) Kept() []string { return slices.Sorted(maps.Keys(v.lapsed)) }
+func (v *View) Retained() []string { return slices.Sorted(maps.Keys(v.lapsed)) }
 
-// Service is what a View believes of the key-value service.
-type Service struct {
-	// Lost is set while it is taken to be away, Returned is when it was taken to be
+// StoreStatus is what a View believes of the key-value service.
+type StoreStatus struct {
+	// Unreachable is set while it is taken to be away, Returned is when it was taken to be
 	// back; zero if it never was away.
-	Lost     bool      `json:"lost"`
-	Returned time.Time `json:"returned,omitzero"`
-	// Kept is how many upstreams and registrations stay though their entries went.
-	Kept int `json:"kept"`
+	Unreachable bool      `json:"lost"`
+	RecoveredAt time.Time `json:"returned,omitzero"`
+	// Retained is how many upstreams and registrations stay though their entries went.
+	Retained int `json:"kept"`
 }
 
-// Service returns what is believed of the key-value service.
-func (v *View) Service() Service { return Service{v.lost, v.returned, len(v.lapsed)} }
+// StoreStatus returns what is believed of the key-value service.
+func (v *View) StoreStatus() StoreStatus { return StoreStatus{v.lost, v.returned, len(v.lapsed)} }
 
 // Members returns the nodes that are live, the own one among them, ordered by id.
 // Of two registrations of one node the newer counts. The caller must not change the list.
@@ -376,8 +376,8 @@
 	return slices.SortedFunc(maps.Values(byID), func(a, b model.Member) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Others returns members without the own one.
-func (v *View) Others(members []model.Member) []model.Member {
+// WithoutSelf returns members without the own one.
+func (v *View) WithoutSelf(members []model.Member) []model.Member {
 	return slices.DeleteFunc(slices.Clone(members), func(m model.Member) bool { return m.ID == v.opt.Self.ID })
 }
 
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -17,9 +17,9 @@
 
 func newView() *View {
 	v := New(Options{
-		Self:    model.Member{ID: "n1", State: membership.Alive, Region: "muscat", Entry: "10.0.0.1:80"},
-		Regions: map[string]string{"mus-a": "muscat", "soh-a": "sohar"},
-		Rejoin:  2 * time.Second,
+		Self:                model.Member{ID: "n1", State: membership.Alive, Region: "muscat", Entry: "10.0.0.1:80"},
+		Regions:             map[string]string{"mus-a": "muscat", "soh-a": "sohar"},
+		ReregistrationGrace: 2 * time.Second,
 	})
 	v.SetConfig(&model.Config{Version: 3, Services: map[string]model.ServiceConfig{"stock": {Warmup: 3 * time.Second}}})
 	return v
@@ -55,18 +55,18 @@
 	v := newView()
 	v.PutUpstream(upstream("u1", "mus-a"))
 	v.PutUpstream(upstream("u2", "mus-a"))
-	v.ServiceLost()
-	v.ServiceReached(at(10))
+	v.MarkStoreUnreachable()
+	v.MarkStoreReached(at(10))
 	v.ReplaceUpstreams(nil, at(10))
 	if !has(v, "u1") || !has(v, "u2") {
 		t.Fatal("an entry that lapsed is gone at once")
 	}
 	v.PutUpstream(upstream("u1", "mus-a"))
-	v.Tick(at(11.9))
+	v.ExpireLapsed(at(11.9))
 	if !has(v, "u2") {
 		t.Error("gone before its owner had time")
 	}
-	if !v.Tick(at(12)) || has(v, "u2") || !has(v, "u1") {
+	if !v.ExpireLapsed(at(12)) || has(v, "u2") || !has(v, "u1") {
 		t.Error("after the time only the one that came back is to stay")
 	}
 }
@@ -77,11 +77,11 @@
 func TestReturnCountsFromTheFirstAnswer(t *testing.T) {
 	v := newView()
 	v.PutUpstream(upstream("u1", "mus-a"))
-	v.ServiceLost()
-	v.ServiceReached(at(10))
+	v.MarkStoreUnreachable()
+	v.MarkStoreReached(at(10))
 	v.ReplaceUpstreams(nil, at(10))
-	v.ServiceReached(at(11.5))
-	if !v.Tick(at(12)) || has(v, "u1") {
+	v.MarkStoreReached(at(11.5))
+	if !v.ExpireLapsed(at(12)) || has(v, "u1") {
 		t.Error("still there two seconds after the return")
 	}
 }
@@ -93,7 +93,7 @@
 	u := upstream("u1", "mus-a")
 	u.Leaving = true
 	v.PutUpstream(u)
-	v.ServiceLost()
+	v.MarkStoreUnreachable()
 	if !v.RemoveUpstream("u1", at(1)) {
 		t.Error("kept")
 	}
@@ -146,7 +146,7 @@
 	if ms := v.Members(); len(ms) != 2 {
 		t.Errorf("members %v after the older one lapsed", ms)
 	}
-	if others := v.Others(ms); len(others) != 1 || others[0].ID != "n2" {
+	if others := v.WithoutSelf(ms); len(others) != 1 || others[0].ID != "n2" {
 		t.Errorf("others %v", others)
 	}
 }
@@ -203,7 +203,7 @@
 		case 3:
 			v.RemoveUpstream(id, now)
 		case 4:
-			v.DropUpstream(id, now)
+			v.RemoveUpstreamNow(id, now)
 		case 5:
 			v.ReplaceUpstreams([]model.Upstream{upstream(id, "mus-a")}, now)
 		case 6:
@@ -211,14 +211,14 @@
 		case 7:
 			v.RemoveNode(id, now)
 		case 8:
-			v.DropNode(id)
+			v.RemoveNodeNow(id)
 		case 9:
-			v.ServiceLost()
-			v.ServiceReached(now)
+			v.MarkStoreUnreachable()
+			v.MarkStoreReached(now)
 		case 10:
 			v.PutDrain("mus-a", now)
 			v.RemoveDrain("mus-a", now.Add(time.Second))
-			v.Tick(now)
+			v.ExpireLapsed(now)
 		case 11:
 			v.SetConfig(&model.Config{Version: uint64(i), Services: v.config.Services, Routes: []*model.Route{{Name: id, Host: id, Prefix: "/"}}})
 		}
