--- a/internal/eventsim/eventsim.go
+++ b/internal/eventsim/eventsim.go
@@ -1,4 +1,4 @@
-// Package eventsim plays events in virtual time, for simulations that repeat exactly.
+// Package eventsim runs discrete-event simulations in virtual time that repeat exactly.
 package eventsim
 
 import (
@@ -6,65 +6,68 @@
 	"time"
 )
 
-// Scheduler holds the events to come, in the order of their times; of two at one time the one that
-// was planned first comes first. It is not safe for concurrent use.
+// Scheduler runs events in the order of their times. Events at the same time run in the order
+// in which they were scheduled. It is not safe for concurrent use.
 type Scheduler struct {
-	now     time.Time
-	planned int
-	queue   queue
+	now       time.Time
+	scheduled int
+	queue     eventQueue
 }
 
-// New returns an empty Agenda that begins at a time.
-func New(begin time.Time) *Scheduler { return &Scheduler{now: begin} }
+// New returns a Scheduler without events whose virtual time starts at a given time.
+func New(start time.Time) *Scheduler { return &Scheduler{now: start} }
 
-// Now returns the time of the present event.
-func (a *Scheduler) Now() time.Time { return a.now }
+// Now returns the virtual time: that of the event that runs or ran last.
+func (s *Scheduler) Now() time.Time { return s.now }
 
-// At plans an event for a time.
-func (a *Scheduler) At(t time.Time, do func()) {
-	a.planned++
-	heap.Push(&a.queue, event{t, a.planned, do})
+// At schedules a call of fn at a virtual time.
+func (s *Scheduler) At(t time.Time, fn func()) {
+	s.scheduled++
+	heap.Push(&s.queue, event{t, s.scheduled, fn})
 }
 
-// After plans an event.
-func (a *Scheduler) After(d time.Duration, do func()) { a.At(a.now.Add(d), do) }
+// After schedules a call of fn after a duration of virtual time.
+func (s *Scheduler) After(d time.Duration, fn func()) { s.At(s.now.Add(d), fn) }
 
-// Run plays all events, and those that they plan.
-func (a *Scheduler) Run() {
-	for len(a.queue) > 0 {
-		a.next()
+// Run runs all events, including those that are scheduled meanwhile.
+func (s *Scheduler) Run() {
+	for len(s.queue) > 0 {
+		s.runNext()
 	}
 }
 
-// RunUntil plays the events up to a time, and those that they plan.
-func (a *Scheduler) RunUntil(t time.Time) {
-	for len(a.queue) > 0 && !a.queue[0].at.After(t) {
-		a.next()
+// RunUntil runs all events up to and including a virtual time, including those that are
+// scheduled meanwhile.
+func (s *Scheduler) RunUntil(t time.Time) {
+	for len(s.queue) > 0 && !s.queue[0].at.After(t) {
+		s.runNext()
 	}
 }
 
-func (a *Scheduler) next() {
-	e := heap.Pop(&a.queue).(event)
-	a.now = e.at
-	e.do()
+// runNext advances the virtual time to the next event and runs it.
+func (s *Scheduler) runNext() {
+	e := heap.Pop(&s.queue).(event)
+	s.now = e.at
+	e.fn()
 }
 
+// event is a scheduled call; seq orders the events of the same time.
 type event struct {
-	at time.Time
-	n  int
-	do func()
+	at  time.Time
+	seq int
+	fn  func()
 }
 
-// queue implements heap.Interface.
-type queue []event
+// eventQueue implements heap.Interface.
+type eventQueue []event
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
-	return q[i].at.Before(q[j].at) || q[i].at.Equal(q[j].at) && q[i].n < q[j].n
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at.Before(q[j].at) || q[i].at.Equal(q[j].at) && q[i].seq < q[j].seq
 }
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *queue) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
 	old := *q
 	x := old[len(old)-1]
 	*q = old[:len(old)-1]
--- a/internal/outage/outage.go
+++ b/internal/outage/outage.go
@@ -1,107 +1,110 @@
-// Package outage judges whether a key-value service is away, or whether only some
-// entries are cut off from it.
+// Package outage decides whether a key-value store is unreachable for all nodes, or
+// whether only some nodes are cut off from it.
 //
-// The difference matters for entries of others that disappear from the service: after
-// an outage they may have lapsed though their owners live, otherwise their owners have
-// left. What an entry sees itself goes before what peers say: a service that answers the
-// entry's own heartbeats is not away, whoever has lost it.
+// The difference matters for records that disappear from the store: after an outage their
+// leases may have expired though their owners are running, otherwise their owners have
+// left. The node's own heartbeats, the calls by which it renews its lease, take precedence
+// over reports of peers: a store that answers them is not in an outage, whichever peer has
+// lost its connection to it.
 //
-// A Judge does no I/O and reads no clock.
+// A Detector does no I/O and reads no clock.
 package outage
 
 import "time"
 
-// returnSlack is by how much two entries may differ on when the service came back:
-// each notices with its next call, and calls are a second apart.
-const returnSlack = time.Second
+// recoverySlack is by how much two nodes may differ on when the store recovered: each
+// notices with its next call, and calls are a second apart.
+const recoverySlack = time.Second
 
-// Options sets up a Judge.
+// Options sets up a Detector.
 type Options struct {
-	// DetectionTime is the longest time from a change of the service, away or back, until a
-	// heartbeat shows it: the time between two heartbeats and the timeout of one.
+	// DetectionTime is the longest time from the start or end of an outage until a heartbeat
+	// shows it: the time between two heartbeats plus the timeout of one.
 	DetectionTime time.Duration
 }
 
-// Detector follows the own calls and the words of peers. It is not safe for concurrent
-// use.
+// Detector tracks outages of the store from the results of the node's own calls and from
+// reports of peers. It is not safe for concurrent use.
 type Detector struct {
 	opt Options
-	// answered is set if the last heartbeat that ended was answered, broken is when one
-	// last failed.
-	answered bool
-	broken   time.Time
-	lost     bool
-	returned time.Time
+	// heartbeatOK is set if the last finished heartbeat was answered, heartbeatFailedAt is
+	// when one last failed.
+	heartbeatOK       bool
+	heartbeatFailedAt time.Time
+	unreachable       bool
+	recoveredAt       time.Time
 }
 
-// New returns a Judge that takes the service to be there.
+// New returns a Detector that considers the store reachable.
 func New(opt Options) *Detector { return &Detector{opt: opt} }
 
-// Unreachable reports whether the service is taken to be away.
-func (j *Detector) Unreachable() bool { return j.lost }
+// Unreachable reports whether the store is considered unreachable.
+func (d *Detector) Unreachable() bool { return d.unreachable }
 
-// RecoveredAt returns when the service was taken to be back after an outage; zero if it
-// never was away.
-func (j *Detector) RecoveredAt() time.Time { return j.returned }
+// RecoveredAt returns when the last outage ended; zero if there was none.
+func (d *Detector) RecoveredAt() time.Time { return d.recoveredAt }
 
-// RecordHeartbeatSuccess records that a heartbeat of the entry was answered. It reports
-// whether the service is back with it.
-func (j *Detector) RecordHeartbeatSuccess(now time.Time) bool {
-	j.answered = true
-	return j.RecordSuccess(now)
+// RecordHeartbeatSuccess records that a heartbeat of the node was answered. It reports
+// whether this ended an outage.
+func (d *Detector) RecordHeartbeatSuccess(now time.Time) bool {
+	d.heartbeatOK = true
+	return d.RecordSuccess(now)
 }
 
-// RecordHeartbeatFailure records that a heartbeat of the entry was not answered.
-func (j *Detector) RecordHeartbeatFailure(now time.Time) {
-	j.answered, j.broken = false, now
+// RecordHeartbeatFailure records that a heartbeat of the node was not answered.
+func (d *Detector) RecordHeartbeatFailure(now time.Time) {
+	d.heartbeatOK, d.heartbeatFailedAt = false, now
 }
 
-// RecordSuccess records that a call of the entry was answered. It reports whether the
-// service is back with it.
-func (j *Detector) RecordSuccess(now time.Time) bool {
-	if !j.lost {
+// RecordSuccess records that a call of the node was answered. It reports whether this
+// ended an outage.
+func (d *Detector) RecordSuccess(now time.Time) bool {
+	if !d.unreachable {
 		return false
 	}
-	j.lost, j.returned = false, now
+	d.unreachable, d.recoveredAt = false, now
 	return true
 }
 
-// RecordReadFailure records that somebody who read the service cannot reach it: the entry itself,
-// or the peer that it followed. It reports whether the service is taken for lost with it.
+// RecordReadFailure records that a reader of the store cannot reach it: the node itself, or
+// the peer that it followed. It reports whether the store is considered unreachable from
+// now on.
 //
-// While heartbeats are answered it is not. Entries that take their reader's loss for the
-// service's keep upstreams that have left, in case their entries lapsed. An outage that no
-// heartbeat meets is too short for entries to lapse.
-func (j *Detector) RecordReadFailure() bool {
-	if j.answered || j.lost {
+// It is not while heartbeats are answered. Nodes that mistook their reader's lost connection
+// for an outage would retain upstreams that have left, in case their records had lapsed. An
+// outage that no heartbeat falls into is too short for records to lapse.
+func (d *Detector) RecordReadFailure() bool {
+	if d.heartbeatOK || d.unreachable {
 		return false
 	}
-	j.lost = true
+	d.unreachable = true
 	return true
 }
 
-// RecordPeerReachable records that a peer reaches the service, which ends a loss. Whether there was
-// an outage the peer has to say (PeerReturned). It reports whether that is news.
-func (j *Detector) RecordPeerReachable() bool {
-	news := j.lost
-	j.lost = false
-	return news
+// RecordPeerReachable records that a peer reaches the store, so that the store is no longer
+// considered unreachable. It records no recovery: whether there was an outage is for the peer
+// to report (RecordPeerRecovery). It reports whether the store was considered unreachable.
+func (d *Detector) RecordPeerReachable() bool {
+	changed := d.unreachable
+	d.unreachable = false
+	return changed
 }
 
-// RecordPeerRecovery records that a peer reached the service again after a loss of its own. It
-// reports whether the entry takes that for the return of the service: not if it knew
-// already, nor if none of its own heartbeats failed near that time, since then only the
-// peer was cut off.
-func (j *Detector) RecordPeerRecovery(at time.Time) bool {
-	if j.contradicts(at) || at.Sub(j.returned) <= returnSlack {
+// RecordPeerRecovery records that a peer reached the store again after it had lost it. It
+// reports whether this is adopted as the time at which the store recovered: not if the
+// recovery is already known, nor if none of the node's own heartbeats failed near that time,
+// since then only the peer was cut off.
+func (d *Detector) RecordPeerRecovery(at time.Time) bool {
+	if d.contradictedByHeartbeats(at) || at.Sub(d.recoveredAt) <= recoverySlack {
 		return false
 	}
-	j.returned = at
+	d.recoveredAt = at
 	return true
 }
 
-// contradicts reports whether the own heartbeats were answered when an outage is said
-// to have ended. Both they and the peer noticed the end within Notice.
-func (j *Detector) contradicts(at time.Time) bool {
-	return j.answered && (j.broken.IsZero() || at.Sub(j.broken) > 2*j.opt.DetectionTime)
+// contradictedByHeartbeats reports whether the node's own heartbeats were answered around
+// the reported end of an outage. The node and the peer each notice the end within
+// DetectionTime.
+func (d *Detector) contradictedByHeartbeats(at time.Time) bool {
+	return d.heartbeatOK && (d.heartbeatFailedAt.IsZero() || at.Sub(d.heartbeatFailedAt) > 2*d.opt.DetectionTime)
 }
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -1,11 +1,11 @@
-// Package view holds what a node believes of the world outside it: the newest
-// configuration, the upstreams, the failure domains that are being emptied, and
-// the other nodes.
+// Package view holds a node's view of the system: the newest configuration, the
+// upstreams, the failure domains that are being drained, and the other nodes.
 //
-// A View takes in what a key-value service tells and compiles snapshots. It
-// does no I/O and reads no clock. It knows that silence of that service is no
-// sign of death: entries that lapse while the service is away are kept until
-// their owners had time to write them again.
+// A View applies the records of a key-value store and compiles snapshots from them.
+// It does no I/O and reads no clock. A record that disappears during an outage of the
+// store does not mean that its owner has stopped: its lease may have expired only because
+// the owner could not renew it. Such records are retained until their owners have had
+// time to write them again.
 package view
 
 import (
@@ -19,180 +19,182 @@
 
 // Options sets up a View.
 type Options struct {
-	// Self is the own node.
+	// Self is the local node.
 	Self model.Member
 	// Regions maps failure domains to regions.
 	Regions map[string]string
-	// ReregistrationGrace is how long entries that lapsed while the service was away have to
-	// come back after its return.
+	// ReregistrationGrace is how long records that lapsed during an outage of the store
+	// are retained after its recovery, so that their owners can write them again.
 	ReregistrationGrace time.Duration
-	// Policy bounds what all entries may do together.
+	// Policy holds the limits that snapshots carry.
 	Policy Policy
 }
 
-// Policy bounds what all entries may do together.
+// Policy holds the limits that apply to all entries together.
 type Policy struct {
-	// RetryRatio is how many retries each request earns, RetrySlack how many may
-	// come on top.
+	// RetryRatio is how many retries each request adds to the retry budget, RetrySlack
+	// how many retries are allowed beyond that.
 	RetryRatio, RetrySlack float64
-	// ColdFactor and ColdSlack bound the requests to a cold upstream in a second
-	// by its rate times the one plus the other.
+	// ColdFactor and ColdSlack limit the requests per second to a cold upstream to its
+	// warm-up rate times ColdFactor, plus ColdSlack.
 	ColdFactor, ColdSlack float64
-	// LimitSlack is how many requests of an organisation may run beyond its limit.
+	// LimitSlack is how many requests of an organisation are allowed beyond its limit.
 	LimitSlack float64
 }
 
-// View is the state. It is not safe for concurrent use.
+// View is the state of one node. It is not safe for concurrent use.
 type View struct {
 	opt       Options
 	config    *model.Config
 	upstreams map[string]model.Upstream
 	drained   map[string]time.Time
-	nodes     map[string]node
-	// lost is set while the service cannot be reached, returned when it was
+	nodes     map[string]registration
+	// unreachable is set while the store cannot be reached, recoveredAt is when it was
 	// reached again.
-	lost     bool
-	returned time.Time
-	// lapsed are the entries that went while the service was away or soon after,
-	// by when.
+	unreachable bool
+	recoveredAt time.Time
+	// lapsed holds when each retained record disappeared, by upstream id or node key: the
+	// records that disappeared during an outage of the store or soon after it.
 	lapsed map[string]time.Time
-	// ended are the newest lives of upstreams that are gone.
-	ended map[string]ended
-	// sorted are the lists that snapshots are made of, as of the last change of each.
-	sorted sorted
-}
-
-// sorted holds what is compiled from the parts of a View, each nil when that part has
-// changed since. Most changes concern one part, and in a large fleet ordering the others
-// anew takes most of the time of a snapshot.
-type sorted struct {
-	// ids are those of the upstreams: most changes are of an upstream that is there.
+	// removed holds the newest incarnation of each removed upstream, by upstream id.
+	removed map[string]removedIncarnation
+	// lists caches the lists that snapshots are compiled from.
+	lists listCache
+}
+
+// listCache holds lists compiled from the parts of a View; a list is nil if its part has
+// changed since. Most changes concern one part, and in a large fleet sorting the others
+// again takes most of the time of a snapshot.
+type listCache struct {
+	// ids holds the ids of the upstreams. It has a cache of its own because most changes
+	// concern an upstream that already exists and leave the ids as they are.
 	ids       []string
 	upstreams []model.Upstream
 	members   []model.Member
 	routes    *model.Routes
 }
 
-// ended is a life of an upstream that is over.
-type ended struct {
-	born int64
-	at   time.Time
+// removedIncarnation is the last incarnation of an upstream that was removed.
+type removedIncarnation struct {
+	startedAt int64
+	removedAt time.Time
 }
 
-// rememberEnded is how long the end of an upstream's life is remembered. A write to the
-// service that its caller gave up on may still be done some seconds later, and must not
-// bring back an earlier life than the last.
-const rememberEnded = time.Minute
+// removedRetention is how long the last incarnation of a removed upstream is remembered.
+// The store may carry out a write some seconds after its writer has given up on it, and
+// such a write must not restore an earlier incarnation.
+const removedRetention = time.Minute
 
-// node is a registration of a node.
-type node struct {
+// registration is a node's record and its key in the store.
+type registration struct {
 	model.Member
 	key string
 }
 
-// New returns a View that knows only the own node.
+// New returns a View that holds only the local node.
 func New(opt Options) *View {
 	return &View{
 		opt:       opt,
 		upstreams: make(map[string]model.Upstream),
 		drained:   make(map[string]time.Time),
-		nodes:     make(map[string]node),
+		nodes:     make(map[string]registration),
 		lapsed:    make(map[string]time.Time),
-		ended:     make(map[string]ended),
+		removed:   make(map[string]removedIncarnation),
 	}
 }
 
-// SetConfig takes in a configuration if it is newer than the one in force. It
-// reports whether it was.
+// SetConfig applies a configuration if its version is higher than that of the present
+// one. It reports whether it did.
 func (v *View) SetConfig(c *model.Config) bool {
 	if v.config != nil && c.Version <= v.config.Version {
 		return false
 	}
 	v.config = c
-	v.sorted.routes = nil
+	v.lists.routes = nil
 	return true
 }
 
-// SetPolicy changes the bounds.
+// SetPolicy replaces the limits that snapshots carry.
 func (v *View) SetPolicy(p Policy) { v.opt.Policy = p }
 
-// Config returns the configuration in force, or nil.
+// Config returns the present configuration, or nil if there is none yet.
 func (v *View) Config() *model.Config { return v.config }
 
-// HasDomain reports whether a failure domain exists.
+// HasDomain reports whether a failure domain is one of Options.Regions.
 func (v *View) HasDomain(domain string) bool {
 	_, ok := v.opt.Regions[domain]
 	return ok
 }
 
-// PutUpstream takes in an upstream's entry. It reports whether it does: the entry of a
-// life before the one that is known changes nothing.
+// PutUpstream adds or replaces an upstream. It reports whether it did: a record of an
+// earlier incarnation than the known one is ignored.
 func (v *View) PutUpstream(u model.Upstream) bool {
 	if known, ok := v.upstreams[u.ID]; ok && known.RestartOf(&u) {
 		return false
 	}
-	if u.StartedAt > 0 && u.StartedAt < v.ended[u.ID].born {
+	if u.StartedAt > 0 && u.StartedAt < v.removed[u.ID].startedAt {
 		return false
 	}
 	u.Region = v.opt.Regions[u.Domain]
 	if _, known := v.upstreams[u.ID]; !known {
-		v.sorted.ids = nil
+		v.lists.ids = nil
 	}
 	v.upstreams[u.ID] = u
-	v.sorted.upstreams = nil
+	v.lists.upstreams = nil
 	delete(v.lapsed, u.ID)
-	delete(v.ended, u.ID)
+	delete(v.removed, u.ID)
 	return true
 }
 
-// RemoveUpstreamNow forgets an upstream at once, because what stands in place of its entry
-// names none.
+// RemoveUpstreamNow removes an upstream without a grace period. It is used when the record
+// under the upstream's key no longer describes an upstream.
 func (v *View) RemoveUpstreamNow(id string, now time.Time) {
-	v.end(id, now)
+	v.deleteUpstream(id, now)
 	delete(v.lapsed, id)
 }
 
-// end forgets an upstream but for when its last life began.
-func (v *View) end(id string, now time.Time) {
+// deleteUpstream deletes an upstream and remembers its last incarnation.
+func (v *View) deleteUpstream(id string, now time.Time) {
 	u, ok := v.upstreams[id]
 	if !ok {
 		return
 	}
 	delete(v.upstreams, id)
-	v.sorted.ids, v.sorted.upstreams = nil, nil
-	maps.DeleteFunc(v.ended, func(_ string, e ended) bool { return now.Sub(e.at) >= rememberEnded })
+	v.lists.ids, v.lists.upstreams = nil, nil
+	maps.DeleteFunc(v.removed, func(_ string, r removedIncarnation) bool { return now.Sub(r.removedAt) >= removedRetention })
 	if u.StartedAt > 0 {
-		v.ended[id] = ended{u.StartedAt, now}
+		v.removed[id] = removedIncarnation{u.StartedAt, now}
 	}
 }
 
-// RemoveUpstream records that an upstream's entry is gone. It reports whether the
-// upstream is: while the service was just away, its entry may have lapsed, and
-// the upstream is kept until it had time to come back, unless it had said that it
-// leaves.
+// RemoveUpstream records that an upstream's record is gone from the store. It reports
+// whether the upstream was removed: during an outage of the store and for
+// ReregistrationGrace after it, the record may have lapsed, so that the upstream is retained
+// unless its record said that it was leaving.
 func (v *View) RemoveUpstream(id string, now time.Time) bool {
 	u, ok := v.upstreams[id]
 	if !ok {
 		return false
 	}
-	if v.unsettled(now) && !u.Leaving {
+	if v.inOutageGrace(now) && !u.Leaving {
 		if _, ok := v.lapsed[id]; !ok {
 			v.lapsed[id] = now
 		}
 		return false
 	}
-	v.end(id, now)
+	v.deleteUpstream(id, now)
 	return true
 }
 
-// Removals are the upstreams whose entries went, ordered by id.
+// Removals lists the upstreams whose records are gone, each list ordered by id.
 type Removals struct {
-	// Removed are forgotten, Retained stay until their owners had time to come back.
+	// Removed upstreams are deleted, Retained ones stay until their owners have had time to
+	// write their records again.
 	Removed, Retained []string
 }
 
-// ReplaceUpstreams takes in all upstreams' entries at once. It returns those of
-// which there are none any more.
+// ReplaceUpstreams applies a full list of the upstreams in the store. It returns the
+// upstreams that the list does not contain.
 func (v *View) ReplaceUpstreams(all []model.Upstream, now time.Time) Removals {
 	listed := make(map[string]bool, len(all))
 	for _, u := range all {
@@ -212,15 +214,17 @@
 	return out
 }
 
-// PutDrain records that a failure domain is being emptied.
+// PutDrain records that a failure domain is being drained since now. If it already is,
+// its start time stays.
 func (v *View) PutDrain(domain string, now time.Time) {
 	if _, ok := v.drained[domain]; !ok {
 		v.drained[domain] = now
 	}
 }
 
-// RemoveDrain records that a failure domain is in use again. Its upstreams may
-// have turned cold in the meantime, so they are warmed up anew.
+// RemoveDrain records that a failure domain is no longer drained. Its upstreams may have
+// gone cold while they had no traffic, so they are marked cold for their service's warm-up
+// time.
 func (v *View) RemoveDrain(domain string, now time.Time) {
 	if _, ok := v.drained[domain]; !ok {
 		return
@@ -237,12 +241,12 @@
 		if u.ColdUntil.Before(cold) {
 			u.ColdUntil = cold
 			v.upstreams[id] = u
-			v.sorted.upstreams = nil
+			v.lists.upstreams = nil
 		}
 	}
 }
 
-// ReplaceDrains takes in all failure domains that are being emptied.
+// ReplaceDrains applies a full list of the failure domains that are being drained.
 func (v *View) ReplaceDrains(domains []string, now time.Time) {
 	for domain := range v.drained {
 		if !slices.Contains(domains, domain) {
@@ -254,37 +258,38 @@
 	}
 }
 
-// PutNode takes in a node's registration under a key.
+// PutNode adds or replaces a node's registration under its key in the store.
 func (v *View) PutNode(key string, m model.Member) {
-	v.nodes[key] = node{m, key}
-	v.sorted.members = nil
+	v.nodes[key] = registration{m, key}
+	v.lists.members = nil
 	delete(v.lapsed, key)
 }
 
-// RemoveNode records that a registration is gone. It is kept for a while if the
-// service was just away.
+// RemoveNode records that a registration is gone from the store. During an outage of the
+// store and for ReregistrationGrace after it the registration is retained.
 func (v *View) RemoveNode(key string, now time.Time) {
 	if _, ok := v.nodes[key]; !ok {
 		return
 	}
-	if v.unsettled(now) {
+	if v.inOutageGrace(now) {
 		if _, ok := v.lapsed[key]; !ok {
 			v.lapsed[key] = now
 		}
 		return
 	}
 	delete(v.nodes, key)
-	v.sorted.members = nil
+	v.lists.members = nil
 }
 
-// RemoveNodeNow forgets a registration at once, because what stands in its place names no node.
+// RemoveNodeNow removes a registration without a grace period. It is used when the record
+// under the key no longer describes a node.
 func (v *View) RemoveNodeNow(key string) {
 	delete(v.nodes, key)
-	v.sorted.members = nil
+	v.lists.members = nil
 	delete(v.lapsed, key)
 }
 
-// ReplaceNodes takes in all registrations at once.
+// ReplaceNodes applies a full list of the registrations in the store, by key.
 func (v *View) ReplaceNodes(all map[string]model.Member, now time.Time) {
 	for key, m := range all {
 		v.PutNode(key, m)
@@ -296,76 +301,82 @@
 	}
 }
 
-// MarkStoreUnreachable records that the key-value service cannot be reached.
-func (v *View) MarkStoreUnreachable() { v.lost = true }
+// MarkStoreUnreachable records that the key-value store cannot be reached.
+func (v *View) MarkStoreUnreachable() { v.unreachable = true }
 
-// MarkStoreReached records that the key-value service answers.
+// MarkStoreReached records that the key-value store responds. If it was unreachable, the
+// outage ended now.
 func (v *View) MarkStoreReached(now time.Time) {
-	if v.lost {
-		v.returned = now
+	if v.unreachable {
+		v.recoveredAt = now
 	}
-	v.lost = false
+	v.unreachable = false
 }
 
-// MarkStoreReachedByPeer records that another node, which follows the key-value service, says
-// that it is there.
-func (v *View) MarkStoreReachedByPeer() { v.lost = false }
+// MarkStoreReachedByPeer records that another node, which follows the key-value store,
+// reports that the store is reachable. No end of an outage is recorded.
+func (v *View) MarkStoreReachedByPeer() { v.unreachable = false }
 
-// SetStoreRecovered records when the key-value service came back after it was away,
-// though this node need not have noticed.
+// SetStoreRecovered records when an outage of the key-value store ended, which this node
+// may not have noticed itself. A time before the known one is ignored.
 func (v *View) SetStoreRecovered(at time.Time) {
-	if at.After(v.returned) {
-		v.returned = at
+	if at.After(v.recoveredAt) {
+		v.recoveredAt = at
 	}
 }
 
-// unsettled reports whether entries may be missing because the service is or was
-// away, rather than because their owners are.
-func (v *View) unsettled(now time.Time) bool {
-	return v.lost || !v.returned.IsZero() && now.Sub(v.returned) < v.opt.ReregistrationGrace
+// inOutageGrace reports whether records may be missing because of an outage of the store
+// rather than because their owners have stopped.
+func (v *View) inOutageGrace(now time.Time) bool {
+	return v.unreachable || !v.recoveredAt.IsZero() && now.Sub(v.recoveredAt) < v.opt.ReregistrationGrace
 }
 
-// ExpireLapsed forgets the lapsed entries whose owners did not come back in time. It
-// reports whether anything changed.
+// ExpireLapsed deletes the retained upstreams and registrations once the grace period
+// after an outage is over. It reports whether there were any.
 func (v *View) ExpireLapsed(now time.Time) bool {
-	if v.unsettled(now) || len(v.lapsed) == 0 {
+	if v.inOutageGrace(now) || len(v.lapsed) == 0 {
 		return false
 	}
 	for id := range v.lapsed {
-		v.end(id, now)
+		v.deleteUpstream(id, now)
 		delete(v.nodes, id)
 	}
-	v.sorted.members = nil
+	v.lists.members = nil
 	clear(v.lapsed)
 	return true
 }
 
-// Retained returns the upstreams and registrations whose entries went and that stay for
-// now, ordered.
+// Retained returns the ids of the upstreams and the keys of the registrations that are
+// retained though their records are gone from the store, sorted.
 func (v *View) Retained() []string { return slices.Sorted(maps.Keys(v.lapsed)) }
 
-// StoreStatus is what a View believes of the key-value service.
+// StoreStatus is the state of the key-value store as a View has it.
 type StoreStatus struct {
-	// Unreachable is set while it is taken to be away, Returned is when it was taken to be
-	// back; zero if it never was away.
+	// Unreachable is set while the store is considered unreachable. RecoveredAt is when the
+	// last outage ended; zero if there was none.
 	Unreachable bool      `json:"lost"`
 	RecoveredAt time.Time `json:"returned,omitzero"`
-	// Retained is how many upstreams and registrations stay though their entries went.
+	// Retained is how many upstreams and registrations are retained though their records
+	// are gone.
 	Retained int `json:"kept"`
 }
 
-// StoreStatus returns what is believed of the key-value service.
-func (v *View) StoreStatus() StoreStatus { return StoreStatus{v.lost, v.returned, len(v.lapsed)} }
+// StoreStatus returns the state of the key-value store.
+func (v *View) StoreStatus() StoreStatus {
+	return StoreStatus{v.unreachable, v.recoveredAt, len(v.lapsed)}
+}
 
-// Members returns the nodes that are live, the own one among them, ordered by id.
-// Of two registrations of one node the newer counts. The caller must not change the list.
+// Members returns the registered nodes and the local node, ordered by id. Of several
+// registrations of one node the one with the highest incarnation is used. The list is
+// shared and must not be modified.
 func (v *View) Members() []model.Member {
-	if v.sorted.members == nil {
-		v.sorted.members = v.sortMembers()
+	if v.lists.members == nil {
+		v.lists.members = v.sortMembers()
 	}
-	return v.sorted.members
+	return v.lists.members
 }
 
+// sortMembers returns the members ordered by id.
 func (v *View) sortMembers() []model.Member {
 	byID := map[string]model.Member{v.opt.Self.ID: v.opt.Self}
 	for _, n := range v.nodes {
@@ -376,34 +387,34 @@
 	return slices.SortedFunc(maps.Values(byID), func(a, b model.Member) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// WithoutSelf returns members without the own one.
+// WithoutSelf returns a copy of a list of members without the local node.
 func (v *View) WithoutSelf(members []model.Member) []model.Member {
 	return slices.DeleteFunc(slices.Clone(members), func(m model.Member) bool { return m.ID == v.opt.Self.ID })
 }
 
-// sortUpstreams returns the upstreams, ordered by id.
+// sortUpstreams returns the upstreams ordered by id.
 func (v *View) sortUpstreams() []model.Upstream {
-	if v.sorted.ids == nil {
-		v.sorted.ids = slices.Sorted(maps.Keys(v.upstreams))
+	if v.lists.ids == nil {
+		v.lists.ids = slices.Sorted(maps.Keys(v.upstreams))
 	}
-	out := make([]model.Upstream, len(v.sorted.ids))
-	for i, id := range v.sorted.ids {
+	out := make([]model.Upstream, len(v.lists.ids))
+	for i, id := range v.lists.ids {
 		out[i] = v.upstreams[id]
 	}
 	return out
 }
 
-// Snapshot compiles what is known, or returns nil while there is no
+// Snapshot compiles a snapshot of the present state, or returns nil while there is no
 // configuration.
 func (v *View) Snapshot() *model.Snapshot {
 	if v.config == nil {
 		return nil
 	}
-	if v.sorted.upstreams == nil {
-		v.sorted.upstreams = v.sortUpstreams()
+	if v.lists.upstreams == nil {
+		v.lists.upstreams = v.sortUpstreams()
 	}
-	if v.sorted.routes == nil {
-		v.sorted.routes = model.NewRoutes(v.config.Routes)
+	if v.lists.routes == nil {
+		v.lists.routes = model.NewRoutes(v.config.Routes)
 	}
 	var drains []model.Drain
 	for domain, since := range v.drained {
@@ -413,8 +424,8 @@
 		Self:        v.opt.Self.ID,
 		Region:      v.opt.Self.Region,
 		Config:      v.config,
-		Routes:      v.sorted.routes,
-		Upstreams:   v.sorted.upstreams,
+		Routes:      v.lists.routes,
+		Upstreams:   v.lists.upstreams,
 		Drains:      drains,
 		Members:     v.Members(),
 		RetryBudget: v.opt.Policy.RetryRatio,
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -29,87 +29,90 @@
 	return model.Upstream{ID: id, Service: "stock", Domain: domain, Address: "10.0.1.1:80", Slots: 4}
 }
 
-func has(v *View, id string) bool {
+func hasUpstream(v *View, id string) bool {
 	_, ok := v.upstreams[id]
 	return ok
 }
 
-func TestConfigurationOnlyRises(t *testing.T) {
+// TestOlderConfigurationIgnored sets configurations of lower, equal and higher versions.
+func TestOlderConfigurationIgnored(t *testing.T) {
 	v := newView()
 	for _, tt := range []struct {
 		version uint64
-		taken   bool
+		applied bool
 	}{{2, false}, {3, false}, {7, true}, {5, false}} {
-		if got := v.SetConfig(&model.Config{Version: tt.version}); got != tt.taken {
-			t.Errorf("version %d taken: %v", tt.version, got)
+		if got := v.SetConfig(&model.Config{Version: tt.version}); got != tt.applied {
+			t.Errorf("version %d: applied: %v", tt.version, got)
 		}
 	}
 	if v.Config().Version != 7 {
-		t.Errorf("version %d in force", v.Config().Version)
+		t.Errorf("present version %d, want 7", v.Config().Version)
 	}
 }
 
-// TestLapsedEntriesHaveTimeToComeBack keeps what lapsed while the service was
-// away until its owners had time to write it again.
-func TestLapsedEntriesHaveTimeToComeBack(t *testing.T) {
+// TestLapsedUpstreamsRetainedForGrace lets records lapse during an outage of the store. The
+// upstreams must be retained until their owners have had time to write the records again.
+func TestLapsedUpstreamsRetainedForGrace(t *testing.T) {
 	v := newView()
 	v.PutUpstream(upstream("u1", "mus-a"))
 	v.PutUpstream(upstream("u2", "mus-a"))
 	v.MarkStoreUnreachable()
 	v.MarkStoreReached(at(10))
 	v.ReplaceUpstreams(nil, at(10))
-	if !has(v, "u1") || !has(v, "u2") {
-		t.Fatal("an entry that lapsed is gone at once")
+	if !hasUpstream(v, "u1") || !hasUpstream(v, "u2") {
+		t.Fatal("a lapsed upstream was removed at once")
 	}
 	v.PutUpstream(upstream("u1", "mus-a"))
 	v.ExpireLapsed(at(11.9))
-	if !has(v, "u2") {
-		t.Error("gone before its owner had time")
+	if !hasUpstream(v, "u2") {
+		t.Error("removed before the end of the grace period")
 	}
-	if !v.ExpireLapsed(at(12)) || has(v, "u2") || !has(v, "u1") {
-		t.Error("after the time only the one that came back is to stay")
+	if !v.ExpireLapsed(at(12)) || hasUpstream(v, "u2") || !hasUpstream(v, "u1") {
+		t.Error("after the grace period only the upstream whose record was written again must remain")
 	}
 }
 
-// TestReturnCountsFromTheFirstAnswer lets a second caller of the service notice
-// its return late. A node that had been cut off once sent to a target for three
-// seconds too long because of it.
-func TestReturnCountsFromTheFirstAnswer(t *testing.T) {
+// TestGraceStartsAtFirstSuccess lets a second component reach the store later than the
+// first. If the grace period started anew, the node would send requests to a removed
+// upstream for longer than the grace period; this has happened for three seconds to a node
+// that had been cut off.
+func TestGraceStartsAtFirstSuccess(t *testing.T) {
 	v := newView()
 	v.PutUpstream(upstream("u1", "mus-a"))
 	v.MarkStoreUnreachable()
 	v.MarkStoreReached(at(10))
 	v.ReplaceUpstreams(nil, at(10))
 	v.MarkStoreReached(at(11.5))
-	if !v.ExpireLapsed(at(12)) || has(v, "u1") {
-		t.Error("still there two seconds after the return")
+	if !v.ExpireLapsed(at(12)) || hasUpstream(v, "u1") {
+		t.Error("upstream retained though the store recovered two seconds ago")
 	}
 }
 
-// TestLeavingUpstreamIsNotWaitedFor drops one that had said that it leaves, also
-// while the service was away.
-func TestLeavingUpstreamIsNotWaitedFor(t *testing.T) {
+// TestLeavingUpstreamNotRetained removes an upstream whose record said that it was leaving
+// during an outage of the store.
+func TestLeavingUpstreamNotRetained(t *testing.T) {
 	v := newView()
 	u := upstream("u1", "mus-a")
 	u.Leaving = true
 	v.PutUpstream(u)
 	v.MarkStoreUnreachable()
 	if !v.RemoveUpstream("u1", at(1)) {
-		t.Error("kept")
+		t.Error("upstream retained, want it removed")
 	}
 }
 
-func TestGoneInCalmTimesIsGone(t *testing.T) {
+// TestRemovedAtOnceWithoutOutage removes an upstream while the store is reachable.
+func TestRemovedAtOnceWithoutOutage(t *testing.T) {
 	v := newView()
 	v.PutUpstream(upstream("u1", "mus-a"))
-	if !v.RemoveUpstream("u1", at(1)) || has(v, "u1") {
-		t.Error("kept")
+	if !v.RemoveUpstream("u1", at(1)) || hasUpstream(v, "u1") {
+		t.Error("upstream retained, want it removed")
 	}
 }
 
-// TestDrainEndsCold warms up the upstreams of a failure domain that is back in
-// use: they may have turned cold.
-func TestDrainEndsCold(t *testing.T) {
+// TestUpstreamsColdAfterDrain ends the drain of a failure domain. Its upstreams may have gone
+// cold without traffic and must be warmed up.
+func TestUpstreamsColdAfterDrain(t *testing.T) {
 	v := newView()
 	v.PutUpstream(upstream("u1", "mus-a"))
 	v.PutUpstream(upstream("u2", "soh-a"))
@@ -125,13 +128,13 @@
 		t.Errorf("cold until %v", got)
 	}
 	if !v.upstreams["u2"].ColdUntil.IsZero() {
-		t.Error("another domain's upstream turned cold")
+		t.Error("upstream of another failure domain marked cold")
 	}
 }
 
-// TestNewerRegistrationCounts lets a restarted node's earlier registration
-// outlive its start.
-func TestNewerRegistrationCounts(t *testing.T) {
+// TestNewestRegistrationUsed has two registrations of one node: that of its earlier
+// incarnation has not lapsed yet when the node has restarted.
+func TestNewestRegistrationUsed(t *testing.T) {
 	v := newView()
 	old := model.Member{ID: "n2", Incarnation: 1, State: membership.Alive, Entry: "10.0.0.2:80"}
 	v.PutNode("k1", old)
@@ -144,52 +147,52 @@
 	}
 	v.RemoveNode("k1", at(1))
 	if ms := v.Members(); len(ms) != 2 {
-		t.Errorf("members %v after the older one lapsed", ms)
+		t.Errorf("members %v after the older registration was removed", ms)
 	}
 	if others := v.WithoutSelf(ms); len(others) != 1 || others[0].ID != "n2" {
 		t.Errorf("others %v", others)
 	}
 }
 
-// TestEarlierLifeBringsNothingBack has entries of earlier lives of an upstream arrive
-// late: a write that its writer gave up on may be done seconds afterwards.
-func TestEarlierLifeBringsNothingBack(t *testing.T) {
+// TestEarlierIncarnationIgnored applies records of earlier incarnations of an upstream late:
+// the store may carry out a write seconds after its writer has given up on it.
+func TestEarlierIncarnationIgnored(t *testing.T) {
 	v := newView()
-	life := func(born int64, address string) model.Upstream {
+	incarnation := func(startedAt int64, address string) model.Upstream {
 		u := upstream("u1", "mus-a")
-		u.StartedAt, u.Address = born, address
+		u.StartedAt, u.Address = startedAt, address
 		return u
 	}
-	v.PutUpstream(life(2000, "second"))
-	if v.PutUpstream(life(1000, "first")) || v.upstreams["u1"].Address != "second" {
-		t.Error("an earlier life takes the place of the present one")
+	v.PutUpstream(incarnation(2000, "second"))
+	if v.PutUpstream(incarnation(1000, "first")) || v.upstreams["u1"].Address != "second" {
+		t.Error("an earlier incarnation replaced the present one")
 	}
-	if !v.PutUpstream(life(3000, "third")) || v.upstreams["u1"].Address != "third" {
-		t.Error("a later life is not taken in")
+	if !v.PutUpstream(incarnation(3000, "third")) || v.upstreams["u1"].Address != "third" {
+		t.Error("a later incarnation was ignored")
 	}
 	v.RemoveUpstream("u1", at(10))
-	if v.PutUpstream(life(2000, "second")); has(v, "u1") {
-		t.Error("an earlier life comes back after the last has ended")
+	if v.PutUpstream(incarnation(2000, "second")); hasUpstream(v, "u1") {
+		t.Error("an earlier incarnation was restored after the last was removed")
 	}
-	if v.PutUpstream(life(3000, "third")); !has(v, "u1") {
-		t.Error("the last life may not come back")
+	if v.PutUpstream(incarnation(3000, "third")); !hasUpstream(v, "u1") {
+		t.Error("the last incarnation could not be restored")
 	}
 }
 
-// TestWithoutBirthAsBefore takes in entries that do not tell when their upstream started.
-func TestWithoutBirthAsBefore(t *testing.T) {
+// TestRecordWithoutStartTime applies a record that does not say when its upstream started.
+func TestRecordWithoutStartTime(t *testing.T) {
 	v := newView()
-	born := upstream("u1", "mus-a")
-	born.StartedAt = 1000
-	v.PutUpstream(born)
+	started := upstream("u1", "mus-a")
+	started.StartedAt = 1000
+	v.PutUpstream(started)
 	if !v.PutUpstream(upstream("u1", "mus-a")) || v.upstreams["u1"].StartedAt != 0 {
-		t.Error("an entry without a birth is not taken in")
+		t.Error("a record without a start time was ignored")
 	}
 }
 
-// TestListsFollowChanges compares what a view compiles, from lists that it keeps between
-// changes, with what a view without any such list compiles, after each of many changes.
-func TestListsFollowChanges(t *testing.T) {
+// TestCachedListsMatchRecomputed compares, after each of many random changes, the snapshot
+// compiled with cached lists with the snapshot compiled after the cache was emptied.
+func TestCachedListsMatchRecomputed(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(5, 6))
 	v := newView()
 	for i := range 2000 {
@@ -223,7 +226,7 @@
 			v.SetConfig(&model.Config{Version: uint64(i), Services: v.config.Services, Routes: []*model.Route{{Name: id, Host: id, Prefix: "/"}}})
 		}
 		got := v.Snapshot()
-		v.sorted = sorted{}
+		v.lists = listCache{}
 		if want := v.Snapshot(); !reflect.DeepEqual(got, want) {
 			t.Fatalf("change %d: %+v, want %+v", i, got, want)
 		}
