--- a/internal/relay/cache.go
+++ b/internal/relay/cache.go
@@ -8,34 +8,35 @@
 	"time"
 )
 
-// maxDeleted bounds how many ends of keys are remembered. A peer that is further
-// behind gets everything.
-const maxDeleted = 4096
+// maxTombstones limits how many tombstones a Cache keeps. A peer that is further behind
+// gets a full batch.
+const maxTombstones = 4096
 
-// Cache holds all records of a key-value service up to a revision. It is safe for
+// Cache holds all records of a key-value store up to a revision. It is safe for
 // concurrent use.
 type Cache struct {
-	mu      sync.Mutex
-	records map[string]Record
-	deleted int
-	// floor is the revision from which on all ends of keys are remembered.
+	mu         sync.Mutex
+	records    map[string]Record
+	tombstones int
+	// floor is the revision after which the Cache has every tombstone.
 	floor    int64
 	revision int64
-	// complete is until when every change is certainly known; zero if it never was.
-	complete time.Time
-	state    State
+	// completeUntil is the time up to which the Cache certainly has every change; zero if
+	// there is none.
+	completeUntil time.Time
+	state         State
 	// changed is closed at the next change of the revision or the state.
 	changed chan struct{}
 }
 
-// State says how the own entry stands to the service.
+// State is the state of the local node's connection to the store.
 type State struct {
-	// Following is set while the entry follows the service itself and reaches it.
-	// Only then others may follow the entry, so that no two follow each other.
+	// Following is set while the node follows the store itself and reaches it. Only then
+	// may peers follow the node, so that no two nodes follow each other.
 	Following bool
-	// Unreachable is set while the entry cannot reach the service.
+	// Unreachable is set while the node considers the store unreachable.
 	Unreachable bool
-	// RecoveredAt is when the service was last reached again after a loss.
+	// RecoveredAt is when the last outage of the store ended; zero if there was none.
 	RecoveredAt time.Time
 }
 
@@ -44,42 +45,43 @@
 	return &Cache{records: make(map[string]Record), changed: make(chan struct{})}
 }
 
-// Revision returns the revision up to which the Cache is complete; 0 if it is empty.
+// Revision returns the store's revision up to which the Cache has all records; 0 if it is
+// empty.
 func (c *Cache) Revision() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.revision
 }
 
-// CompleteUntil returns until when the Cache certainly holds every change of the service; zero if
-// that was never certain.
+// CompleteUntil returns the time up to which the Cache certainly has every change of the
+// store; zero if there is none.
 func (c *Cache) CompleteUntil() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.complete
+	return c.completeUntil
 }
 
-// SetCompleteUntil records that the Cache holds every change until a time. An earlier time than
-// is known changes nothing.
+// SetCompleteUntil records that the Cache has every change of the store up to a time. A time
+// before the present one is ignored.
 func (c *Cache) SetCompleteUntil(until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if until.After(c.complete) {
-		c.complete = until
+	if until.After(c.completeUntil) {
+		c.completeUntil = until
 	}
 }
 
-// SetState records how the own entry stands to the service.
+// SetState sets the state of the local node's connection to the store.
 func (c *Cache) SetState(s State) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.state != s {
 		c.state = s
-		c.wake()
+		c.notify()
 	}
 }
 
-// Apply brings a batch in.
+// Apply applies a batch.
 func (c *Cache) Apply(b Batch) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,68 +89,72 @@
 		c.floor = b.Revision
 	}
 	if b.Full {
-		c.endMissing(b)
+		c.deleteMissing(b)
 	}
 	for _, r := range b.Records {
 		c.put(r)
 	}
-	if c.deleted > maxDeleted {
-		c.forgetDeleted(max(c.revision, b.Revision))
+	if c.tombstones > maxTombstones {
+		c.dropTombstones(max(c.revision, b.Revision))
 	}
-	if b.CompleteUntil.After(c.complete) {
-		c.complete = b.CompleteUntil
+	if b.CompleteUntil.After(c.completeUntil) {
+		c.completeUntil = b.CompleteUntil
 	}
 	if b.Revision > c.revision {
 		c.revision = b.Revision
-		c.wake()
+		c.notify()
 	}
 }
 
-// endMissing ends the keys that a whole batch does not name. When each of them
-// ended is not known, but it was no later than the batch's revision.
-func (c *Cache) endMissing(b Batch) {
-	named := make(map[string]bool, len(b.Records))
+// deleteMissing writes tombstones for the keys that a full batch lacks. The revisions at
+// which they were deleted are unknown, but are not above the batch's revision, which the
+// tombstones get.
+func (c *Cache) deleteMissing(b Batch) {
+	present := make(map[string]bool, len(b.Records))
 	for _, r := range b.Records {
-		named[r.Key] = true
+		present[r.Key] = true
 	}
 	for key, r := range c.records {
-		if !named[key] && !r.Deleted && r.Revision <= b.Revision {
+		if !present[key] && !r.Deleted && r.Revision <= b.Revision {
 			c.put(Record{Key: key, Revision: b.Revision, Deleted: true})
 		}
 	}
 }
 
-// put takes in a record unless a later one is known.
+// put stores a record unless the Cache has a later one of the same key.
 func (c *Cache) put(r Record) {
 	known, ok := c.records[r.Key]
 	if ok && known.Revision > r.Revision {
 		return
 	}
 	if known.Deleted {
-		c.deleted--
+		c.tombstones--
 	}
 	if r.Deleted {
-		c.deleted++
+		c.tombstones++
 	}
 	c.records[r.Key] = r
 }
 
-func (c *Cache) forgetDeleted(floor int64) {
+// dropTombstones deletes all tombstones. Peers behind the new floor get a full batch.
+func (c *Cache) dropTombstones(floor int64) {
 	for key, r := range c.records {
 		if r.Deleted {
 			delete(c.records, key)
 		}
 	}
-	c.deleted, c.floor = 0, floor
+	c.tombstones, c.floor = 0, floor
 }
 
-func (c *Cache) wake() {
+// notify ends the waits of all callers of Wait.
+func (c *Cache) notify() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// Wait returns what changed after a revision. If nothing did, it waits for that,
-// for a change of the state, or until wait has passed.
+// Wait returns the records that changed after a revision, and the state. If there are none,
+// it waits for a change of the revision or the state, until ctx ends or wait has passed. It
+// does not wait while the node does not follow the store.
 func (c *Cache) Wait(ctx context.Context, after int64, wait time.Duration) (Batch, State) {
 	b, s, changed := c.since(after)
 	if len(b.Records) > 0 || !s.Following {
@@ -165,10 +171,13 @@
 	return b, s
 }
 
+// since returns the records that changed after a revision, ordered by revision and key, the
+// state, and a channel that is closed at the next change of the revision or the state. The
+// batch is full if the Cache lacks tombstones after that revision.
 func (c *Cache) since(after int64) (Batch, State, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	b := Batch{Revision: max(after, c.revision), Full: after < c.floor, CompleteUntil: c.complete}
+	b := Batch{Revision: max(after, c.revision), Full: after < c.floor, CompleteUntil: c.completeUntil}
 	if after >= c.revision && !b.Full {
 		return b, c.state, c.changed
 	}
@@ -176,8 +185,8 @@
 		if b.Full && r.Deleted || !b.Full && r.Revision <= after {
 			continue
 		}
-		if r.packed == nil {
-			r.pack()
+		if r.compressed == nil {
+			r.compress()
 			c.records[key] = r
 		}
 		b.Records = append(b.Records, r)
--- a/internal/relay/cache_test.go
+++ b/internal/relay/cache_test.go
@@ -8,26 +8,27 @@
 	"time"
 )
 
+// keysOf returns the keys of a batch, with a "-" before those that are deleted.
 func keysOf(b Batch) []string {
 	var out []string
 	for _, r := range b.Records {
-		name := r.Key
+		key := r.Key
 		if r.Deleted {
-			name = "-" + name
+			key = "-" + key
 		}
-		out = append(out, name)
+		out = append(out, key)
 	}
 	return out
 }
 
-func put(key string, revision int64) Record { return Record{Key: key, Revision: revision} }
+func record(key string, revision int64) Record { return Record{Key: key, Revision: revision} }
 
-func gone(key string, revision int64) Record {
+func tombstone(key string, revision int64) Record {
 	return Record{Key: key, Revision: revision, Deleted: true}
 }
 
-// following returns a Cache whose entry follows the service.
-func following(batches ...Batch) *Cache {
+// newFollowingCache returns a Cache with some batches whose node follows the store.
+func newFollowingCache(batches ...Batch) *Cache {
 	c := NewCache()
 	c.SetState(State{Following: true})
 	c.SetCompleteUntil(time.Now().Add(time.Hour))
@@ -37,95 +38,99 @@
 	return c
 }
 
+// TestSince checks which records a peer gets, by the revision that it has.
 func TestSince(t *testing.T) {
-	whole := Batch{Full: true, Records: []Record{put("a", 3), put("b", 5)}, Revision: 10}
-	changes := Batch{Records: []Record{put("c", 11), gone("a", 12)}, Revision: 12}
+	full := Batch{Full: true, Records: []Record{record("a", 3), record("b", 5)}, Revision: 10}
+	changes := Batch{Records: []Record{record("c", 11), tombstone("a", 12)}, Revision: 12}
 	for _, tt := range []struct {
 		name  string
 		cache *Cache
 		after int64
-		whole bool
+		full  bool
 		want  []string
 	}{
-		{"one who knows nothing gets everything but ends", following(whole, changes), 0, true, []string{"b", "c"}},
-		{"one behind the first listing gets everything", following(whole, changes), 9, true, []string{"b", "c"}},
-		{"one behind gets the changes in order", following(whole, changes), 10, false, []string{"c", "-a"}},
-		{"one partly behind gets the rest", following(whole, changes), 11, false, []string{"-a"}},
-		{"one that is ahead gets nothing", following(whole, changes), 12, false, nil},
+		{"an empty peer gets a full batch without tombstones", newFollowingCache(full, changes), 0, true, []string{"b", "c"}},
+		{"a peer behind the first listing gets a full batch", newFollowingCache(full, changes), 9, true, []string{"b", "c"}},
+		{"a peer behind gets the changes in order", newFollowingCache(full, changes), 10, false, []string{"c", "-a"}},
+		{"a peer that has some of the changes gets the rest", newFollowingCache(full, changes), 11, false, []string{"-a"}},
+		{"a peer that is not behind gets nothing", newFollowingCache(full, changes), 12, false, nil},
 		{
-			"a new listing ends what it does not name",
-			following(whole, Batch{Full: true, Records: []Record{put("b", 5), put("d", 14)}, Revision: 15}),
+			"a new listing deletes the keys that it lacks",
+			newFollowingCache(full, Batch{Full: true, Records: []Record{record("b", 5), record("d", 14)}, Revision: 15}),
 			10, false, []string{"d", "-a"},
 		},
 		{
-			"an older listing does not end what came after it",
-			following(whole, Batch{Records: []Record{put("new", 20)}, Revision: 20}, Batch{Full: true, Records: []Record{put("a", 3), put("b", 5)}, Revision: 15}),
+			"an older listing does not delete later records",
+			newFollowingCache(full, Batch{Records: []Record{record("new", 20)}, Revision: 20}, Batch{Full: true, Records: []Record{record("a", 3), record("b", 5)}, Revision: 15}),
 			10, false, []string{"new"},
 		},
 		{
-			"an older value does not replace a newer one",
-			following(whole, Batch{Records: []Record{put("a", 20)}, Revision: 20}, Batch{Records: []Record{gone("a", 15)}, Revision: 20}),
+			"an older record does not replace a newer one",
+			newFollowingCache(full, Batch{Records: []Record{record("a", 20)}, Revision: 20}, Batch{Records: []Record{tombstone("a", 15)}, Revision: 20}),
 			10, false, []string{"a"},
 		},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			b, _, _ := tt.cache.since(tt.after)
-			if b.Full != tt.whole || !slices.Equal(keysOf(b), tt.want) {
-				t.Errorf("whole %v, %v", b.Full, keysOf(b))
+			if b.Full != tt.full || !slices.Equal(keysOf(b), tt.want) {
+				t.Errorf("full %v, %v", b.Full, keysOf(b))
 			}
 		})
 	}
 }
 
-// A peer that is behind the ends that were forgotten must get everything, or it
-// would keep what is gone.
-func TestForgottenEnds(t *testing.T) {
-	c := following(Batch{Full: true, Records: []Record{put("stays", 1), put("goes", 1)}, Revision: 1})
-	c.Apply(Batch{Records: []Record{gone("goes", 2)}, Revision: 2})
-	for i := range maxDeleted + 1 {
+// TestFullBatchAfterDroppedTombstones has a peer that is behind tombstones that were dropped.
+// It must get a full batch, or it would keep deleted keys.
+func TestFullBatchAfterDroppedTombstones(t *testing.T) {
+	c := newFollowingCache(Batch{Full: true, Records: []Record{record("present", 1), record("deleted", 1)}, Revision: 1})
+	c.Apply(Batch{Records: []Record{tombstone("deleted", 2)}, Revision: 2})
+	for i := range maxTombstones + 1 {
 		key := string(rune('A' + i))
-		c.Apply(Batch{Records: []Record{gone(key, int64(3+i))}, Revision: int64(3 + i)})
+		c.Apply(Batch{Records: []Record{tombstone(key, int64(3+i))}, Revision: int64(3 + i)})
 	}
 	b, _, _ := c.since(1)
-	if !b.Full || !slices.Equal(keysOf(b), []string{"stays"}) {
-		t.Errorf("whole %v, %v", b.Full, keysOf(b))
+	if !b.Full || !slices.Equal(keysOf(b), []string{"present"}) {
+		t.Errorf("full %v, %v", b.Full, keysOf(b))
 	}
 }
 
-func TestWaitEndsAtAChange(t *testing.T) {
+// TestWaitEndsOnChange applies a change during a wait.
+func TestWaitEndsOnChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := following(Batch{Full: true, Revision: 5})
+		c := newFollowingCache(Batch{Full: true, Revision: 5})
 		go func() {
 			time.Sleep(time.Second)
-			c.Apply(Batch{Records: []Record{put("a", 6)}, Revision: 6})
+			c.Apply(Batch{Records: []Record{record("a", 6)}, Revision: 6})
 		}()
-		began := time.Now()
+		start := time.Now()
 		b, _ := c.Wait(context.Background(), 5, time.Minute)
-		if time.Since(began) != time.Second || !slices.Equal(keysOf(b), []string{"a"}) {
-			t.Errorf("%v after %v", keysOf(b), time.Since(began))
+		if time.Since(start) != time.Second || !slices.Equal(keysOf(b), []string{"a"}) {
+			t.Errorf("%v after %v", keysOf(b), time.Since(start))
 		}
 	})
 }
 
-// Who waits at an entry that loses the service has to turn elsewhere at once.
-func TestWaitEndsWithTheService(t *testing.T) {
+// TestWaitEndsWhenStoreLost has a node lose the store while a peer waits for its reply. The
+// peer must be able to pick another source at once.
+func TestWaitEndsWhenStoreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := following(Batch{Full: true, Revision: 5})
+		c := newFollowingCache(Batch{Full: true, Revision: 5})
 		go func() {
 			time.Sleep(time.Second)
 			c.SetState(State{})
 		}()
-		began := time.Now()
+		start := time.Now()
 		_, s := c.Wait(context.Background(), 5, time.Minute)
-		if time.Since(began) != time.Second || s.Following {
-			t.Errorf("%+v after %v", s, time.Since(began))
+		if time.Since(start) != time.Second || s.Following {
+			t.Errorf("%+v after %v", s, time.Since(start))
 		}
 	})
 }
 
-func TestWaitRunsOut(t *testing.T) {
+// TestWaitTimeout waits without a change.
+func TestWaitTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := following(Batch{Full: true, Revision: 5})
+		c := newFollowingCache(Batch{Full: true, Revision: 5})
 		b, s := c.Wait(context.Background(), 5, time.Second)
 		if b.Revision != 5 || len(b.Records) > 0 || !s.Following {
 			t.Errorf("%+v, %+v", b, s)
--- a/internal/relay/record.go
+++ b/internal/relay/record.go
@@ -1,5 +1,5 @@
-// Package relay lets one entry of each failure domain follow a key-value service
-// for the others, which follow that entry.
+// Package relay lets one node of each failure domain, the reader, follow a key-value store
+// on behalf of the others, which follow the reader.
 package relay
 
 import (
@@ -14,30 +14,33 @@
 	"github.com/loomkeel/loomkeel/internal/rpc/pb"
 )
 
-// Record is a key with its value, or the end of a key.
+// Record is a key of the store with its value, or the tombstone of a deleted key.
 type Record struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value"`
-	// Revision is that of the last change of the key.
+	// Revision is the store's revision at the last change of the key.
 	Revision int64 `json:"revision"`
-	// Deleted is set in a change that ended the key.
+	// Deleted marks a tombstone.
 	Deleted bool `json:"deleted"`
 
-	// packed is the value as it is sent, once it was needed; nil for short values.
-	packed []byte
+	// compressed is the value as it is sent to peers. It is computed when it is first needed
+	// and stays nil for short values.
+	compressed []byte
 }
 
-// packFrom is from what size in bytes on a value is compressed for peers. A whole
-// configuration shrinks to about a tenth, and a reader sends it to all of its
-// failure domain over one link.
-const packFrom = 8 << 10
+// minCompressSize is the size in bytes from which on a value is compressed for peers. A whole
+// configuration shrinks to about a tenth, and a reader sends it to all nodes of its failure
+// domain over one link.
+const minCompressSize = 8 << 10
 
-// maxUnpacked bounds a value that comes compressed; the service holds no larger.
-const maxUnpacked = 4 << 20
+// maxDecompressedSize limits the size in bytes of a value that arrives compressed. The store
+// holds no larger values.
+const maxDecompressedSize = 4 << 20
 
-// pack compresses a long value.
-func (r *Record) pack() {
-	if r.packed != nil || len(r.Value) < packFrom {
+// compress sets r.compressed if the value is long enough. On an error it logs it and the
+// value is sent uncompressed.
+func (r *Record) compress() {
+	if r.compressed != nil || len(r.Value) < minCompressSize {
 		return
 	}
 	var b bytes.Buffer
@@ -49,45 +52,46 @@
 		err = w.Close()
 	}
 	if err != nil {
-		klog.ErrorS(err, "value not compressed, it is sent as it is", "key", r.Key)
+		klog.ErrorS(err, "compressing a value failed, sending it uncompressed", "key", r.Key)
 		return
 	}
-	r.packed = b.Bytes()
+	r.compressed = b.Bytes()
 }
 
-// unpack restores the value of a record that came compressed.
-func (r *Record) unpack() error {
-	if len(r.packed) == 0 {
+// decompress sets r.Value if the record arrived compressed.
+func (r *Record) decompress() error {
+	if len(r.compressed) == 0 {
 		return nil
 	}
-	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(r.packed)), maxUnpacked+1))
+	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(r.compressed)), maxDecompressedSize+1))
 	if err != nil {
-		return fmt.Errorf("relay: value of %s: %w", r.Key, err)
+		return fmt.Errorf("relay: decompress value of key %s: %w", r.Key, err)
 	}
-	if len(value) > maxUnpacked {
-		return fmt.Errorf("relay: value of %s: over %d bytes", r.Key, maxUnpacked)
+	if len(value) > maxDecompressedSize {
+		return fmt.Errorf("relay: decompress value of key %s: larger than %d bytes", r.Key, maxDecompressedSize)
 	}
 	r.Value = value
 	return nil
 }
 
-// Batch is what changed since a revision.
+// Batch holds the records that changed after a revision, or all records.
 type Batch struct {
-	// Full is set if the records are all that there are, rather than changes.
+	// Full is set if Records holds all records of the store rather than changes.
 	Full    bool
 	Records []Record
-	// Revision is from where to go on.
+	// Revision is the store's revision up to which the batch goes; the next batch starts
+	// after it.
 	Revision int64
-	// CompleteUntil is until when whoever takes the batch certainly knows every change; zero if
-	// that is not certain.
+	// CompleteUntil is a time up to which the receiver of the batch has certainly seen every
+	// change of the store; zero if there is none.
 	CompleteUntil time.Time
 }
 
 func recordsToProto(rs []Record) []*pb.KeyRecord {
 	out := make([]*pb.KeyRecord, len(rs))
 	for i, r := range rs {
-		out[i] = &pb.KeyRecord{Key: r.Key, Revision: r.Revision, Deleted: r.Deleted, Packed: r.packed}
-		if r.packed == nil {
+		out[i] = &pb.KeyRecord{Key: r.Key, Revision: r.Revision, Deleted: r.Deleted, Packed: r.compressed}
+		if r.compressed == nil {
 			out[i].Value = r.Value
 		}
 	}
@@ -97,8 +101,8 @@
 func recordsFromProto(ms []*pb.KeyRecord) ([]Record, error) {
 	out := make([]Record, len(ms))
 	for i, m := range ms {
-		out[i] = Record{Key: m.GetKey(), Value: m.GetValue(), Revision: m.GetRevision(), Deleted: m.GetDeleted(), packed: m.GetPacked()}
-		if err := out[i].unpack(); err != nil {
+		out[i] = Record{Key: m.GetKey(), Value: m.GetValue(), Revision: m.GetRevision(), Deleted: m.GetDeleted(), compressed: m.GetPacked()}
+		if err := out[i].decompress(); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -12,41 +12,42 @@
 )
 
 const (
-	// maxWait bounds how long an answer is held back.
+	// maxWait limits how long the server holds a reply back while there is no change.
 	maxWait = 5 * time.Second
-	// answerMargin is how long an answer may take beyond the wait that was asked
-	// for. A peer that is frozen or cut off is given up after it.
-	answerMargin = 500 * time.Millisecond
-	// returnedRecently is how long it is told that the service had been away.
-	returnedRecently = 10 * time.Second
+	// replyMargin is how long a reply may take beyond the requested wait. A call to a peer
+	// that is frozen or cut off ends after it.
+	replyMargin = 500 * time.Millisecond
+	// recoveryReportTime is how long after an outage of the store replies report its end.
+	recoveryReportTime = 10 * time.Second
 )
 
 // Errors of a peer that cannot be followed now.
 var (
-	// ErrUnavailable means that the peer does not itself follow the service.
-	ErrUnavailable = errors.New("relay: peer does not follow the service")
-	// ErrStoreUnreachable means that the peer has lost the service.
-	ErrStoreUnreachable = errors.New("relay: peer has lost the service")
+	// ErrUnavailable means that the peer does not follow the store itself, or that it may
+	// lack changes older than its server's maximum age.
+	ErrUnavailable = errors.New("relay: peer does not follow the key-value store or lags behind it")
+	// ErrStoreUnreachable means that the peer considers the store unreachable.
+	ErrStoreUnreachable = errors.New("relay: peer cannot reach the key-value store")
 )
 
 // Server serves a Cache to peers.
 type Server struct {
 	cache *Cache
-	// maxAge is how old the knowledge of an entry may be that others follow. One that
-	// hears nothing answers them all the same, and would keep them deaf with it.
+	// maxAge is how long ago CompleteUntil may be while peers follow this node. A node that
+	// no longer receives changes still replies, and would keep its followers from them.
 	maxAge time.Duration
 	now    func() time.Time
 }
 
 var _ pb.DRPCRelayServer = (*Server)(nil)
 
-// NewServer returns the Server of a Cache, which peers may follow while what it holds is not
-// older than maxAge.
+// NewServer returns the Server of a Cache. Peers may follow it while the Cache is complete up
+// to a time less than maxAge ago.
 func NewServer(c *Cache, maxAge time.Duration, now func() time.Time) *Server {
 	return &Server{c, maxAge, now}
 }
 
-// NewMux returns the drpc service of a Server.
+// NewMux returns a mux with the drpc service of a Server.
 func NewMux(s *Server) (*drpcmux.Mux, error) {
 	mux := drpcmux.New()
 	return mux, pb.DRPCRegisterRelay(mux, s)
@@ -54,24 +55,24 @@
 
 // Changes implements pb.DRPCRelayServer.
 func (s *Server) Changes(ctx context.Context, req *pb.RelayRequest) (*pb.RelayReply, error) {
-	asked := s.now()
+	received := s.now()
 	wait := min(maxWait, time.Duration(req.GetWaitMilli())*time.Millisecond)
 	b, state := s.cache.Wait(ctx, req.GetAfter(), wait)
-	followed := state.Following && s.now().Sub(b.CompleteUntil) < s.maxAge
-	reply := &pb.RelayReply{Unavailable: !followed, Lost: state.Unreachable, AgeMilli: asked.Sub(b.CompleteUntil).Milliseconds()}
-	if ago := s.now().Sub(state.RecoveredAt); !state.RecoveredAt.IsZero() && ago < returnedRecently {
+	followable := state.Following && s.now().Sub(b.CompleteUntil) < s.maxAge
+	reply := &pb.RelayReply{Unavailable: !followable, Lost: state.Unreachable, AgeMilli: received.Sub(b.CompleteUntil).Milliseconds()}
+	if ago := s.now().Sub(state.RecoveredAt); !state.RecoveredAt.IsZero() && ago < recoveryReportTime {
 		reply.ReturnedMilli = uint32(max(1, ago.Milliseconds()))
 	}
-	// What is known is told also by one that cannot be followed: it may have been told of a
-	// change just before it lost the service, and whoever asks may have nobody else to ask.
+	// The records are sent even if this node cannot be followed: it may have received a change
+	// just before it lost the store, and the peer may have no other node to ask.
 	reply.Whole, reply.Records, reply.Revision = b.Full, recordsToProto(b.Records), b.Revision
 	return reply, nil
 }
 
-// Call asks the peer at an address for changes.
+// Call requests changes from the peer at an address.
 type Call func(ctx context.Context, addr string, req *pb.RelayRequest) (*pb.RelayReply, error)
 
-// NewCall returns the Call that goes over a dialer's connections.
+// NewCall returns a Call that uses a dialer's connections.
 func NewCall(dialer *rpc.Dialer) Call {
 	return func(ctx context.Context, addr string, req *pb.RelayRequest) (*pb.RelayReply, error) {
 		conn := dialer.Conn(addr)
@@ -80,7 +81,7 @@
 	}
 }
 
-// Client follows peers.
+// Client requests changes from peers.
 type Client struct {
 	call Call
 	now  func() time.Time
@@ -89,42 +90,42 @@
 // NewClient returns a Client that reaches peers by call.
 func NewClient(call Call, now func() time.Time) *Client { return &Client{call, now} }
 
-// Reply is what a peer tells.
+// Reply is a peer's reply.
 type Reply struct {
 	Batch
-	// RecoveredAt is when the service was reached again after a loss; zero if that is long
-	// past. It is told also by a peer that cannot be followed now.
+	// RecoveredAt is when the store's last outage ended according to the peer; zero if that is
+	// more than recoveryReportTime ago. It is also set with ErrStoreUnreachable and ErrUnavailable.
 	RecoveredAt time.Time
 }
 
-// Changes asks the peer at an address for what changed after a revision, for which
-// it may wait. With ErrLost and ErrUnavailable the reply has what the peer knows, which need
-// not be all.
+// Changes requests from the peer at an address the records that changed after a revision. The
+// peer may hold its reply back for wait while there are none. With ErrStoreUnreachable and
+// ErrUnavailable the reply has the records that the peer has, which may lack changes.
 func (c *Client) Changes(ctx context.Context, addr string, after int64, wait time.Duration) (Reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+answerMargin)
+	ctx, cancel := context.WithTimeout(ctx, wait+replyMargin)
 	defer cancel()
-	asked := c.now()
-	answer, err := c.call(ctx, addr, &pb.RelayRequest{After: after, WaitMilli: uint32(wait.Milliseconds())})
+	sent := c.now()
+	resp, err := c.call(ctx, addr, &pb.RelayRequest{After: after, WaitMilli: uint32(wait.Milliseconds())})
 	if err != nil {
 		return Reply{}, err
 	}
 	var reply Reply
-	if ago := answer.GetReturnedMilli(); ago > 0 {
+	if ago := resp.GetReturnedMilli(); ago > 0 {
 		reply.RecoveredAt = c.now().Add(-time.Duration(ago) * time.Millisecond)
 	}
-	records, err := recordsFromProto(answer.GetRecords())
+	records, err := recordsFromProto(resp.GetRecords())
 	if err != nil {
 		return reply, err
 	}
-	reply.Batch = Batch{Full: answer.GetWhole(), Records: records, Revision: answer.GetRevision()}
+	reply.Batch = Batch{Full: resp.GetWhole(), Records: records, Revision: resp.GetRevision()}
 	switch {
-	case answer.GetLost():
+	case resp.GetLost():
 		return reply, ErrStoreUnreachable
-	case answer.GetUnavailable():
+	case resp.GetUnavailable():
 		return reply, ErrUnavailable
 	}
-	// The question was under way for an unknown part of the time, so that its age counts
-	// from when it was sent.
-	reply.CompleteUntil = asked.Add(-time.Duration(answer.GetAgeMilli()) * time.Millisecond)
+	// The age counts from when the request was sent: it was under way to the peer for an
+	// unknown part of the time, and an earlier time is the safe estimate.
+	reply.CompleteUntil = sent.Add(-time.Duration(resp.GetAgeMilli()) * time.Millisecond)
 	return reply, nil
 }
--- a/internal/relay/sources_test.go
+++ b/internal/relay/sources_test.go
@@ -10,11 +10,11 @@
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
-// fleet returns some members of each of four failure domains in two regions.
-func fleet(each int) []model.Member {
+// fleet returns perDomain members of each of four failure domains in two regions.
+func fleet(perDomain int) []model.Member {
 	var out []model.Member
 	for _, d := range []string{"m1", "m2", "s1", "s2"} {
-		for i := range each {
+		for i := range perDomain {
 			id := fmt.Sprint(d, "-", i)
 			out = append(out, model.Member{ID: id, Region: d[:1], Domain: d, Agent: id + ":1", State: membership.Alive})
 		}
@@ -22,22 +22,24 @@
 	return out
 }
 
-func TestOneReaderADomain(t *testing.T) {
+// TestOneReaderPerDomain checks that one member of each failure domain follows the store and
+// that the others follow that member first and the store last.
+func TestOneReaderPerDomain(t *testing.T) {
 	all := fleet(5)
 	readers := make(map[string][]string)
 	followed := make(map[string]map[Source]bool)
 	for _, m := range all {
-		plan := RankSources(m, all)
-		if plan[0] == StoreSource {
+		sources := RankSources(m, all)
+		if sources[0] == StoreSource {
 			readers[m.Domain] = append(readers[m.Domain], m.ID)
 			continue
 		}
 		if followed[m.Domain] == nil {
 			followed[m.Domain] = make(map[Source]bool)
 		}
-		followed[m.Domain][plan[0]] = true
-		if last := plan[len(plan)-1]; last != StoreSource {
-			t.Errorf("%s: %v", m.ID, plan)
+		followed[m.Domain][sources[0]] = true
+		if last := sources[len(sources)-1]; last != StoreSource {
+			t.Errorf("%s: %v", m.ID, sources)
 		}
 	}
 	for domain, ids := range readers {
@@ -50,9 +52,10 @@
 	}
 }
 
-// The second choice is a reader of another failure domain, in the own region if
-// there is one, and never one of the own domain, which would not read.
-func TestSecondChoiceIsARemoteReader(t *testing.T) {
+// TestSecondSourceIsRemoteReader checks that the second source is a reader of another failure
+// domain in the same region. Another member of the node's own failure domain would not follow
+// the store.
+func TestSecondSourceIsRemoteReader(t *testing.T) {
 	all := fleet(5)
 	readers := make(map[string]bool)
 	for _, m := range all {
@@ -61,83 +64,87 @@
 		}
 	}
 	for _, m := range all {
-		plan := RankSources(m, all)
-		second := plan[1]
+		sources := RankSources(m, all)
+		second := sources[1]
 		if !readers[second.ID] || second.ID[:1] != m.Region || second.ID[:2] == m.Domain {
-			t.Errorf("%s: %v", m.ID, plan)
+			t.Errorf("%s: %v", m.ID, sources)
 		}
 	}
 }
 
-// TestCutOffAllReadersAreAsked has an entry that the service does not answer. Whoever is
-// cut off with it, it must come to ask one that is not, and the service last.
-func TestCutOffAllReadersAreAsked(t *testing.T) {
+// TestCutOffNodeTriesAllReaders has a node that the store does not answer. Its sources must
+// include readers of all failure domains, since any of them may be cut off too, and the store
+// last.
+func TestCutOffNodeTriesAllReaders(t *testing.T) {
 	all := fleet(5)
 	for _, m := range all {
-		plan := RankSourcesCutOff(m, all)
-		asked := make(map[string]int)
-		for _, s := range plan[:len(plan)-1] {
+		sources := RankSourcesCutOff(m, all)
+		tried := make(map[string]int)
+		for _, s := range sources[:len(sources)-1] {
 			if s.ID == m.ID || s == StoreSource {
-				t.Errorf("%s asks itself or the service first: %v", m.ID, plan)
+				t.Errorf("%s tries itself, or the store before the peers: %v", m.ID, sources)
 			}
-			asked[s.ID[:2]]++
+			tried[s.ID[:2]]++
 		}
-		if plan[len(plan)-1] != StoreSource {
-			t.Errorf("%s does not ask the service last: %v", m.ID, plan)
+		if sources[len(sources)-1] != StoreSource {
+			t.Errorf("%s does not try the store last: %v", m.ID, sources)
 		}
 		for _, domain := range []string{"m1", "m2", "s1", "s2"} {
-			if asked[domain] == 0 {
-				t.Errorf("%s asks nobody of %s: %v", m.ID, domain, plan)
+			if tried[domain] == 0 {
+				t.Errorf("%s tries no member of %s: %v", m.ID, domain, sources)
 			}
 		}
 	}
 }
 
-func TestAloneTheServiceIsRead(t *testing.T) {
+// TestSingleNodeFollowsStore ranks the sources of a node without other members.
+func TestSingleNodeFollowsStore(t *testing.T) {
 	m := fleet(1)[0]
-	if plan := RankSources(m, nil); len(plan) != 1 || plan[0] != StoreSource {
-		t.Error(plan)
+	if sources := RankSources(m, nil); len(sources) != 1 || sources[0] != StoreSource {
+		t.Error(sources)
 	}
 }
 
-func TestTheDeadAreNotFollowed(t *testing.T) {
+// TestDeadMembersNotFollowed ranks the sources of a node whose other members are all dead.
+func TestDeadMembersNotFollowed(t *testing.T) {
 	all := fleet(2)
 	for i := range all {
 		if all[i].ID != "m1-0" {
 			all[i].State = membership.Dead
 		}
 	}
-	if plan := RankSources(all[0], all); len(plan) != 1 || plan[0] != StoreSource {
-		t.Error(plan)
+	if sources := RankSources(all[0], all); len(sources) != 1 || sources[0] != StoreSource {
+		t.Error(sources)
 	}
 }
 
-func TestChooser(t *testing.T) {
+// TestPicker lets one source after the other fail.
+func TestPicker(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	a, b := Source{ID: "a"}, Source{ID: "b"}
-	plan := []Source{a, b, StoreSource}
-	c := NewPicker()
-	expect := func(want Source, untried bool) {
+	sources := []Source{a, b, StoreSource}
+	p := NewPicker()
+	expect := func(want Source, available bool) {
 		t.Helper()
-		if got, ok := c.Pick(plan, now); got != want || ok != untried {
-			t.Errorf("%v, %v; want %v, %v", got, ok, want, untried)
+		if got, ok := p.Pick(sources, now); got != want || ok != available {
+			t.Errorf("%v, %v; want %v, %v", got, ok, want, available)
 		}
 	}
 	expect(a, true)
-	c.RecordFailure(a, now)
+	p.RecordFailure(a, now)
 	expect(b, true)
 	now = now.Add(time.Second)
-	c.RecordFailure(b, now)
+	p.RecordFailure(b, now)
 	expect(StoreSource, true)
-	c.RecordFailure(StoreSource, now)
+	p.RecordFailure(StoreSource, now)
 	expect(a, false)
-	now = now.Add(avoidFor)
+	now = now.Add(failureBackoff)
 	expect(a, true)
 }
 
-// TestFastLinkReads has one member of each failure domain on a link that carries
-// much more: a reader sends each change to all of its domain.
-func TestFastLinkReads(t *testing.T) {
+// TestFastLinkMemberIsReader has one member of each failure domain on a much faster link. It
+// must be the reader, which sends each change to all members of its failure domain.
+func TestFastLinkMemberIsReader(t *testing.T) {
 	all := fleet(5)
 	for i := range all {
 		all[i].LinkMbps = 10
@@ -146,10 +153,10 @@
 		}
 	}
 	for _, m := range all {
-		plan := RankSources(m, all)
+		sources := RankSources(m, all)
 		fast := m.Domain + "-3"
-		if reads := plan[0] == StoreSource; reads != (m.ID == fast) || !reads && plan[0].ID != fast {
-			t.Errorf("%s: %v", m.ID, plan)
+		if reads := sources[0] == StoreSource; reads != (m.ID == fast) || !reads && sources[0].ID != fast {
+			t.Errorf("%s: %v", m.ID, sources)
 		}
 	}
 }
--- a/internal/relay/unknown_senders.go
+++ b/internal/relay/unknown_senders.go
@@ -8,48 +8,51 @@
 )
 
 const (
-	// strangerFresh is how long after it was heard a stranger may be asked. Entries
-	// report several times a second.
-	strangerFresh = 2 * time.Second
-	// maxStrangers is how many are asked.
-	maxStrangers = 3
+	// senderMaxAge is how long after its last report an unknown sender is used as a source.
+	// Nodes report several times a second.
+	senderMaxAge = 2 * time.Second
+	// maxUnknownSenders is how many unknown senders are used as sources.
+	maxUnknownSenders = 3
 )
 
-// UnknownSenders are entries that report to this one though it does not know them yet: it
-// has just started, and they still list its earlier life. If the service is away they
-// are the only ones who can tell it anything. It is safe for concurrent use.
+// UnknownSenders tracks the nodes that send reports to this node though it does not have
+// them as members yet: it has just started, and they still list its earlier incarnation.
+// During an outage of the store they are the only sources that it has. It is safe for
+// concurrent use.
 type UnknownSenders struct {
-	mu    sync.Mutex
-	heard map[string]time.Time
+	mu         sync.Mutex
+	lastReport map[string]time.Time
 }
 
 // NewUnknownSenders returns an empty set.
-func NewUnknownSenders() *UnknownSenders { return &UnknownSenders{heard: make(map[string]time.Time)} }
+func NewUnknownSenders() *UnknownSenders {
+	return &UnknownSenders{lastReport: make(map[string]time.Time)}
+}
 
-// RecordReport records that an entry reported from an address.
+// RecordReport records that a report arrived from an address.
 func (s *UnknownSenders) RecordReport(addr string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for known, at := range s.heard {
-		if now.Sub(at) >= strangerFresh {
-			delete(s.heard, known)
+	for known, at := range s.lastReport {
+		if now.Sub(at) >= senderMaxAge {
+			delete(s.lastReport, known)
 		}
 	}
-	s.heard[addr] = now
+	s.lastReport[addr] = now
 }
 
-// Sources returns the strangers to ask, those heard last first.
+// Sources returns up to maxUnknownSenders sources, those with the latest reports first.
 func (s *UnknownSenders) Sources(now time.Time) []Source {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []Source
-	for addr, at := range s.heard {
-		if now.Sub(at) < strangerFresh {
+	for addr, at := range s.lastReport {
+		if now.Sub(at) < senderMaxAge {
 			out = append(out, Source{ID: addr, Address: addr})
 		}
 	}
 	slices.SortFunc(out, func(a, b Source) int {
-		return cmp.Or(s.heard[b.Address].Compare(s.heard[a.Address]), cmp.Compare(a.Address, b.Address))
+		return cmp.Or(s.lastReport[b.Address].Compare(s.lastReport[a.Address]), cmp.Compare(a.Address, b.Address))
 	})
-	return out[:min(maxStrangers, len(out))]
+	return out[:min(maxUnknownSenders, len(out))]
 }
--- a/test/ablate/table.go
+++ b/test/ablate/table.go
@@ -90,7 +90,7 @@
 	{"readers prove that they know all changes", "platform/reader.go",
 		"case revision > at:\n", "case revision > at && false:\n", pkgPlatform, "TestInForceWhateverIsDeaf", nil},
 	{"deaf readers are not followed", "internal/relay/serve.go",
-		"state.Following && s.now().Sub(b.CompleteUntil) < s.maxAge", "state.Following", "./internal/relay", "AgeIsTold", nil},
+		"state.Following && s.now().Sub(b.CompleteUntil) < s.maxAge", "state.Following", "./internal/relay", "ReplyCarriesAge", nil},
 	{"the store is asked rather than one more peer", "platform/feed.go",
 		"!started && f.age() >= f.pace.old {", "!started && false {", pkgPlatform, "TestInForceWhateverIsDeaf", nil},
 	{"silent connections are not used again", "platform/store.go",
