--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -47,8 +47,10 @@
 	opt       Options
 	config    *model.Config
 	upstreams map[string]model.Upstream
-	drained   map[string]time.Time
-	nodes     map[string]registration
+	// drained maps each failure domain that is being drained to when its drain started.
+	drained map[string]time.Time
+	// nodes holds the registrations by key.
+	nodes map[string]registration
 	// unreachable is set while the store cannot be reached, recoveredAt is when it was
 	// reached again.
 	unreachable bool
@@ -76,6 +78,7 @@
 
 // removedIncarnation is the last incarnation of an upstream that was removed.
 type removedIncarnation struct {
+	// startedAt is its model.Upstream.StartedAt.
 	startedAt int64
 	removedAt time.Time
 }
