--- a/internal/balance/affinity.go
+++ b/internal/balance/affinity.go
@@ -6,51 +6,51 @@
 )
 
 const (
-	// replicas is how many upstreams share the requests for one object. With two
-	// a busy one has a warm alternative; with three more objects compete for the
-	// memory of each upstream.
+	// replicas is the number of upstreams that share the requests for one object. With two, a busy
+	// upstream has a warm alternative; with three, more objects compete for the memory of each
+	// upstream.
 	replicas = 2
-	// crossingPerByte is the time that a request would rather wait than send one
-	// more byte to another failure domain: a photograph of 60 KB nearly always
-	// stays, an answer of 400 bytes does not care.
+	// crossDomainCostPerByte is the extra wait that is accepted per byte to keep a request within
+	// its failure domain: a photograph of 60 KB nearly always stays, an answer of 400 bytes is
+	// hardly affected.
 	crossDomainCostPerByte = 10 * time.Microsecond
-	// spareShare is up to what share of its slots an upstream begins a replica for
-	// the sake of bytes that stay, so that the last slots are left to requests whose
-	// object is at hand.
+	// replicaLoadLimit is the share of its slots up to which an upstream takes a new replica of an
+	// object only to keep traffic within the failure domain. The remaining slots are left to
+	// requests for which the upstream is warm.
 	replicaLoadLimit = 0.8
-	// largeBytes is the mean size from which on a class has a replica of each
-	// object in each failure domain. Below, one more warm replica costs more than
-	// the bytes that stay.
+	// largeBytes is the mean size from which a class has replicas of each object in different
+	// failure domains. Below it, another warm replica costs more than the traffic that it keeps
+	// within a domain.
 	largeBytes = 3000
-	// maxColdAhead is how many cold upstreams at the front of an object's order are passed
-	// over. With half of a region cold eight in a row come once in 256 objects.
+	// maxUnreadySkipped is how many cold or rate-limited upstreams at the front of an object's
+	// order are skipped. With half of a region cold, eight in a row occur for one object in 256.
 	maxUnreadySkipped = 8
-	// hugeBytes is the mean size from which on each failure domain has a replica,
-	// however many there are: the bytes that stay are then worth more than the colder work.
+	// hugeBytes is the mean size from which an object has a replica in each failure domain that
+	// requests it, whatever their number: keeping the traffic within the domain is then worth more
+	// than the additional cold work.
 	hugeBytes = 20_000
 )
 
-// ObjectRequest asks for an upstream for a request that concerns an object.
+// ObjectRequest describes a request for an object, for which an upstream is to be picked.
 type ObjectRequest struct {
 	// Object is the hash of what the request is about; see HashObject.
 	Object uint64
-	// Class names the requests that take the same work, for instance a route.
+	// Class names requests of similar service time, for instance a route.
 	Class string
-	// Objective is the latency within which the answer has its full worth; 0 if
-	// there is none.
+	// Objective is the latency up to which the answer has its full value; 0 if there is none.
 	Objective time.Duration
-	// Regions are those that may serve the request.
+	// Regions reports whether a region may serve the request; nil allows all.
 	Regions func(region string) bool
 	// Tried holds the ids of upstreams that must not be picked again.
 	Tried []string
-	// NoAffinity is set if there is no object to stay with, so that any upstream will
-	// do.
+	// NoAffinity is set if the request concerns no particular object, so that any upstream will do.
 	NoAffinity bool
 }
 
-// PickObject chooses among the upstreams of an object the one that is expected
-// to answer first, and takes one of its slots. All entries order the upstreams
-// of an object alike, so that requests for it meet at the same few.
+// PickObject chooses the replica of an object with the least expected latency and takes one of its
+// slots. All entries compute the same order of upstreams for an object, so that requests for it
+// reach the same few upstreams. The error is ErrNoUpstream, or ErrNoSlot or one that wraps it
+// (LateError, LimitError).
 func (b *Balancer) PickObject(now time.Time, req ObjectRequest) (Choice, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -80,8 +80,8 @@
 	return c, nil
 }
 
-// rank returns the upstreams that share an object, at most replicas, by place. A
-// request that may go anywhere gets all usable upstreams.
+// replicasFor returns the candidates for an object in the object's order, at most as many as
+// replicas. A request without affinity gets all usable upstreams.
 func (b *Balancer) replicasFor(now time.Time, req ObjectRequest) []candidate {
 	t := b.classStats(req.Class)
 	switch {
@@ -96,10 +96,11 @@
 	return ranked[:min(replicas, len(ranked))]
 }
 
-// settledFirst puts the upstreams that are cold, or whose limits leave no room, after those
-// that are neither. One that has just joined knows no object and is slow, and the upstreams
-// after it still have at hand what it would take over. Placed first, upstreams that join have
-// requests refused while most slots are free, since most entries may not send to cold ones.
+// readyFirst moves upstreams that are cold, or whose rate limit leaves no room, behind the others.
+// An upstream that has just joined has no object cached and is slow, while the next upstreams in
+// the order still have the objects that it would take over. If joining upstreams came first,
+// requests would be refused while most slots are free, because most entries may not send to cold
+// upstreams.
 func (b *Balancer) readyFirst(now time.Time, cs []candidate) []candidate {
 	for i := range cs {
 		cs[i].unready = b.isUnready(cs[i], now)
@@ -108,6 +109,7 @@
 	return cs
 }
 
+// isUnready reports whether a candidate is cold or its rate limit leaves no room now.
 func (b *Balancer) isUnready(c candidate, now time.Time) bool {
 	return b.cold(c.state, now) || c.limitWait(now) > 0
 }
@@ -123,9 +125,9 @@
 	return 1
 }
 
-// withOwnDomain returns the first upstream, and the first of the own failure domain
-// if there is one in the region that the object belongs to. So an object has as many
-// replicas as there are failure domains that ask for it.
+// withLocalDomain returns the first upstream and the first one in this entry's own failure domain,
+// if there is one in the object's region. An object then has as many replicas as there are failure
+// domains that request it.
 func (b *Balancer) withLocalDomain(usable []candidate) []candidate {
 	if len(usable) <= replicas {
 		return usable
@@ -138,9 +140,9 @@
 	return []candidate{first, usable[own]}
 }
 
-// perDomain returns the first upstreams of different failure domains of the region
-// that the object belongs to, so that entries of each can have one at hand. Where
-// there are fewer domains the next upstreams make up for it.
+// perDomain returns the first upstreams of different failure domains in the object's region, so
+// that entries in each of these domains can have a warm upstream in their own domain. If there are
+// fewer domains than replicas, the next upstreams in the order fill the rest.
 func perDomain(usable []candidate) []candidate {
 	if len(usable) <= replicas {
 		return usable
@@ -161,18 +163,17 @@
 	return append(shared, rest[:missing]...)
 }
 
+// hasDomain reports whether one of the candidates is in a failure domain.
 func hasDomain(cs []candidate, domain string) bool {
 	return slices.ContainsFunc(cs, func(c candidate) bool { return c.state.Domain == domain })
 }
 
-// quickest returns the candidate with the least expected time to its answer, and
-// its rank; nil if all are full.
+// fastest returns the candidate with the least expected latency and its rank; nil if all are full.
 //
-// Each further replica of an object costs its upstream the whole work, and under
-// load no upstream has room for that. So the first candidate and those that have
-// the object at hand come first. Only if none of them can take the request another
-// one may that is idle. Large requests begin a replica in the own failure domain
-// as soon as an upstream there has a slot to spare.
+// Each further replica costs its upstream the full work on a cold object, for which no upstream has
+// room under load. The first candidate and warm ones are therefore preferred; if none of them can
+// take the request, another idle one may. Large requests start a replica in this entry's own
+// failure domain as soon as an upstream there has enough free slots.
 func (b *Balancer) fastest(now time.Time, req ObjectRequest, ranked []candidate) (*upstreamState, int) {
 	large := b.classStats(req.Class).large()
 	tiers := []func(i int, u *upstreamState) bool{
@@ -190,20 +191,20 @@
 	return nil, 0
 }
 
-// idle reports whether an upstream uses at most a share of its slots with one more
+// hasSpareSlots reports whether an upstream uses at most a share of its slots after one more
 // request.
 func (b *Balancer) hasSpareSlots(u *upstreamState, now time.Time, share float64) bool {
 	return b.outstanding(u, now)+1 <= share*float64(u.Slots)
 }
 
-// least returns the candidate with the least expected time among those that may be
-// used, and its rank.
-func (b *Balancer) leastExpected(now time.Time, req ObjectRequest, ranked []candidate, may func(int, *upstreamState) bool) (*upstreamState, int) {
+// leastExpected returns the candidate with the least expected latency among those that allowed
+// accepts and that have room, and its rank; nil if there is none.
+func (b *Balancer) leastExpected(now time.Time, req ObjectRequest, ranked []candidate, allowed func(int, *upstreamState) bool) (*upstreamState, int) {
 	var best *upstreamState
 	var least time.Duration
 	rank := 0
 	for i, c := range ranked {
-		if !may(i, c.state) || c.limitWait(now) > 0 || !b.hasCapacity(c.state, now) || b.missesObjective(c.state, now, req) {
+		if !allowed(i, c.state) || c.limitWait(now) > 0 || !b.hasCapacity(c.state, now) || b.missesObjective(c.state, now, req) {
 			continue
 		}
 		t := b.expectedLatency(c.state, now, req, i)
@@ -214,8 +215,8 @@
 	return best, rank
 }
 
-// expected is the time until an upstream's answer: the way there and back, the
-// wait for a slot, and the work.
+// expectedLatency returns the expected time until an upstream's answer: the network round trip, the
+// wait for a slot, the service time, and the cost of crossing failure domains.
 func (b *Balancer) expectedLatency(u *upstreamState, now time.Time, req ObjectRequest, rank int) time.Duration {
 	t := b.classStats(req.Class)
 	work := t.unknown[min(rank, len(t.unknown)-1)]
@@ -225,8 +226,8 @@
 	return b.roundTrip[u.Region] + b.expectedWait(u, now, req) + work + b.crossDomainCost(u, t)
 }
 
-// crossing is the time that a request would rather wait than have its bytes cross
-// to another failure domain.
+// crossDomainCost returns the extra wait that is accepted to avoid sending a request of a class to
+// another failure domain.
 func (b *Balancer) crossDomainCost(u *upstreamState, t *classStats) time.Duration {
 	if u.Domain == b.domain {
 		return 0
--- a/internal/balance/affinity_test.go
+++ b/internal/balance/affinity_test.go
@@ -16,9 +16,9 @@
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
-// site is a service with upstreams in two failure domains of each of two regions,
-// and an entry in each domain.
-func site(perDomain, slots int) (*model.Service, []model.Member) {
+// twoRegionService returns a service with upstreams in two failure domains of each of two regions,
+// and one entry in each domain.
+func twoRegionService(perDomain, slots int) (*model.Service, []model.Member) {
 	s := &model.Service{Name: "stock", Routed: true}
 	var entries []model.Member
 	for _, region := range []string{"muscat", "sohar"} {
@@ -34,9 +34,9 @@
 	return s, entries
 }
 
-func groupAt(s *model.Service, entries []model.Member, e model.Member) *Balancer {
+func balancerAt(s *model.Service, entries []model.Member, e model.Member) *Balancer {
 	lb := NewBalancer()
-	lb.Update(ServiceState{Service: s, Draining: never, Self: e.ID, Region: e.Region, Domain: e.Domain, Entries: entries}, t0)
+	lb.Update(ServiceState{Service: s, Draining: notDraining, Self: e.ID, Region: e.Region, Domain: e.Domain, Entries: entries}, t0)
 	return lb
 }
 
@@ -49,60 +49,60 @@
 	return c
 }
 
-// serve picks an upstream for an object and has it answer after took.
-func serve(t *testing.T, lb *Balancer, now time.Time, object int, took time.Duration) Choice {
+// pickAndAnswer picks an upstream for an object and reports a successful answer after took.
+func pickAndAnswer(t *testing.T, lb *Balancer, now time.Time, object int, took time.Duration) Choice {
 	t.Helper()
 	c := pickObject(t, lb, now, object)
 	lb.Done(now.Add(took), c, DoneInfo{Result: OK, Load: 0, Waiting: 0, Bytes: 400})
 	return c
 }
 
-// TestEntriesOfARegionAgree picks for the same objects at two entries of a region
-// that never spoke with each other.
-func TestEntriesOfARegionAgree(t *testing.T) {
-	s, entries := site(3, 8)
-	a, b := groupAt(s, entries, entries[0]), groupAt(s, entries, entries[1])
+// TestEntriesInRegionPickSameUpstream picks for the same objects at two entries of a region that
+// have not exchanged any messages.
+func TestEntriesInRegionPickSameUpstream(t *testing.T) {
+	s, entries := twoRegionService(3, 8)
+	a, b := balancerAt(s, entries, entries[0]), balancerAt(s, entries, entries[1])
 	used := make(map[string]int)
 	for o := range 200 {
-		x, y := serve(t, a, t0, o, 0), serve(t, b, t0, o, 0)
+		x, y := pickAndAnswer(t, a, t0, o, 0), pickAndAnswer(t, b, t0, o, 0)
 		if x.ID != y.ID {
 			t.Errorf("object %d: %s at one entry, %s at the other", o, x.ID, y.ID)
 		}
 		if x.Region != "muscat" {
-			t.Errorf("object %d left the region, which has the capacity for it", o)
+			t.Errorf("object %d left its region, which has enough capacity", o)
 		}
 		used[x.ID]++
 	}
 	if len(used) != 6 {
-		t.Errorf("objects at %d of 6 upstreams: %v", len(used), used)
+		t.Errorf("objects are spread over %d of 6 upstreams: %v", len(used), used)
 	}
 }
 
-// TestOnlyItsOwnObjectsMove takes one upstream away in a region that has more
-// capacity than it asks for.
-func TestOnlyItsOwnObjectsMove(t *testing.T) {
-	s, entries := site(3, 8)
+// TestRemovedUpstreamMovesOnlyItsObjects removes one upstream from a region that has more capacity
+// than demand.
+func TestRemovedUpstreamMovesOnlyItsObjects(t *testing.T) {
+	s, entries := twoRegionService(3, 8)
 	s.Upstreams = s.Upstreams[:len(s.Upstreams)-2]
-	lb := groupAt(s, entries, entries[0])
+	lb := balancerAt(s, entries, entries[0])
 	before := make(map[int]string)
 	for o := range 200 {
-		before[o] = serve(t, lb, t0, o, 0).ID
+		before[o] = pickAndAnswer(t, lb, t0, o, 0).ID
 	}
 	gone := s.Upstreams[0].ID
 	less := *s
 	less.Upstreams = s.Upstreams[1:]
-	lb = groupAt(&less, entries, entries[0])
+	lb = balancerAt(&less, entries, entries[0])
 	for o := range 200 {
-		if now := serve(t, lb, t0, o, 0).ID; before[o] != gone && now != before[o] {
+		if now := pickAndAnswer(t, lb, t0, o, 0).ID; before[o] != gone && now != before[o] {
 			t.Errorf("object %d moved from %s to %s", o, before[o], now)
 		}
 	}
 }
 
-// TestSmallRegionSpills gives a region a quarter of the capacity that it asks for.
-// All upstreams must get about the same.
-func TestSmallRegionSpills(t *testing.T) {
-	s, entries := site(8, 8)
+// TestSmallRegionSpillsOver gives a region a quarter of the upstreams of the other one at equal
+// demand. Its share of the objects must correspond to its capacity.
+func TestSmallRegionSpillsOver(t *testing.T) {
+	s, entries := twoRegionService(8, 8)
 	var kept []model.Upstream
 	for i, u := range s.Upstreams {
 		if u.Region == "muscat" || i%8 < 2 {
@@ -113,23 +113,24 @@
 	const objects = 4000
 	used := make(map[string]int)
 	for _, e := range []model.Member{entries[0], entries[2]} {
-		lb := groupAt(s, entries, e)
+		lb := balancerAt(s, entries, e)
 		for o := range objects {
 			used[lb.byScore(t0, ObjectRequest{Object: HashObject(e.Region, fmt.Sprint(o))})[0].state.Region]++
 		}
 	}
 	share := float64(used["sohar"]) / (2 * objects)
 	if want := 4.0 / 20; share < want-0.03 || share > want+0.03 {
-		t.Errorf("the small region has %.2f of the objects, want %.2f as of the capacity", share, want)
+		t.Errorf("the small region has a share of %.2f of the objects, want %.2f like its share of the capacity", share, want)
 	}
 }
 
-// TestSecondReplicaOnlyWhenItPays keeps an object at its first upstream until that
-// is full, and then uses the second only while it is idle or has the object.
-func TestSecondReplicaOnlyWhenItPays(t *testing.T) {
-	s, entries := site(2, 2)
-	lb := groupAt(s, entries, entries[0])
-	first := serve(t, lb, t0, 1, 300*time.Millisecond)
+// TestSecondReplicaOnlyWhenFirstIsFull checks that an object stays at its first upstream until that
+// is full. The second one is used only while it is idle or warm for the object; after that,
+// requests are refused with a LateError.
+func TestSecondReplicaOnlyWhenFirstIsFull(t *testing.T) {
+	s, entries := twoRegionService(2, 2)
+	lb := balancerAt(s, entries, entries[0])
+	first := pickAndAnswer(t, lb, t0, 1, 300*time.Millisecond)
 	now := t0.Add(time.Second)
 	for {
 		c, err := lb.PickObject(now, ObjectRequest{Object: first.object, Class: "r", Objective: 700 * time.Millisecond})
@@ -141,7 +142,7 @@
 		}
 	}
 	if lb.byID[first.ID].inFlight <= first.Slots {
-		t.Errorf("another replica begun with %d requests at the first", lb.byID[first.ID].inFlight)
+		t.Errorf("second replica used with only %d requests at the first one", lb.byID[first.ID].inFlight)
 	}
 	for range 2 {
 		if _, err := lb.PickObject(now, ObjectRequest{Object: first.object, Class: "r", Objective: 700 * time.Millisecond}); err != nil {
@@ -151,16 +152,16 @@
 	_, err := lb.PickObject(now, ObjectRequest{Object: first.object, Class: "r", Objective: 700 * time.Millisecond})
 	var late *LateError
 	if !errors.As(err, &late) || late.RetryAfter <= 0 || !errors.Is(err, ErrNoSlot) {
-		t.Errorf("with both full: %v", err)
+		t.Errorf("with both replicas full: got %v, want a LateError with RetryAfter > 0", err)
 	}
 }
 
-// TestUnknownWorkIsNotFree fills upstreams of which no answer was ever seen. After
-// a loss of power all callers come back at once, and entries that took work for
-// free filled every queue.
-func TestUnknownWorkIsNotFree(t *testing.T) {
-	s, entries := site(1, 4)
-	lb := groupAt(s, entries, entries[0])
+// TestUnknownServiceTimeBoundsQueue fills upstreams that have not answered any request. After a
+// power loss all callers return at once; if entries assumed a service time of zero, they would fill
+// every queue.
+func TestUnknownServiceTimeBoundsQueue(t *testing.T) {
+	s, entries := twoRegionService(1, 4)
+	lb := balancerAt(s, entries, entries[0])
 	taken := 0
 	for {
 		_, err := lb.PickObject(t0, ObjectRequest{Object: 1, Class: "r", Objective: 500 * time.Millisecond})
@@ -170,56 +171,55 @@
 		taken++
 	}
 	if most := 2*4 + 4; taken > most {
-		t.Errorf("%d requests taken at two upstreams of 4 slots", taken)
+		t.Errorf("%d requests accepted at two upstreams of 4 slots each", taken)
 	}
 }
 
-// TestSilentUpstreamIsPassedOver leaves a request without an answer for longer than
-// any work takes.
-func TestSilentUpstreamIsPassedOver(t *testing.T) {
-	s, entries := site(3, 8)
-	lb := groupAt(s, entries, entries[0])
+// TestUnresponsiveUpstreamIsSkipped leaves a request unanswered for longer than any work takes.
+func TestUnresponsiveUpstreamIsSkipped(t *testing.T) {
+	s, entries := twoRegionService(3, 8)
+	lb := balancerAt(s, entries, entries[0])
 	first := pickObject(t, lb, t0, 1)
 	if c := pickObject(t, lb, t0.Add(unresponsiveTimeout), 1); c.ID != first.ID {
-		t.Error("passed over too early")
+		t.Error("upstream skipped before unresponsiveTimeout")
 	}
 	late := t0.Add(unresponsiveTimeout + time.Millisecond)
 	if c := pickObject(t, lb, late, 1); c.ID == first.ID {
-		t.Error("a silent upstream was picked")
+		t.Error("an unresponsive upstream was picked")
 	}
 	lb.Done(late, first, DoneInfo{Result: OK, Load: 0})
 	if c := pickObject(t, lb, late, 1); c.ID != first.ID {
-		t.Error("still passed over after an answer")
+		t.Error("upstream still skipped after an answer")
 	}
 }
 
-// TestPeersRequestsCount lets a peer fill an object's first upstream.
-func TestPeersRequestsCount(t *testing.T) {
-	s, entries := site(2, 2)
-	lb := groupAt(s, entries, entries[0])
+// TestPeerLoadCounts reports that a peer has filled an object's first upstream.
+func TestPeerLoadCounts(t *testing.T) {
+	s, entries := twoRegionService(2, 2)
+	lb := balancerAt(s, entries, entries[0])
 	object := 0
-	first := serve(t, lb, t0, object, 300*time.Millisecond)
+	first := pickAndAnswer(t, lb, t0, object, 300*time.Millisecond)
 	for first.Domain != entries[0].Domain {
 		object++
-		first = serve(t, lb, t0, object, 300*time.Millisecond)
+		first = pickAndAnswer(t, lb, t0, object, 300*time.Millisecond)
 	}
 	full := map[uint32]Load{uint32(lb.byID[first.ID].idHash): {Requests: 6}}
 	lb.ApplyPeerLoad(t0, PeerLoad{Peer: "peer", Last: math.MaxUint32, Loads: full})
-	if c := serve(t, lb, t0, object, 0); c.ID == first.ID {
-		t.Error("sent to an upstream that a peer has filled")
+	if c := pickAndAnswer(t, lb, t0, object, 0); c.ID == first.ID {
+		t.Error("picked an upstream that is full according to a peer")
 	}
 	lb.ApplyPeerLoad(t0.Add(2*peerReportTTL), PeerLoad{Peer: "other", Last: math.MaxUint32})
-	if c := serve(t, lb, t0.Add(2*peerReportTTL), object, 0); c.ID != first.ID {
-		t.Error("a silent peer's requests still count")
+	if c := pickAndAnswer(t, lb, t0.Add(2*peerReportTTL), object, 0); c.ID != first.ID {
+		t.Error("the load report of a peer counts after peerReportTTL")
 	}
 }
 
-// TestLargeRequestsStayInTheirDomain has two entries of a region serve large
-// requests for the same objects.
-func TestLargeRequestsStayInTheirDomain(t *testing.T) {
-	s, entries := site(3, 8)
+// TestLargeRequestsStayInDomain has two entries of a region serve large requests for the same
+// objects.
+func TestLargeRequestsStayInDomain(t *testing.T) {
+	s, entries := twoRegionService(3, 8)
 	for _, e := range entries[:2] {
-		lb := groupAt(s, entries, e)
+		lb := balancerAt(s, entries, e)
 		now := t0
 		for o := range 50 {
 			c := pickObject(t, lb, now, o)
@@ -232,19 +232,19 @@
 	}
 }
 
-// TestHugeRequestsStayInEachDomain has an entry in a third failure domain of a region.
-// Photographs get a replica there, mere large requests go to the two that there are.
-func TestHugeRequestsStayInEachDomain(t *testing.T) {
+// TestHugeRequestsHaveReplicaPerDomain places an entry in a third failure domain of a region. Huge
+// requests get a replica in that domain; merely large ones go to the two existing replicas.
+func TestHugeRequestsHaveReplicaPerDomain(t *testing.T) {
 	for _, tt := range []struct {
 		bytes int64
 		stay  bool
 	}{{hugeBytes, true}, {largeBytes, false}} {
-		s, entries := site(2, 8)
+		s, entries := twoRegionService(2, 8)
 		for i := range 4 {
 			s.Upstreams = append(s.Upstreams, model.Upstream{ID: fmt.Sprint("muscat-c-", i), Service: s.Name, Region: "muscat", Domain: "muscat-c", Slots: 8})
 		}
 		third := model.Member{ID: "entry-muscat-c", Region: "muscat", Domain: "muscat-c", State: membership.Alive}
-		lb := groupAt(s, append(entries, third), third)
+		lb := balancerAt(s, append(entries, third), third)
 		crossed := 0
 		for o := range 200 {
 			c := pickObject(t, lb, t0, o)
@@ -254,110 +254,110 @@
 			}
 		}
 		if stay := crossed == 0; stay != tt.stay {
-			t.Errorf("%d bytes: %d of 200 crossed", tt.bytes, crossed)
+			t.Errorf("%d bytes: %d of 200 requests crossed failure domains", tt.bytes, crossed)
 		}
 	}
 }
 
-// TestPartialFailuresArePassedOver has an upstream fail half of its requests, of which
-// each of ten entries sends one. None of them could tell alone.
-func TestPartialFailuresArePassedOver(t *testing.T) {
-	s, entries := site(3, 8)
-	groups := make([]*Balancer, 10)
-	for i := range groups {
-		groups[i] = groupAt(s, entries, entries[0])
-	}
-	sick := serve(t, groups[0], t0, 1, 0).ID
-	for i, lb := range groups {
+// TestPartialFailuresMakeOutlier has an upstream fail half of ten requests, one from each of ten
+// entries. No entry can detect this from its own requests.
+func TestPartialFailuresMakeOutlier(t *testing.T) {
+	s, entries := twoRegionService(3, 8)
+	balancers := make([]*Balancer, 10)
+	for i := range balancers {
+		balancers[i] = balancerAt(s, entries, entries[0])
+	}
+	failing := pickAndAnswer(t, balancers[0], t0, 1, 0).ID
+	for i, lb := range balancers {
 		c := pickObject(t, lb, t0, 1)
 		lb.Done(t0, c, DoneInfo{Result: OK, ServerError: i%2 == 0, Load: 0, Waiting: 0})
 	}
-	if c := serve(t, groups[0], t0, 1, 0); c.ID != sick {
-		t.Fatalf("one failure of one entry moves an object from %s to %s", sick, c.ID)
+	if c := pickAndAnswer(t, balancers[0], t0, 1, 0); c.ID != failing {
+		t.Fatalf("a single failure at one entry moved the object from %s to %s", failing, c.ID)
 	}
-	tellAll(groups, t0)
-	for i, lb := range groups {
-		if c := serve(t, lb, t0.Add(outlierDuration-1), 1, 0); c.ID == sick {
-			t.Errorf("entry %d still sends to an upstream that fails half of all requests", i)
+	exchangeLoads(balancers, t0)
+	for i, lb := range balancers {
+		if c := pickAndAnswer(t, lb, t0.Add(outlierDuration-1), 1, 0); c.ID == failing {
+			t.Errorf("entry %d still picks an upstream that fails half of all requests", i)
 		}
-		if c := pickObject(t, lb, t0.Add(outlierDuration).Add(warmTTL), 1); c.ID != sick {
-			t.Errorf("entry %d does not try again", i)
+		if c := pickObject(t, lb, t0.Add(outlierDuration).Add(warmTTL), 1); c.ID != failing {
+			t.Errorf("entry %d does not try the upstream again after outlierDuration", i)
 		}
 	}
 }
 
-// TestIdleSheds has an upstream refuse a request as if it were full. One that says, or
-// is known, to have slots to spare is asked again; one that is full is left alone for a
-// moment.
-func TestIdleSheds(t *testing.T) {
+// TestShedsWithFreeSlots has an upstream refuse a request as if it were full. If it has free slots,
+// by its own report or the entries' counts, it is picked again; if it is full, it is skipped for a
+// short time.
+func TestShedsWithFreeSlots(t *testing.T) {
 	for _, tt := range []struct {
 		name          string
 		load, waiting int
 		again         bool
 	}{
-		{"slots to spare", 3, 0, true},
+		{"free slots", 3, 0, true},
 		{"full", 8, 2, false},
-		{"does not say, but has few requests", -1, -1, true},
+		{"no load report, but few requests", -1, -1, true},
 	} {
-		s, entries := site(3, 8)
-		lb := groupAt(s, entries, entries[0])
+		s, entries := twoRegionService(3, 8)
+		lb := balancerAt(s, entries, entries[0])
 		c := pickObject(t, lb, t0, 1)
 		result := lb.Done(t0, c, DoneInfo{Result: Shed, Load: tt.load, Waiting: tt.waiting})
 		if idle := result == ShedIdle; idle != tt.again {
-			t.Errorf("%s: slots to spare is %v, want %v", tt.name, idle, tt.again)
+			t.Errorf("%s: result is ShedIdle: %v, want %v", tt.name, idle, tt.again)
 		}
 		if again := pickObject(t, lb, t0, 1).ID == c.ID; again != tt.again {
-			t.Errorf("%s: asked again is %v, want %v", tt.name, again, tt.again)
+			t.Errorf("%s: picked again: %v, want %v", tt.name, again, tt.again)
 		}
 	}
 }
 
-// TestRareFailuresAreBorne has an upstream fail some of many requests.
-func TestRareFailuresAreBorne(t *testing.T) {
-	s, entries := site(3, 8)
-	lb := groupAt(s, entries, entries[0])
-	sick := pickObject(t, lb, t0, 1).ID
+// TestRareFailuresAreTolerated has an upstream fail one request in ten.
+func TestRareFailuresAreTolerated(t *testing.T) {
+	s, entries := twoRegionService(3, 8)
+	lb := balancerAt(s, entries, entries[0])
+	failing := pickObject(t, lb, t0, 1).ID
 	for i := range 100 {
 		c := pickObject(t, lb, t0, 1)
-		if c.ID != sick {
-			t.Fatalf("moved to %s after %d requests", c.ID, i)
+		if c.ID != failing {
+			t.Fatalf("object moved to %s after %d requests", c.ID, i)
 		}
 		lb.Done(t0, c, DoneInfo{Result: OK, ServerError: i%10 == 9, Load: 0, Waiting: 0})
 	}
 }
 
-// TestLostAnswersAreBorne has every second answer of an upstream lost on the way. It is
-// well itself, and has its objects at hand.
-func TestLostAnswersAreBorne(t *testing.T) {
-	s, entries := site(3, 8)
-	lb := groupAt(s, entries, entries[0])
-	sick := serve(t, lb, t0, 1, 0).ID
+// TestLostAnswersAreTolerated loses every second answer of an upstream on the way. The upstream is
+// healthy and warm for its objects, so it must still be picked.
+func TestLostAnswersAreTolerated(t *testing.T) {
+	s, entries := twoRegionService(3, 8)
+	lb := balancerAt(s, entries, entries[0])
+	failing := pickAndAnswer(t, lb, t0, 1, 0).ID
 	for i := range 20 {
 		c := pickObject(t, lb, t0, 1)
-		if c.ID != sick {
-			t.Fatalf("moved to %s after %d requests", c.ID, i)
+		if c.ID != failing {
+			t.Fatalf("object moved to %s after %d requests", c.ID, i)
 		}
 		lb.Done(t0, c, DoneInfo{Result: []Result{OK, Failed}[i%2], Load: 0, Waiting: 0})
 	}
 }
 
-// TestAllFailingIsNoReasonToRefuse has every upstream fail.
-func TestAllFailingIsNoReasonToRefuse(t *testing.T) {
-	s, entries := site(2, 8)
-	lb := groupAt(s, entries, entries[0])
+// TestRequestsAreSentWhenAllUpstreamsFail has every upstream answer with failures.
+func TestRequestsAreSentWhenAllUpstreamsFail(t *testing.T) {
+	s, entries := twoRegionService(2, 8)
+	lb := balancerAt(s, entries, entries[0])
 	for o := range 300 {
 		c := pickObject(t, lb, t0, o)
 		lb.Done(t0, c, DoneInfo{Result: OK, ServerError: true, Load: 0, Waiting: 0})
 	}
 }
 
-// TestOnlyAllowedRegions picks under any load, failures and leaving upstreams. A
-// request never goes to a region that may not serve it.
+// TestOnlyAllowedRegions picks under random load, failures and refusals. A request must never go to
+// a region that may not serve it.
 func TestOnlyAllowedRegions(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
 	properties.Property("only allowed regions", prop.ForAll(func(steps []int) string {
-		s, entries := site(2, 2)
-		lb := groupAt(s, entries, entries[0])
+		s, entries := twoRegionService(2, 2)
+		lb := balancerAt(s, entries, entries[0])
 		allowed := func(region string) bool { return region == "sohar" }
 		now := t0
 		for _, step := range steps {
@@ -369,7 +369,7 @@
 				continue
 			}
 			if !allowed(c.Region) {
-				return "picked " + c.ID
+				return "picked a region that is not allowed: " + c.ID
 			}
 			if step%3 > 0 {
 				lb.Done(now, c, DoneInfo{Result: []Result{OK, Shed, Failed, Unreachable}[step%4], Load: step % 4, Waiting: 0, Bytes: int64(step)})
@@ -380,16 +380,16 @@
 	properties.TestingRun(t)
 }
 
-// TestFewObjectsChangeRegion takes each upstream away in its turn, as a release does.
-// Objects that change their region are at most those of that upstream.
+// TestFewObjectsChangeRegion removes each upstream in turn, as a rolling release does. Only about
+// as many objects may change their region as that upstream had.
 func TestFewObjectsChangeRegion(t *testing.T) {
 	const objects = 1000
-	s, entries := site(6, 8)
+	s, entries := twoRegionService(6, 8)
 	regions := func(svc *model.Service) []string {
-		lb := groupAt(svc, entries, entries[0])
+		lb := balancerAt(svc, entries, entries[0])
 		out := make([]string, objects)
 		for o := range out {
-			out[o] = serve(t, lb, t0, o, 0).Region
+			out[o] = pickAndAnswer(t, lb, t0, o, 0).Region
 		}
 		return out
 	}
@@ -409,12 +409,12 @@
 	}
 }
 
-// tellAll has every entry hear of what each other one knows itself.
-func tellAll(groups []*Balancer, now time.Time) {
-	for i, from := range groups {
+// exchangeLoads sends every entry's own load to all other entries.
+func exchangeLoads(balancers []*Balancer, now time.Time) {
+	for i, from := range balancers {
 		p := PeerLoad{Peer: fmt.Sprint("peer-", i), Last: math.MaxUint32, Loads: make(map[uint32]Load)}
 		from.VisitLoads(now, EntryFilter{Own: true}, func(upstream uint32, l Load) { p.Loads[upstream] = l })
-		for j, to := range groups {
+		for j, to := range balancers {
 			if i != j {
 				to.ApplyPeerLoad(now, p)
 			}
@@ -422,14 +422,14 @@
 	}
 }
 
-// TestColdBound has all entries send to a cold upstream as fast as they may. In no
-// second may it get more than its bound.
-func TestColdBound(t *testing.T) {
+// TestColdRateLimit has all entries send to a cold upstream as fast as they may. In no second may
+// it get more requests than its rate limit.
+func TestColdRateLimit(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(3)
 	params.MinSuccessfulTests = 30
 	props := gopter.NewProperties(params)
 	props.Property("bound", prop.ForAll(func(bound float64, perDomain int, offsets []int) string {
-		s, _ := site(1, 8)
+		s, _ := twoRegionService(1, 8)
 		s.ColdRate = bound
 		s.Upstreams = s.Upstreams[:1]
 		s.Upstreams[0].ColdUntil = t0.Add(time.Hour)
@@ -439,12 +439,12 @@
 			entries = append(entries, model.Member{ID: fmt.Sprint("e", i), Region: domain[:len(domain)-2], Domain: domain})
 		}
 		var sent []time.Duration
-		groups := make([]*Balancer, len(entries))
+		balancers := make([]*Balancer, len(entries))
 		for i, e := range entries {
-			groups[i] = groupAt(s, entries, e)
+			balancers[i] = balancerAt(s, entries, e)
 		}
 		for at := time.Duration(0); at < 4*time.Second; at += 20 * time.Millisecond {
-			for i, lb := range groups {
+			for i, lb := range balancers {
 				if at < time.Duration(offsets[i%len(offsets)])*time.Millisecond {
 					continue
 				}
@@ -455,13 +455,13 @@
 				}
 			}
 		}
-		return overBound(sent, bound)
+		return exceedsLimit(sent, bound)
 	}, gen.Float64Range(3, 40), gen.IntRange(1, 8), gen.SliceOfN(5, gen.IntRange(0, 2500))))
 	props.TestingRun(t)
 }
 
-// overBound finds a second with more than bound of the times.
-func overBound(sent []time.Duration, bound float64) string {
+// exceedsLimit returns a message if more than bound of the times are within one second, else "".
+func exceedsLimit(sent []time.Duration, bound float64) string {
 	for i := range sent {
 		n := 0
 		for _, at := range sent[i:] {
@@ -470,22 +470,22 @@
 			}
 		}
 		if float64(n) > bound {
-			return fmt.Sprintf("%d requests in a second, bound %.1f", n, bound)
+			return fmt.Sprintf("%d requests in a second, limit %.1f", n, bound)
 		}
 	}
 	return ""
 }
 
-// TestJoiningUpstreamsTakeNothingOverWhileCold has 3 in 10 more upstreams join a service
-// that is hardly used. While they are cold each object stays where it is at hand.
-func TestJoiningUpstreamsTakeNothingOverWhileCold(t *testing.T) {
-	s, entries := site(10, 9)
+// TestJoiningUpstreamsGetNoObjectsWhileCold adds three upstreams to every ten of a service with
+// little load. While the new ones are cold, each object stays at its upstream.
+func TestJoiningUpstreamsGetNoObjectsWhileCold(t *testing.T) {
+	s, entries := twoRegionService(10, 9)
 	s.Warmup, s.ColdRate = 3*time.Second, 14
-	lb := groupAt(s, entries, entries[0])
+	lb := balancerAt(s, entries, entries[0])
 	const objects = 300
 	was := make([]string, objects)
 	for o := range objects {
-		was[o] = serve(t, lb, t0, o, time.Second).ID
+		was[o] = pickAndAnswer(t, lb, t0, o, time.Second).ID
 	}
 	joined := *s
 	for i := range 12 {
@@ -494,9 +494,9 @@
 		joined.Upstreams = append(joined.Upstreams, u)
 	}
 	update := func(now time.Time) {
-		lb.Update(ServiceState{Service: &joined, Draining: never, Self: entries[0].ID, Region: entries[0].Region, Domain: entries[0].Domain, Entries: entries}, now)
+		lb.Update(ServiceState{Service: &joined, Draining: notDraining, Self: entries[0].ID, Region: entries[0].Region, Domain: entries[0].Domain, Entries: entries}, now)
 	}
-	// What this entry knows of warm objects is too old to help.
+	// The entry's record of warm objects has expired by then.
 	now := t0.Add(time.Hour)
 	update(now)
 	for o := range objects {
@@ -509,10 +509,10 @@
 		}
 		lb.Done(now, c, DoneInfo{Result: Abandoned, Load: -1})
 	}
-	// When they have warmed up they take over their part.
+	// Once warmed up, the new upstreams take over their share.
 	used := 0
 	for o := range objects {
-		if c := serve(t, lb, now.Add(4*time.Second), o, time.Second); c.ID != was[o] {
+		if c := pickAndAnswer(t, lb, now.Add(4*time.Second), o, time.Second); c.ID != was[o] {
 			used++
 		}
 	}
@@ -521,15 +521,15 @@
 	}
 }
 
-// TestAllColdServe has every upstream start at once. What the bound on cold upstreams
-// lets this entry send, some three requests in two seconds at each, is used.
-func TestAllColdServe(t *testing.T) {
-	s, entries := site(4, 9)
+// TestAllUpstreamsCold has every upstream start at once. The rate limit for cold upstreams lets
+// this entry send about three requests in two seconds to each, and this must be used.
+func TestAllUpstreamsCold(t *testing.T) {
+	s, entries := twoRegionService(4, 9)
 	s.Warmup, s.ColdRate = 3*time.Second, 14
 	for i := range s.Upstreams {
 		s.Upstreams[i].ColdUntil = t0.Add(3 * time.Second)
 	}
-	lb := groupAt(s, entries, entries[0])
+	lb := balancerAt(s, entries, entries[0])
 	served := 0
 	for o := range 25 {
 		now := t0.Add(time.Duration(o) * 80 * time.Millisecond)
@@ -540,6 +540,6 @@
 		}
 	}
 	if served < 20 {
-		t.Errorf("%d of 25 served", served)
+		t.Errorf("%d of 25 requests were accepted, want at least 20", served)
 	}
 }
--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -1,8 +1,8 @@
 // Package balance decides which upstream carries a request.
 //
-// A Group holds what one entry knows of the upstreams of one service: its own
-// requests in flight, the load that the upstreams report, their failures. It
-// does no I/O; time and randomness are passed in.
+// A Balancer holds what one entry has measured and received about the upstreams of one service: its
+// own requests in flight, the load that the upstreams and the other entries report, and failures.
+// The package does no I/O; callers pass in time and randomness.
 package balance
 
 import (
@@ -20,109 +20,118 @@
 )
 
 const (
-	// reportDecay is the time constant by which a load report loses its weight.
+	// reportDecay is the time constant with which the weight of a load report decays exponentially.
 	reportDecay = 2 * time.Second
-	// ejectAfter is how many failures in a row eject an upstream.
+	// ejectionThreshold is the number of consecutive failures that ejects an upstream.
 	ejectionThreshold = 3
-	// ejectFirst and ejectLongest bound how long an ejection lasts; it doubles
-	// each time.
+	// baseEjectionTime is the length of the first ejection. Each further ejection without a success
+	// in between lasts twice as long, up to maxEjectionTime.
 	baseEjectionTime = time.Second
 	maxEjectionTime  = 30 * time.Second
-	// maxEjected is the share of a region's upstreams that may be ejected. When
-	// most look bad, the measurement is more likely wrong than the upstreams.
+	// maxEjectionShare is the largest share of a region's upstreams that may be ejected. When most
+	// upstreams seem to fail, the measurement is more likely wrong than the upstreams.
 	maxEjectionShare = 0.5
-	// latencyWeight is the weight of a new sample in the mean latency.
+	// latencyWeight is the weight of a new sample in the moving average of the latency.
 	latencyWeight = 0.1
-	// probeEvery is the time between requests that look whether a region most of
-	// which failed is well again.
+	// probeInterval is the time between requests that probe whether a region whose upstreams mostly
+	// fail has recovered.
 	probeInterval = 100 * time.Millisecond
-	// silentAfter is after what time without any answer, beside the expected wait, an
-	// upstream with requests under way is taken for dead. It leaves room for cold work
-	// of a second: whoever gives an upstream up too soon makes its objects cold elsewhere.
+	// unresponsiveTimeout is the time without any answer, in addition to the expected wait for a
+	// slot, after which an upstream with requests in flight is treated as unresponsive. It allows
+	// for one second of work on a cold object: giving up an upstream too early moves its objects to
+	// upstreams that are cold for them.
 	unresponsiveTimeout = 1200 * time.Millisecond
-	// shedFor is how long an upstream that shed load is taken for full. It says
-	// nothing about the others.
+	// shedBackoff is how long an upstream is treated as full after it shed a request. Other
+	// upstreams are not affected.
 	shedBackoff = 50 * time.Millisecond
-	// peerFresh is after what time without a report a peer counts for nothing.
+	// peerReportTTL is the time without a report after which the reports of a peer are dropped.
 	peerReportTTL = time.Second
-	// drainingFor is how long an upstream's own word that it drains is believed.
+	// drainTTL is how long an upstream counts as draining after an answer in which it announced
+	// this.
 	drainTTL = 5 * time.Minute
 )
 
-// Errors of Pick.
+// Errors of Pick and PickObject.
 var (
 	// ErrNoSlot reports that every allowed upstream is full.
-	ErrNoSlot = errors.New("balance: no free slot")
+	ErrNoSlot = errors.New("balance: no usable upstream has a free slot")
 	// ErrNoUpstream reports that no upstream may be used at all.
-	ErrNoUpstream = errors.New("balance: no upstream")
+	ErrNoUpstream = errors.New("balance: no usable upstream")
 )
 
-// member is the state of one upstream. The Group's lock guards it.
+// upstreamState is the state of one upstream. The lock of the Balancer guards it.
 type upstreamState struct {
 	model.Upstream
 	inFlight int
-	// sent counts the own requests.
+	// sent counts the requests that this entry has sent.
 	sent int64
-	// others is the load by other entries at the last report, and reported when
-	// that was.
+	// otherLoad is the number of requests of other entries as of the last load report, which came
+	// at reportedAt.
 	otherLoad  float64
 	reportedAt time.Time
 	latency    time.Duration
 	failures   int
-	// ejections counts ejections without a success between them.
+	// ejections counts the ejections since the last success.
 	ejections    int
 	ejectedUntil time.Time
 	drainUntil   time.Time
-	// heardAt is when the upstream last answered, or when the first of the requests
-	// under way was sent if that was later.
+	// lastAnswer is the time of the last answer, or the time at which the oldest request in flight
+	// was sent if that is later.
 	lastAnswer time.Time
-	// shedUntil is until when an upstream that shed load is taken for full.
+	// shedUntil is the end of the time for which the upstream is treated as full after it shed
+	// load.
 	shedUntil time.Time
-	// coldSince is when the upstream appeared; zero for one that was there first.
+	// coldSince is when the upstream was added; zero for upstreams of the first update.
 	coldSince time.Time
-	// owned is set if the entry is the one that uses the upstream first.
+	// inSubset is set if the upstream is in this entry's subset, which the entry uses first.
 	inSubset bool
 	removed  bool
-	// restarted is set if the upstream has started again since, with a state of its own.
+	// restarted is set if the upstream has restarted since. The new incarnation has an
+	// upstreamState of its own.
 	restarted bool
 
-	// hash and weight order the upstreams of an object; see place.
+	// idHash is the hash of the upstream's id. Together with weight it determines the upstream's
+	// position in the order of each object; see score.
 	idHash uint64
 	weight float64
-	// key names the upstream in reports of entries.
+	// incarnationKey identifies the upstream's incarnation in reports of entries.
 	incarnationKey uint32
-	// served is when objects were last served, as far as this entry knows.
+	// lastServed holds the last time at which the upstream served an object for this entry, by hash
+	// of the object.
 	lastServed map[uint64]time.Time
-	// byPeer is how many requests each peer has at the upstream, atPeers their sum.
+	// peerRequests holds the number of requests that each peer has in flight at the upstream,
+	// peerTotal their sum.
 	peerRequests map[string]int
 	peerTotal    int
-	// outcomes are those of the own requests, peerOutcomes those that peers told of.
+	// outcomes counts the outcomes of this entry's requests, peerOutcomes those that peers
+	// reported.
 	outcomes     decayedOutcomes
 	peerOutcomes map[string]Outcomes
-	// outlierUntil is until when the upstream is passed over for its failures.
+	// outlierUntil is the end of the time for which the upstream is skipped because of its
+	// failures.
 	outlierUntil time.Time
-	// coldTokens are the requests that may be sent now while the upstream is
-	// cold, as of coldAt.
+	// coldTokens is the number of requests that may be sent while the upstream is cold, as of
+	// coldAt.
 	coldTokens float64
 	coldAt     time.Time
-	// sender is whether this entry is one of those that send to the upstream while it is
-	// cold; nil until it was worked out for the present entries.
+	// coldSender says whether this entry may send to the upstream while the upstream is cold; nil
+	// until computed for the current entries.
 	coldSender *bool
-	// rate is what is known of the upstream's own limit, bucket keeps to it; nil if there is
-	// none. lastBucket is that of the limit before: entries do not see each end of a limit, and
-	// go on with the counts of their requests.
+	// limit is the rate limit that the upstream announced, and bucket enforces it; bucket is nil if
+	// there is no limit. lastBucket is the bucket of the previous limit: entries do not observe
+	// every end of a limit and continue with the counts of their earlier requests.
 	limit              ratelimit.Register
 	bucket, lastBucket *ratelimit.Bucket
-	// rateUntold is set while others have not been told of what has changed, limitUntold if that
-	// is the limit. The last request was counted at spentAt, and all are told of the limit until
-	// limitNewsUntil.
+	// unsent is set while a change has not been sent to other entries, limitUnsent if that change
+	// is one of the limit. lastSpent is when a request was last counted against the limit. The
+	// limit is sent to all entries until announceUntil.
 	unsent        bool
 	limitUnsent   bool
 	lastSpent     time.Time
 	announceUntil time.Time
 }
 
-// Balancer balances one service. It is safe for concurrent use.
+// Balancer balances the requests of one service at one entry. It is safe for concurrent use.
 type Balancer struct {
 	mu        sync.Mutex
 	warmup    time.Duration
@@ -130,32 +139,35 @@
 	upstreams []*upstreamState
 	byRegion  map[string][]*upstreamState
 	draining  func(u *model.Upstream, now time.Time) bool
-	// meanOthers is the mean of others over slots, for upstreams without a
-	// fresh report.
+	// meanOtherLoad is the mean load by other entries per slot. It stands in for upstreams without
+	// a recent report.
 	meanOtherLoad float64
-	// inFlight counts the own requests per region.
+	// inFlight counts this entry's requests in flight per region.
 	inFlight map[string]int
-	// probeAt is when a region most of which fails may next be tried first.
+	// nextProbe is the earliest time of the next probe of a region whose upstreams mostly fail.
 	nextProbe map[string]time.Time
 
-	// self, home and domain are the id, region and failure domain of this entry, entries those that
-	// carry requests.
+	// self, region and domain are the id, region and failure domain of this entry. entries are the
+	// entries that carry requests.
 	self    string
 	region  string
 	domain  string
 	entries []model.Member
-	// coldRate bounds the requests to a cold upstream per second from all entries.
+	// coldRate is the limit on the requests per second that all entries together send to a cold
+	// upstream.
 	coldRate float64
-	// byClass are the times that classes of requests take, meanWork that of all.
+	// classes holds the statistics of each class of requests. meanServiceTime is the mean service
+	// time over all classes.
 	classes         map[string]*classStats
 	meanServiceTime time.Duration
-	// roundTrip is the time to a region and back.
+	// roundTrip is the shortest measured network round trip to each region.
 	roundTrip map[string]time.Duration
-	// heard is when each peer last told of its requests.
+	// lastPeerReport is the time of the last report of each peer.
 	lastPeerReport map[string]time.Time
 
-	// limited counts the upstreams with a limit, limitNewsUntil is until when all others are
-	// told of one or of its end, and notify is called when some are to hear at once.
+	// limitedCount counts the upstreams with a limit. Until announceUntil there is a new or ended
+	// limit to send to all entries. notify is called when other entries must be sent an update at
+	// once.
 	limitedCount  atomic.Int32
 	announceUntil time.Time
 	notify        func()
@@ -165,7 +177,7 @@
 	scratch scratch
 }
 
-// NewBalancer returns an empty Group.
+// NewBalancer returns a Balancer without upstreams.
 func NewBalancer() *Balancer {
 	return &Balancer{
 		byID:           make(map[string]*upstreamState),
@@ -177,24 +189,24 @@
 	}
 }
 
-// ServiceState is what a Group is brought up to date with.
+// ServiceState is the configuration of a service and its entries, as passed to Balancer.Update.
 type ServiceState struct {
 	Service *model.Service
-	// Draining reports whether an upstream is to get no new work.
+	// Draining reports whether an upstream must get no new requests.
 	Draining func(*model.Upstream, time.Time) bool
-	// Subset are the ids of the upstreams that this entry uses first; see Subset.
+	// Subset holds the ids of the upstreams that this entry uses first; see the function Subset.
 	Subset map[string]bool
-	// Self is the id of this entry, Home its region, Domain its failure domain,
-	// and Entries are those that carry requests.
+	// Self, Region and Domain are the id, region and failure domain of this entry. Entries are the
+	// entries that carry requests.
 	Self    string
 	Region  string
 	Domain  string
 	Entries []model.Member
 }
 
-// Update takes in a new snapshot of the service. Upstreams that were not in the
-// one before are cold, unless it is the first, and so are those that have started again:
-// nothing that was known of the earlier life holds. It returns the addresses of these.
+// Update applies a new snapshot of the service. Upstreams that the previous snapshot did not hold
+// are cold, except in the first update. Restarted upstreams are cold as well, and their earlier
+// state is dropped. Update returns the addresses of the restarted upstreams.
 func (b *Balancer) Update(in ServiceState, now time.Time) (restarted []string) {
 	svc := in.Service
 	b.mu.Lock()
@@ -237,49 +249,50 @@
 	return restarted
 }
 
-// forget drops an upstream that is gone once its last request has ended.
+// removeIfIdle deletes an upstream that has left the service once its last request has ended.
 func (b *Balancer) removeIfIdle(id string, u *upstreamState) {
 	if u.removed && u.inFlight == 0 {
 		delete(b.byID, id)
 	}
 }
 
-// Request says what a pick has to obey.
+// Request holds the constraints of a Pick.
 type Request struct {
-	// Regions are tried in order; the first is the own one.
+	// Regions are tried in order; the first is this entry's own region.
 	Regions []string
-	// Allowed reports whether one more request may go to a region where inFlight
-	// of this entry are now; nil allows all. It is called with the Group locked.
+	// Allowed reports whether one more request may go to a region at which this entry has inFlight
+	// requests; nil allows all. It is called with the Balancer locked.
 	Allowed func(region string, inFlight int) bool
 	// Tried holds the ids of upstreams that must not be picked again.
 	Tried []string
 }
 
-// Choice is a picked upstream. Every Choice must be given to Done once.
+// Choice is a picked upstream. Every Choice must be passed to Done exactly once.
 type Choice struct {
 	model.Upstream
 	PickedAt time.Time
-	// Warm is set if this entry knows that the upstream has the object at hand.
+	// Warm is set if the upstream has recently served the object for this entry.
 	Warm bool
 
-	// Rank is the upstream's place among those of the object, from 0.
+	// Rank is the upstream's position among the replicas of the object, from 0.
 	Rank int
-	// Outstanding is how many requests were thought to be at the upstream, and Expected
-	// after what time its answer was expected.
+	// Outstanding is the estimated number of requests at the upstream when it was picked, and
+	// ExpectedLatency the expected time until its answer.
 	Outstanding     float64
 	ExpectedLatency time.Duration
 
-	// class and object are those of an ObjectRequest.
+	// class and object are those of the ObjectRequest; empty after Pick.
 	class  string
 	object uint64
-	// unqueued is set if the request should have got a slot at once.
+	// immediate is set if the request was expected to get a slot without waiting.
 	immediate bool
-	// to is the upstream's state when it was picked, that of an earlier life if it has
-	// started again since.
+	// state is the upstream's state when it was picked. If the upstream has restarted since, this
+	// is the state of the earlier incarnation.
 	state *upstreamState
 }
 
-// Pick chooses an upstream and takes one of its slots.
+// Pick chooses an upstream and takes one of its slots. It returns ErrNoSlot if all usable upstreams
+// are full, and ErrNoUpstream if there is none.
 func (b *Balancer) Pick(now time.Time, rnd *rand.Rand, req Request) (Choice, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -304,7 +317,8 @@
 	return Choice{}, ErrNoUpstream
 }
 
-// candidates returns the upstreams of a region that may get work.
+// availableInRegion returns the upstreams of a region that may get new requests, without those that
+// were tried.
 func (b *Balancer) availableInRegion(region string, tried []string, now time.Time) []*upstreamState {
 	all := b.byRegion[region]
 	out := make([]*upstreamState, 0, len(all))
@@ -316,31 +330,32 @@
 	return out
 }
 
+// isDraining reports whether an upstream drains, by its own announcement or by the configuration.
 func (b *Balancer) isDraining(u *upstreamState, now time.Time) bool {
 	return now.Before(u.drainUntil) || b.draining(&u.Upstream, now)
 }
 
-// choose takes one of the entry's own upstreams that has a free slot, else one of
-// the others; nil if all are full. Entries that each begin with different
-// upstreams seldom meet at the last slot of one.
+// pickPreferred returns an upstream of this entry's subset that has a free slot, else another one;
+// nil if all are full. Entries with different subsets seldom compete for the last slot of an
+// upstream.
 func (b *Balancer) pickPreferred(ms []*upstreamState, now time.Time, rnd *rand.Rand) *upstreamState {
 	others := ms[:0:0]
-	owned := ms[:0:0]
+	preferred := ms[:0:0]
 	for _, u := range ms {
 		if u.inSubset {
-			owned = append(owned, u)
+			preferred = append(preferred, u)
 		} else {
 			others = append(others, u)
 		}
 	}
-	if u := b.pickLeastLoaded(owned, now, rnd); u != nil {
+	if u := b.pickLeastLoaded(preferred, now, rnd); u != nil {
 		return u
 	}
 	return b.pickLeastLoaded(others, now, rnd)
 }
 
-// chooseAmong takes the less loaded of two random upstreams, or the least loaded
-// of all if both are full.
+// pickLeastLoaded returns the less loaded of two random upstreams (power of two choices). If that
+// one is full, it returns the least loaded upstream with a free slot; nil if there is none.
 func (b *Balancer) pickLeastLoaded(ms []*upstreamState, now time.Time, rnd *rand.Rand) *upstreamState {
 	if len(ms) == 0 {
 		return nil
@@ -361,46 +376,47 @@
 	return best
 }
 
-// Result is how a request at an upstream ended.
+// Result is the way in which a request at an upstream ended.
 type Result uint8
 
 // The results.
 const (
-	// OK means an answer came.
+	// OK means that an answer arrived.
 	OK Result = iota
-	// Shed means the upstream refused for load; it is healthy, but full.
+	// Shed means that the upstream refused the request because of load. It is healthy, but full.
 	Shed
-	// ShedIdle means the upstream refused as if for load, though it had slots to spare.
-	// Done finds out. The request may be sent there again.
+	// ShedIdle means that the upstream refused the request as if because of load, although it had
+	// free slots. Done determines this result; the request may be sent to the upstream again.
 	ShedIdle
-	// Failed means no answer came, or a broken one.
+	// Failed means that no answer arrived, or an incomplete one.
 	Failed
-	// Unreachable means that not even a connection was to be had. Once is enough
-	// for an ejection.
+	// Unreachable means that no connection could be made. A single such result ejects the upstream.
 	Unreachable
-	// Abandoned means the caller went away or ran out of time with no fault of
-	// the upstream to be seen.
+	// Abandoned means that the caller disconnected or its deadline passed, without an observed
+	// failure of the upstream.
 	Abandoned
 )
 
-// DoneInfo is what one request told of its upstream.
+// DoneInfo is what one request has shown about its upstream.
 type DoneInfo struct {
 	Result Result
-	// Load is the requests in flight that the upstream reported, or -1.
+	// Load is the number of requests in flight that the upstream reported, or -1.
 	Load int
-	// Waiting is how many requests wait there for a slot, or -1.
+	// Waiting is the number of requests that wait for a slot at the upstream, or -1.
 	Waiting int
-	// Draining is set if the upstream said that it drains.
+	// Draining is set if the upstream announced that it drains.
 	Draining bool
-	// ServerError is set if the answer is the upstream's own failure.
+	// ServerError is set if the answer is a failure of the upstream itself.
 	ServerError bool
-	// Bytes is the size of the bodies of the request and the answer, 0 if unknown.
+	// Bytes is the total size of the bodies of the request and the answer, 0 if unknown.
 	Bytes int64
-	// ConnectTime is how long the connection took to be made; 0 if it was there.
+	// ConnectTime is the time that it took to establish the connection; 0 if an existing one was
+	// used.
 	ConnectTime time.Duration
 }
 
-// Done ends a Choice and frees its slot. It returns the result as it counts.
+// Done releases the slot of a Choice and records how the request ended. It returns r.Result, or
+// ShedIdle in place of Shed if the upstream had free slots.
 func (b *Balancer) Done(now time.Time, c Choice, r DoneInfo) Result {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/balance/balancer_test.go
+++ b/internal/balance/balancer_test.go
@@ -16,8 +16,9 @@
 
 var t0 = time.Unix(1_800_000_000, 0)
 
-// service has upstreams per region, each with a number of slots.
-func service(perRegion, slots int, regions ...string) *model.Service {
+// serviceWith returns a service with perRegion upstreams in each region, each with a number of
+// slots.
+func serviceWith(perRegion, slots int, regions ...string) *model.Service {
 	s := &model.Service{Name: "stock", Warmup: 10 * time.Second}
 	for _, r := range regions {
 		for i := range perRegion {
@@ -27,22 +28,22 @@
 	return s
 }
 
-func never(*model.Upstream, time.Time) bool { return false }
+func notDraining(*model.Upstream, time.Time) bool { return false }
 
-// rig is a Group with its clock and randomness.
-type rig struct {
+// testBalancer is a Balancer with its clock and random source.
+type testBalancer struct {
 	*Balancer
 	now time.Time
 	rnd *rand.Rand
 }
 
-func newRig(s *model.Service) *rig {
-	r := &rig{Balancer: NewBalancer(), now: t0, rnd: rand.New(rand.NewPCG(1, 1))}
-	r.Update(ServiceState{Service: s, Draining: never}, r.now)
+func newTestBalancer(s *model.Service) *testBalancer {
+	r := &testBalancer{Balancer: NewBalancer(), now: t0, rnd: rand.New(rand.NewPCG(1, 1))}
+	r.Update(ServiceState{Service: s, Draining: notDraining}, r.now)
 	return r
 }
 
-func (r *rig) pick(t *testing.T, regions ...string) Choice {
+func (r *testBalancer) pick(t *testing.T, regions ...string) Choice {
 	t.Helper()
 	c, err := r.Pick(r.now, r.rnd, Request{Regions: regions})
 	if err != nil {
@@ -51,10 +52,10 @@
 	return c
 }
 
-func (r *rig) fail(c Choice) { r.Done(r.now, c, DoneInfo{Result: Failed, Load: -1}) }
+func (r *testBalancer) fail(c Choice) { r.Done(r.now, c, DoneInfo{Result: Failed, Load: -1}) }
 
 func TestLocalFirstThenOverflow(t *testing.T) {
-	r := newRig(service(2, 3, "muscat", "sohar"))
+	r := newTestBalancer(serviceWith(2, 3, "muscat", "sohar"))
 	for i := range 6 {
 		if c := r.pick(t, "muscat", "sohar"); c.Region != "muscat" {
 			t.Fatalf("request %d went to %s", i, c.Region)
@@ -67,17 +68,17 @@
 		r.pick(t, "muscat", "sohar")
 	}
 	if _, err := r.Pick(r.now, r.rnd, Request{Regions: []string{"muscat", "sohar"}}); !errors.Is(err, ErrNoSlot) {
-		t.Errorf("with all slots taken: %v", err)
+		t.Errorf("with all slots in use: got %v, want ErrNoSlot", err)
 	}
 	if _, err := r.Pick(r.now, r.rnd, Request{Regions: []string{"salalah"}}); !errors.Is(err, ErrNoUpstream) {
-		t.Errorf("without an upstream: %v", err)
+		t.Errorf("without any upstream: got %v, want ErrNoUpstream", err)
 	}
 }
 
-// TestShedIsNotContagious keeps an upstream that shed from making another, of
-// which nothing was reported, look full.
-func TestShedIsNotContagious(t *testing.T) {
-	r := newRig(service(2, 4, "muscat"))
+// TestShedAffectsOnlyOneUpstream checks that a shed by one upstream does not make another one,
+// which has not reported any load, count as full.
+func TestShedAffectsOnlyOneUpstream(t *testing.T) {
+	r := newTestBalancer(serviceWith(2, 4, "muscat"))
 	first := r.pick(t, "muscat")
 	r.Done(r.now, first, DoneInfo{Result: Shed, Load: -1})
 	second := r.pick(t, "muscat")
@@ -86,17 +87,17 @@
 	}
 }
 
-// TestOwnedFirst lets an entry begin with its own upstreams and borrow the
-// others' when those are full.
-func TestOwnedFirst(t *testing.T) {
-	s := service(4, 2, "muscat")
+// TestSubsetFirst checks that an entry uses the upstreams of its subset first, and others once
+// these are full.
+func TestSubsetFirst(t *testing.T) {
+	s := serviceWith(4, 2, "muscat")
 	entries := []string{"n2", "n1"}
 	mine, theirs := Subset(s.Upstreams, "muscat", "n1", entries), Subset(s.Upstreams, "muscat", "n2", entries)
 	if len(mine) != 2 || len(theirs) != 2 {
-		t.Fatalf("owned %v and %v", mine, theirs)
+		t.Fatalf("subsets %v and %v, want two upstreams each", mine, theirs)
 	}
-	r := newRig(s)
-	r.Update(ServiceState{Service: s, Draining: never, Subset: mine}, r.now)
+	r := newTestBalancer(s)
+	r.Update(ServiceState{Service: s, Draining: notDraining, Subset: mine}, r.now)
 	for i := range 8 {
 		if c := r.pick(t, "muscat"); mine[c.ID] != (i < 4) {
 			t.Errorf("request %d went to %s", i, c.ID)
@@ -104,22 +105,22 @@
 	}
 }
 
-func TestReportsOfOthersCount(t *testing.T) {
-	r := newRig(service(2, 4, "muscat"))
+func TestReportedLoadCounts(t *testing.T) {
+	r := newTestBalancer(serviceWith(2, 4, "muscat"))
 	c := r.pick(t, "muscat")
-	// Its own request and four of other entries.
+	// The load of 5 is this entry's request and four of other entries.
 	r.Done(r.now, c, DoneInfo{Load: 5})
 	for range 2 {
 		if got := r.pick(t, "muscat"); got.ID == c.ID {
-			t.Fatalf("%s was picked, though it reports to be full", c.ID)
+			t.Fatalf("%s was picked although it reported to be full", c.ID)
 		}
 	}
 }
 
-// TestIdleLiarIsPassedOver has an upstream that claims to be idle while every
-// request to it fails.
-func TestIdleLiarIsPassedOver(t *testing.T) {
-	r := newRig(service(4, 4, "muscat"))
+// TestFailingUpstreamReportingNoLoad has an upstream report no load while every request to it
+// fails.
+func TestFailingUpstreamReportingNoLoad(t *testing.T) {
+	r := newTestBalancer(serviceWith(4, 4, "muscat"))
 	bad := 0
 	for range 400 {
 		c := r.pick(t, "muscat")
@@ -132,14 +133,14 @@
 		r.now = r.now.Add(10 * time.Millisecond)
 	}
 	if bad > 20 {
-		t.Errorf("the liar got %d of 400 requests", bad)
+		t.Errorf("the failing upstream got %d of 400 requests, want at most 20", bad)
 	}
 }
 
-// TestEjectionIsBounded fails every request: at most half of the upstreams may
-// be out, and the others get one request at a time.
+// TestEjectionIsBounded fails every request: at most half of the upstreams may be ejected, and each
+// of the others gets one request at a time.
 func TestEjectionIsBounded(t *testing.T) {
-	r := newRig(service(6, 4, "muscat"))
+	r := newTestBalancer(serviceWith(6, 4, "muscat"))
 	for range 100 {
 		r.fail(r.pick(t, "muscat"))
 	}
@@ -150,20 +151,20 @@
 		}
 	}
 	if out == 0 || out > 3 {
-		t.Errorf("%d of 6 ejected", out)
+		t.Errorf("%d of 6 upstreams ejected, want 1 to 3", out)
 	}
 	for range 6 - out {
 		r.pick(t, "muscat")
 	}
 	if _, err := r.Pick(r.now, r.rnd, Request{Regions: []string{"muscat"}}); !errors.Is(err, ErrNoSlot) {
-		t.Errorf("a failing upstream got a second request: %v", err)
+		t.Errorf("a failing upstream got a second request: got %v, want ErrNoSlot", err)
 	}
 }
 
-// TestDeadRegionOverflows makes a region's upstreams unreachable: requests must
-// go on to the next region, but for those that look whether it is well again.
-func TestDeadRegionOverflows(t *testing.T) {
-	r := newRig(service(6, 4, "muscat", "sohar"))
+// TestUnreachableRegionOverflows makes a region's upstreams unreachable: requests must go to the
+// next region, except for those that probe whether the region has recovered.
+func TestUnreachableRegionOverflows(t *testing.T) {
+	r := newTestBalancer(serviceWith(6, 4, "muscat", "sohar"))
 	local := 0
 	for range 1000 {
 		c := r.pick(t, "muscat", "sohar")
@@ -175,9 +176,9 @@
 		}
 		r.now = r.now.Add(time.Millisecond)
 	}
-	// Once for each upstream, and then ten times a second.
+	// One request for each upstream, and then ten probes per second.
 	if local > 6+10 {
-		t.Errorf("%d of 1000 requests in a second went to the dead region", local)
+		t.Errorf("%d of 1000 requests in a second went to the unreachable region", local)
 	}
 	for range 100 {
 		c := r.pick(t, "muscat", "sohar")
@@ -185,15 +186,15 @@
 		r.now = r.now.Add(probeInterval)
 	}
 	if c := r.pick(t, "muscat", "sohar"); c.Region != "muscat" {
-		t.Error("the region is well, but gets no requests")
+		t.Error("the region has recovered, but gets no requests")
 	}
 }
 
 func TestColdUpstreamWarmsUp(t *testing.T) {
-	s := service(1, 10, "muscat")
-	r := newRig(s)
+	s := serviceWith(1, 10, "muscat")
+	r := newTestBalancer(s)
 	s.Upstreams = append(s.Upstreams, model.Upstream{ID: "new", Region: "muscat", Slots: 10})
-	r.Update(ServiceState{Service: s, Draining: never}, r.now)
+	r.Update(ServiceState{Service: s, Draining: notDraining}, r.now)
 	count := func() int {
 		var held []Choice
 		n := 0
@@ -218,18 +219,18 @@
 	}{{0, 1}, {5 * time.Second, 5}, {10 * time.Second, 10}} {
 		r.now = t0.Add(tt.after)
 		if got := count(); got != tt.want {
-			t.Errorf("after %v the new upstream takes %d, want %d", tt.after, got, tt.want)
+			t.Errorf("after %v the new upstream accepts %d requests, want %d", tt.after, got, tt.want)
 		}
 	}
 }
 
-// TestSlotsAreKept picks and ends requests at random: the group never counts
-// below zero nor beyond an upstream's slots, and ends at zero.
-func TestSlotsAreKept(t *testing.T) {
+// TestSlotLimits picks and ends requests at random: the requests in flight of an upstream are never
+// negative and never exceed its slots, and they return to zero.
+func TestSlotLimits(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(2)
 	props := gopter.NewProperties(params)
-	props.Property("slots are kept", prop.ForAll(func(ops []int) bool {
-		r := newRig(service(3, 2, "muscat", "sohar"))
+	props.Property("slot limits hold", prop.ForAll(func(ops []int) bool {
+		r := newTestBalancer(serviceWith(3, 2, "muscat", "sohar"))
 		var held []Choice
 		for _, op := range ops {
 			r.now = r.now.Add(time.Duration(op) * time.Millisecond)
@@ -255,7 +256,7 @@
 	props.TestingRun(t)
 }
 
-func TestBudget(t *testing.T) {
+func TestRetryBudget(t *testing.T) {
 	const budgetBurst = 10
 	b := NewRetryBudget(budgetBurst)
 	taken := 0
@@ -273,6 +274,6 @@
 		taken++
 	}
 	if taken < 9 || taken > budgetBurst {
-		t.Errorf("%d retries after 100 successes at 0.1", taken)
+		t.Errorf("%d retries after 100 deposits of 0.1", taken)
 	}
 }
--- a/internal/balance/cold.go
+++ b/internal/balance/cold.go
@@ -11,12 +11,12 @@
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
-// coldPerSender is how many requests in a second each of the entries may send that
-// share the bound of a cold upstream. With fewer each the one that an entry may
-// send at once would use up the bound; with more too few entries could send.
+// coldRatePerSender is the part of a cold upstream's rate limit, in requests per second, that each
+// of the entries sharing it gets at least. With less, the one request that each entry may send at
+// once would use up the limit; with more, too few entries could send.
 const coldRatePerSender = 3.0
 
-// cold reports whether an upstream has not warmed up since its start.
+// cold reports whether an upstream is still warming up after its start.
 func (b *Balancer) cold(u *upstreamState, now time.Time) bool {
 	if now.Before(u.ColdUntil) {
 		return true
@@ -24,10 +24,10 @@
 	return !u.coldSince.IsZero() && now.Sub(u.coldSince) < b.warmup
 }
 
-// takesCold reports whether this entry may send one more request to a cold
-// upstream. The upstream's bound is divided evenly among a few entries that all
-// work out alike; each may send one request at once and the rest at its part of
-// the rate, so that the sum in any second stays under the bound.
+// allowCold reports whether this entry may send one more request to a cold upstream. The upstream's
+// rate limit is divided evenly among a few entries, which all entries compute alike. Each of them
+// may send one request at once and further ones at its part of the rate, so that the total in any
+// second stays within the limit.
 func (b *Balancer) allowCold(u *upstreamState, now time.Time) bool {
 	if b.coldRate <= 0 {
 		return true
@@ -42,7 +42,7 @@
 	return u.coldTokens >= 1
 }
 
-// isSender is sendsCold, worked out once for the present entries.
+// isColdSender returns the result of computeColdSender, cached until the next Update.
 func (b *Balancer) isColdSender(u *upstreamState, senders int) bool {
 	if u.coldSender == nil {
 		is := b.computeColdSender(u, senders)
@@ -51,15 +51,15 @@
 	return *u.coldSender
 }
 
-// sendsCold reports whether this entry is among the first to send to a cold
-// upstream: those of its failure domain come before those of its region and these
-// before others, each in the order that the upstream's id gives them.
+// computeColdSender reports whether this entry is among the entries that share a cold upstream's
+// rate limit: the first ones in the order of nearestEntries, as many as senders.
 func (b *Balancer) computeColdSender(u *upstreamState, senders int) bool {
 	return slices.ContainsFunc(b.nearestEntries(u)[:senders], func(e model.Member) bool { return e.ID == b.self })
 }
 
-// nearest returns the entries in an order that is the same at all of them: those of the
-// upstream's failure domain, those of its region, and the others.
+// nearestEntries returns the entries in an order that all entries compute alike: those in the
+// upstream's failure domain, then those in its region, then the others; within each group, ordered
+// by a hash of both ids.
 func (b *Balancer) nearestEntries(u *upstreamState) []model.Member {
 	distance := func(e model.Member) int {
 		switch {
--- a/internal/balance/health.go
+++ b/internal/balance/health.go
@@ -5,14 +5,13 @@
 	"time"
 )
 
-// idleShare is below what share of its slots, as the entries count, an upstream that
-// does not tell its load is surely not full: entries hear of each other's requests
-// 0.1 s to 0.2 s late.
+// idleShare is the share of its slots below which an upstream that does not report its load is
+// certainly not full, by the entries' counts. Entries receive each other's counts 0.1 s to 0.2 s
+// late.
 const idleShare = 0.5
 
-// order returns the regions with those last of which most upstreams fail. Every
-// probeEvery one request still tries such a region in its turn, to see whether
-// it is well again.
+// orderRegions moves regions whose upstreams mostly fail to the end. Every probeInterval, one
+// request still tries such a region in its place, to probe whether it has recovered.
 func (b *Balancer) orderRegions(regions []string, now time.Time) []string {
 	var last []string
 	for i, r := range regions {
@@ -35,32 +34,33 @@
 	return append(slices.DeleteFunc(regions, func(r string) bool { return r == "" }), last...)
 }
 
-// unwell reports whether more than half of a region's upstreams are ejected or
-// fail again and again.
+// mostlyFailing reports whether more than maxEjectionShare of a region's upstreams are ejected or
+// fail repeatedly.
 func (b *Balancer) mostlyFailing(region string, now time.Time) bool {
-	bad := 0
+	failing := 0
 	all := b.byRegion[region]
 	for _, u := range all {
 		if u.ejected(now) || u.failures >= ejectionThreshold {
-			bad++
+			failing++
 		}
 	}
-	return float64(bad) > maxEjectionShare*float64(len(all))
+	return float64(failing) > maxEjectionShare*float64(len(all))
 }
 
+// ejected reports whether the upstream is ejected now.
 func (u *upstreamState) ejected(now time.Time) bool { return now.Before(u.ejectedUntil) }
 
-// silent reports whether an upstream has requests of this entry and has answered
-// none for longer than they should take. Its instance may be dead or cut off; its
-// entry in the platform's list tells so only seconds later.
+// unresponsive reports whether an upstream has had requests of this entry in flight for longer than
+// they should take without answering any. Its instance may have crashed or be unreachable; the
+// platform's instance list shows this only seconds later.
 func (b *Balancer) unresponsive(u *upstreamState, now time.Time) bool {
 	return u.inFlight > 0 && now.Sub(u.lastAnswer) > unresponsiveTimeout+b.expectedWait(u, now, ObjectRequest{})
 }
 
-// shedForNothing reports whether an upstream that refused a request as if for load had
-// slots to spare, by its own word or else by what the entries have there. That is no
-// sign of load; and as others would work cold, it is no reason to pass the upstream
-// over either, but to ask it again.
+// shedWithSpareSlots reports whether an upstream that refused a request as if because of load had
+// free slots, by its own report or else by the entries' counts. Such a refusal is no sign of load.
+// Skipping the upstream would move its objects to upstreams that are cold for them, so it is asked
+// again.
 func (b *Balancer) shedWithSpareSlots(u *upstreamState, now time.Time, c Choice, r DoneInfo) bool {
 	if c.class == "" {
 		return false
@@ -71,6 +71,8 @@
 	return b.outstanding(u, now) < idleShare*float64(u.Slots)
 }
 
+// recordResult updates the failures, latency and ejection of an upstream with the result of a
+// request that took took.
 func (b *Balancer) recordResult(u *upstreamState, now time.Time, took time.Duration, r Result) {
 	switch r {
 	case OK:
@@ -96,17 +98,17 @@
 	}
 }
 
-// eject takes an upstream out for a while, unless too many of its region are
-// out already.
+// eject takes an upstream out of use for a while, unless too many upstreams of its region are
+// ejected already.
 func (b *Balancer) eject(u *upstreamState, now time.Time) {
-	out := 0
-	peers := b.byRegion[u.Region]
-	for _, p := range peers {
+	ejected := 0
+	regional := b.byRegion[u.Region]
+	for _, p := range regional {
 		if p != u && p.ejected(now) {
-			out++
+			ejected++
 		}
 	}
-	if float64(out+1) > maxEjectionShare*float64(len(peers)) {
+	if float64(ejected+1) > maxEjectionShare*float64(len(regional)) {
 		return
 	}
 	d := min(baseEjectionTime<<min(u.ejections, 10), maxEjectionTime)
--- a/internal/balance/late.go
+++ b/internal/balance/late.go
@@ -8,36 +8,36 @@
 )
 
 const (
-	// fullAt is how many requests an upstream may have, running and waiting, per
-	// slot. Beyond it a request would rather be refused early than be late and
-	// make others late.
+	// maxRequestsPerSlot is how many requests an upstream may have per slot, running and waiting.
+	// Beyond it, a request is better refused early than answered late and delaying others.
 	maxRequestsPerSlot = 3.0
-	// priorShare is the part of a class's objective that its work is taken to need
-	// until the first answers tell: operators set objectives that leave room to wait.
+	// assumedServiceShare is the service time assumed for a class before the first answers, as a
+	// share of its objective: operators set objectives that leave time for waiting.
 	assumedServiceShare = 0.5
 )
 
-// LateError reports that every upstream would answer too late for the objective
-// now, but probably not after a while.
+// LateError reports that at present every upstream would miss the request's objective, but that a
+// retry after RetryAfter will probably meet it.
 type LateError struct {
-	// Upstream is the one with the least wait for a slot, Ahead how many requests
-	// were thought to be there.
+	// Upstream is the id of the upstream with the shortest wait for a slot, Outstanding the
+	// estimated number of requests at it.
 	Upstream    string
 	Outstanding float64
-	// RetryAfter is that wait.
+	// RetryAfter is the expected wait for a slot at that upstream.
 	RetryAfter time.Duration
 }
 
 // Error implements error.
 func (e *LateError) Error() string {
-	return fmt.Sprintf("balance: too late now: %.0f requests at %s, a slot in %v", e.Outstanding, e.Upstream, e.RetryAfter.Round(time.Millisecond))
+	return fmt.Sprintf("balance: the objective would be missed: %.0f requests at upstream %s, next free slot expected in %v", e.Outstanding, e.Upstream, e.RetryAfter.Round(time.Millisecond))
 }
 
-// Unwrap returns ErrNoSlot, of which a LateError is a kind.
+// Unwrap returns ErrNoSlot; a LateError is a special case of it.
 func (e *LateError) Unwrap() error { return ErrNoSlot }
 
-// full is the error when no candidate may take a request. It says when the first
-// of them should have a slot.
+// noSlotError returns the error for a request that no candidate can take: a LateError with the
+// shortest wait for a slot, a LimitError if the rate limits of all candidates leave no room, else
+// ErrNoSlot.
 func (b *Balancer) noSlotError(now time.Time, req ObjectRequest, ranked []candidate) error {
 	var first *upstreamState
 	var least time.Duration
@@ -58,10 +58,10 @@
 	return &LateError{Upstream: first.ID, Outstanding: b.outstanding(first, now), RetryAfter: least}
 }
 
-// tooLate reports whether the wait for a slot alone would make an answer miss its
-// objective. Such a request is better refused at once: it may be in time when it
-// comes back, and does not make others late. An object that is not at hand is no
-// reason, or it would never be.
+// missesObjective reports whether the wait for a slot alone makes an answer miss its objective.
+// Such a request is better refused at once: a retry may be in time, and other requests are not
+// delayed. The check assumes a warm object; otherwise no request would ever make an upstream warm
+// for it.
 func (b *Balancer) missesObjective(u *upstreamState, now time.Time, req ObjectRequest) bool {
 	wait := b.expectedWait(u, now, req)
 	if req.Objective <= 0 || wait <= 0 {
@@ -71,20 +71,20 @@
 	return b.roundTrip[u.Region]+wait+warm > req.Objective
 }
 
-// priorWork is what is assumed of the work before any was seen, as after a
-// restart, when all callers come back at once.
+// assumedServiceTime returns the service time assumed before any was measured, for example after a
+// restart, when all callers return at once.
 func (r *ObjectRequest) assumedServiceTime() time.Duration {
 	return time.Duration(assumedServiceShare * float64(r.Objective))
 }
 
-// wait is the expected time until one more request at an upstream gets a slot.
+// expectedWait returns the expected time until one more request at an upstream gets a slot.
 func (b *Balancer) expectedWait(u *upstreamState, now time.Time, req ObjectRequest) time.Duration {
 	slots := float64(max(u.Slots, 1))
 	ahead := math.Max(0, b.outstanding(u, now)+1+float64(u.failures)-slots) / slots
 	return time.Duration(ahead * float64(cmp.Or(b.meanServiceTime, req.assumedServiceTime())))
 }
 
-// hasRoom reports whether one more request may join those at an upstream.
+// hasCapacity reports whether an upstream may be sent one more request.
 func (b *Balancer) hasCapacity(u *upstreamState, now time.Time) bool {
 	if now.Before(u.shedUntil) || b.cold(u, now) && !b.allowCold(u, now) {
 		return false
@@ -92,8 +92,8 @@
 	return b.outstanding(u, now)+1 <= b.capacity(u)
 }
 
-// capacity is how many requests an upstream may have, running and waiting. One
-// that fails again and again gets one at a time, to see when it is well again.
+// capacity returns how many requests an upstream may have, running and waiting. An upstream that
+// fails repeatedly gets one request at a time, to detect its recovery.
 func (b *Balancer) capacity(u *upstreamState) float64 {
 	if u.failures >= ejectionThreshold {
 		return 1
--- a/internal/balance/load.go
+++ b/internal/balance/load.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// estimate is the number of requests at an upstream: the own ones, and those of
-// other entries. Those are known if the entries tell each other; else they are
-// taken from what the upstream last reported, which gives way to the mean as it
-// ages.
+// outstanding returns the estimated number of requests at an upstream: those of this entry and
+// those of other entries. The latter are exact as of the peers' reports if there are any. Otherwise
+// they are taken from the upstream's last load report, which is weighted against the mean load as
+// it ages.
 func (b *Balancer) outstanding(u *upstreamState, now time.Time) float64 {
 	if len(b.lastPeerReport) > 0 {
 		return float64(u.inFlight + u.peerTotal)
@@ -21,13 +21,14 @@
 	return float64(u.inFlight) + others
 }
 
-// load is the estimate as a share of the slots that may be used. Failures in a
-// row count as load, so that one that claims to be idle while requests fail is
-// passed over.
+// load returns the estimated requests as a share of the usable slots. Consecutive failures count as
+// load, so that an upstream that reports no load while its requests fail is avoided.
 func (b *Balancer) load(u *upstreamState, now time.Time) float64 {
 	return (b.outstanding(u, now) + float64(u.failures)) / b.usableSlots(u, now)
 }
 
+// hasSlot reports whether an upstream has a free slot, and room in its rate limit, for one more
+// request.
 func (b *Balancer) hasSlot(u *upstreamState, now time.Time) bool {
 	if now.Before(u.shedUntil) || !u.withinLimit(now) {
 		return false
@@ -35,10 +36,10 @@
 	return b.outstanding(u, now)+1 <= b.usableSlots(u, now)+0.5
 }
 
-// slots is how many requests an upstream may have now: fewer while it is cold,
-// at least one. One that fails again and again, but may not be ejected because
-// too many others are, gets one at a time: enough to see when it is well again,
-// while the rest goes to other regions.
+// usableSlots returns how many requests an upstream may have now: at least one, and fewer than its
+// slots while it warms up. An upstream that fails repeatedly, but may not be ejected because too
+// many others are, gets one request at a time. That detects its recovery while the other requests
+// go to other regions.
 func (b *Balancer) usableSlots(u *upstreamState, now time.Time) float64 {
 	if u.failures >= ejectionThreshold {
 		return 1
@@ -51,8 +52,8 @@
 	return max(1, full*min(warm, 1))
 }
 
-// updateMean keeps the mean load by others. An upstream without a fresh report
-// counts as idle, so that one report of a full one does not fill them all.
+// updateMeanLoad recomputes the mean load by other entries. An upstream without a recent report
+// counts as idle, so that the report of a single full upstream does not make all others seem full.
 func (b *Balancer) updateMeanLoad(now time.Time) {
 	var others, slots float64
 	for _, u := range b.upstreams {
--- a/internal/balance/outlier.go
+++ b/internal/balance/outlier.go
@@ -6,43 +6,44 @@
 )
 
 const (
-	// outcomeDecay is the time constant by which outcomes are forgotten.
+	// outcomeDecay is the time constant with which the weight of outcomes decays exponentially.
 	outcomeDecay = 2 * time.Second
-	// outlierFailures is how many recent failures, as counted by all entries together,
-	// and outlierShare what share of the outcomes they must be, for an upstream to be
-	// passed over. Healthy ones fail a request in a thousand.
+	// outlierMinFailures is the number of recent failures over all entries, and outlierFailureShare
+	// the share of failures in all outcomes, from which an upstream is an outlier. Healthy
+	// upstreams fail one request in a thousand.
 	outlierMinFailures  = 2.5
 	outlierFailureShare = 0.2
-	// outlierFor is how long it is passed over before requests try it again.
+	// outlierDuration is how long an outlier is skipped before requests try it again.
 	outlierDuration = 3 * time.Second
 )
 
-// Outcomes counts how recent requests to an upstream ended. Answers that broke off or
-// never came do not count: they may be lost on the way, at an upstream that is well,
-// and its objects would be cold elsewhere.
+// Outcomes counts how recent requests to an upstream ended; the counts decay over time. Missing or
+// incomplete answers do not count: they may be lost on the way from a healthy upstream, and
+// skipping it would move its objects to upstreams that are cold for them.
 type Outcomes struct {
-	// Failed are those that got the upstream's own failure or no connection, Total
-	// all.
+	// Failed counts answers with a failure of the upstream itself and failed connections, Total all
+	// outcomes.
 	Failed, Total float64
 }
 
+// plus returns the sum of two counts.
 func (o Outcomes) plus(p Outcomes) Outcomes {
 	return Outcomes{o.Failed + p.Failed, o.Total + p.Total}
 }
 
-// recent are outcomes as of a time.
+// decayedOutcomes holds outcomes as of a point in time.
 type decayedOutcomes struct {
 	Outcomes
 	at time.Time
 }
 
-// now returns the outcomes as they count at a later time.
+// decayedTo returns the outcomes weighted for a later time.
 func (r decayedOutcomes) decayedTo(now time.Time) Outcomes {
 	w := math.Exp(-float64(now.Sub(r.at)) / float64(outcomeDecay))
 	return Outcomes{w * r.Failed, w * r.Total}
 }
 
-// countOutcome adds one outcome of the own requests.
+// recordOutcome adds the outcome of one of this entry's requests.
 func (u *upstreamState) recordOutcome(now time.Time, failed bool) {
 	sum := u.outcomes.decayedTo(now).plus(Outcomes{Total: 1})
 	if failed {
@@ -52,9 +53,9 @@
 	u.detectOutlier(now)
 }
 
-// judgeOutcomes passes an upstream over for a while if too many requests of all
-// entries failed there. An entry of a large fleet sends so few to each upstream that
-// its own would not show it, and a health check may be good all the while.
+// detectOutlier marks an upstream as an outlier for outlierDuration if too many requests of all
+// entries failed at it. An entry of a large fleet sends too few requests to each upstream to detect
+// this from its own outcomes, and health checks may succeed all the while.
 func (u *upstreamState) detectOutlier(now time.Time) {
 	sum := u.outcomes.decayedTo(now)
 	for _, o := range u.peerOutcomes {
@@ -65,9 +66,10 @@
 	}
 }
 
+// isOutlier reports whether the upstream is skipped for its failures.
 func (u *upstreamState) isOutlier(now time.Time) bool { return now.Before(u.outlierUntil) }
 
-// hearOutcomes takes in what a peer told of its outcomes.
+// setPeerOutcomes applies the outcomes that a peer reported.
 func (u *upstreamState) setPeerOutcomes(now time.Time, peer string, o Outcomes) {
 	if o.Failed == 0 {
 		delete(u.peerOutcomes, peer)
@@ -80,17 +82,17 @@
 	u.detectOutlier(now)
 }
 
-// countedOutcomes sums up the outcomes of the entries that are asked for.
-func (u *upstreamState) filteredOutcomes(whose EntryFilter, now time.Time) Outcomes {
+// filteredOutcomes returns the sum of the outcomes of the selected entries.
+func (u *upstreamState) filteredOutcomes(filter EntryFilter, now time.Time) Outcomes {
 	var sum Outcomes
-	if whose.Own {
+	if filter.Own {
 		sum = u.outcomes.decayedTo(now)
 	}
-	if whose.Peers == nil {
+	if filter.Peers == nil {
 		return sum
 	}
 	for peer, o := range u.peerOutcomes {
-		if whose.Peers(peer) {
+		if filter.Peers(peer) {
 			sum = sum.plus(o)
 		}
 	}
--- a/internal/balance/peers.go
+++ b/internal/balance/peers.go
@@ -8,8 +8,8 @@
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
-// IncarnationKey names a life of an upstream in reports, so that what peers tell of an earlier
-// one is not taken for news of it.
+// IncarnationKey returns the hash that identifies an incarnation of an upstream in reports between
+// entries. Reports about an earlier incarnation are thereby not applied to the current one.
 func IncarnationKey(u *model.Upstream) uint32 {
 	id := xxhash.Sum64String(u.ID)
 	if u.Born == 0 {
@@ -18,59 +18,61 @@
 	return uint32(mix(id ^ uint64(u.Born)))
 }
 
-// EntryFilter says whose requests are asked for.
+// EntryFilter selects the entries whose requests and outcomes are counted.
 type EntryFilter struct {
-	// Own is set for those of this entry.
+	// Own is set to include this entry.
 	Own bool
-	// Peers reports whether those that a peer told of are meant; nil means none.
+	// Peers reports whether a peer's reports are included; nil includes none.
 	Peers func(peer string) bool
 }
 
-// Load is what is known of the use of an upstream.
+// Load is the load of an upstream by the selected entries.
 type Load struct {
-	// Requests are under way.
+	// Requests is the number of requests in flight.
 	Requests int
 	Outcomes
 }
 
-// VisitLoads calls visit with what the entries that are asked for have at each upstream
-// at which they have requests or had failures.
-func (b *Balancer) VisitLoads(now time.Time, whose EntryFilter, visit func(upstream uint32, l Load)) {
+// VisitLoads calls visit with the load of each upstream at which the selected entries have requests
+// in flight or had failures. The upstream is identified by its IncarnationKey.
+func (b *Balancer) VisitLoads(now time.Time, filter EntryFilter, visit func(upstream uint32, l Load)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, u := range b.upstreams {
-		l := Load{Requests: u.filteredRequests(whose), Outcomes: u.filteredOutcomes(whose, now)}
+		l := Load{Requests: u.filteredRequests(filter), Outcomes: u.filteredOutcomes(filter, now)}
 		if l.Requests > 0 || l.Failed > 0 {
 			visit(u.incarnationKey, l)
 		}
 	}
 }
 
-func (u *upstreamState) filteredRequests(whose EntryFilter) int {
+// filteredRequests returns the number of requests in flight of the selected entries.
+func (u *upstreamState) filteredRequests(filter EntryFilter) int {
 	n := 0
-	if whose.Own {
+	if filter.Own {
 		n = u.inFlight
 	}
-	if whose.Peers == nil {
+	if filter.Peers == nil {
 		return n
 	}
-	for peer, at := range u.peerRequests {
-		if whose.Peers(peer) {
-			n += at
+	for peer, requests := range u.peerRequests {
+		if filter.Peers(peer) {
+			n += requests
 		}
 	}
 	return n
 }
 
-// PeerLoad is what a peer told of upstreams whose hashes lie from First to Last; at
-// one that is not named it has nothing.
+// PeerLoad is a peer's report of its load at the upstreams whose IncarnationKey lies from First to
+// Last. The peer has no load at upstreams of this range that are missing from Loads.
 type PeerLoad struct {
 	Peer        string
 	First, Last uint32
 	Loads       map[uint32]Load
 }
 
-// ApplyPeerLoad takes in what a peer told.
+// ApplyPeerLoad replaces what a peer has reported earlier for the same range of upstreams, and
+// drops the reports of peers that have sent none for peerReportTTL.
 func (b *Balancer) ApplyPeerLoad(now time.Time, p PeerLoad) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -89,7 +91,7 @@
 	b.expirePeers(now)
 }
 
-// forgetSilent drops what peers said that have been silent for too long.
+// expirePeers drops the reports of peers that have sent none for peerReportTTL.
 func (b *Balancer) expirePeers(now time.Time) {
 	for peer, at := range b.lastPeerReport {
 		if now.Sub(at) < peerReportTTL {
@@ -103,7 +105,7 @@
 	}
 }
 
-// setPeer changes how many requests a peer has at an upstream.
+// setPeerRequests sets the number of requests that a peer has in flight at the upstream.
 func (u *upstreamState) setPeerRequests(peer string, n int) {
 	if u.peerRequests == nil {
 		u.peerRequests = make(map[string]int)
--- a/internal/balance/placement.go
+++ b/internal/balance/placement.go
@@ -9,31 +9,32 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// candidate is an upstream that may serve an object, with its place in the order
-// of the object's upstreams: the smaller the nearer to the front.
+// candidate is an upstream that may serve an object, with its score for the object: the lower the
+// score, the earlier the upstream comes in the object's order.
 type candidate struct {
 	state *upstreamState
 	score float64
-	// spills is set if the request belongs to another upstream, or comes from another region.
+	// spills is set if another upstream comes first for the object, or if the upstream is in
+	// another region than this entry; see markSpillover.
 	spills bool
-	// unsettled is set by settledFirst.
+	// unready is set by readyFirst for upstreams that are cold or have no room in their rate limit.
 	unready bool
 }
 
-// scratch holds the memory of the lists that each pick makes anew.
+// scratch holds the slices that every pick reuses.
 type scratch struct{ all, responsive []candidate }
 
-// byPlace returns the usable upstreams in the object's order. The result holds until the
-// next call.
+// byScore returns the usable upstreams in the object's order. The result is valid until the next
+// call.
 func (b *Balancer) byScore(now time.Time, req ObjectRequest) []candidate {
 	all := b.usableCandidates(now, req)
 	slices.SortFunc(all, compareScore)
 	return b.markSpillover(all, req.NoAffinity)
 }
 
-// front returns the first n usable upstreams in the object's order. It selects rather than
-// sorts: each request comes here, and a service may have a thousand upstreams. The result
-// holds until the next call.
+// topByScore returns the first n usable upstreams in the object's order. It selects instead of
+// sorting, since it runs for each request and a service may have a thousand upstreams. The result
+// is valid until the next call.
 func (b *Balancer) topByScore(now time.Time, req ObjectRequest, n int) []candidate {
 	all := b.usableCandidates(now, req)
 	n = min(n, len(all))
@@ -41,8 +42,8 @@
 		if i >= n && c.score >= all[n-1].score {
 			continue
 		}
-		// Everything before i but the first n is passed over already, so that the last of
-		// these may be overwritten.
+		// Everything before i except the first n has been skipped, so the last of these n may be
+		// overwritten.
 		j := min(i, n-1)
 		for ; j > 0 && all[j-1].score > c.score; j-- {
 			all[j] = all[j-1]
@@ -52,11 +53,12 @@
 	return b.markSpillover(all[:n], req.NoAffinity)
 }
 
+// compareScore orders candidates by ascending score.
 func compareScore(a, b candidate) int { return cmp.Compare(a.score, b.score) }
 
-// candidatesOf returns the usable upstreams in no order. Silent and failing ones are left
-// out, unless most are: then it is more likely that this entry is cut off. The result
-// holds until the next call.
+// usableCandidates returns the usable upstreams in no particular order. Unresponsive upstreams and
+// outliers are left out, unless they are the majority: then this entry is more likely the one that
+// is cut off. The result is valid until the next call.
 func (b *Balancer) usableCandidates(now time.Time, req ObjectRequest) []candidate {
 	all, answering := b.scratch.all[:0], b.scratch.responsive[:0]
 	for _, u := range b.upstreams {
@@ -76,7 +78,7 @@
 	return all
 }
 
-// usable reports whether an upstream may get the request at all.
+// usable reports whether an upstream may serve the request at all, regardless of its load.
 func (b *Balancer) usable(u *upstreamState, now time.Time, req ObjectRequest) bool {
 	if u.ejected(now) || b.isDraining(u, now) || slices.Contains(req.Tried, u.ID) {
 		return false
@@ -84,9 +86,10 @@
 	return req.Regions == nil || req.Regions(u.Region)
 }
 
-// place orders upstreams for an object by weighted rendezvous hashing (Schindelhauer
-// and Schomaker, 2005): each comes first in proportion to its weight, and one
-// that leaves or comes moves only its own objects.
+// score returns the position of an upstream in the order of an object by weighted rendezvous
+// hashing (Schindelhauer and Schomaker, 2005): lower scores come first. Each upstream comes first
+// for a share of the objects in proportion to its weight, and an upstream that joins or leaves
+// moves only its own objects.
 func score(object uint64, u *upstreamState) float64 {
 	const mantissa = 53
 	uniform := (float64(mix(object^u.idHash)>>(64-mantissa)) + 0.5) / (1 << mantissa)
@@ -101,7 +104,7 @@
 	return x ^ x>>31
 }
 
-// HashObject returns the hash of an object of a class.
+// HashObject returns the hash of an object of a class, as used in ObjectRequest.Object.
 func HashObject(class, object string) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(class)
--- a/internal/balance/placement_test.go
+++ b/internal/balance/placement_test.go
@@ -9,7 +9,7 @@
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
-// largeService is one of a thousand upstreams in nine failure domains.
+// largeService returns a service with 1044 upstreams in nine failure domains.
 func largeService() (*model.Service, []model.Member) {
 	s := &model.Service{Name: "stock", Routed: true}
 	var entries []model.Member
@@ -26,11 +26,11 @@
 	return s, entries
 }
 
-// TestFrontIsTheBeginningOfTheOrder compares the first upstreams of many objects with
-// those of the whole order.
-func TestFrontIsTheBeginningOfTheOrder(t *testing.T) {
+// TestTopByScoreMatchesFullOrder compares the first upstreams of many objects with those of the
+// fully sorted order.
+func TestTopByScoreMatchesFullOrder(t *testing.T) {
 	s, entries := largeService()
-	lb := groupAt(s, entries, entries[0])
+	lb := balancerAt(s, entries, entries[0])
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
 		req := ObjectRequest{Object: rnd.Uint64()}
@@ -38,21 +38,21 @@
 			got := append([]candidate(nil), lb.topByScore(t0, req, n)...)
 			whole := lb.byScore(t0, req)
 			if len(got) != min(n, len(whole)) {
-				t.Fatalf("%d of %d", len(got), n)
+				t.Fatalf("got %d candidates for n = %d", len(got), n)
 			}
 			for i := range got {
 				if got[i] != whole[i] {
-					t.Fatalf("object %x: place %d of %d is %s, want %s", req.Object, i, n, got[i].state.ID, whole[i].state.ID)
+					t.Fatalf("object %x: candidate %d of %d is %s, want %s", req.Object, i, n, got[i].state.ID, whole[i].state.ID)
 				}
 			}
 		}
 	}
 }
 
-// BenchmarkPickObject measures a choice among a thousand upstreams.
+// BenchmarkPickObject measures a pick among about a thousand upstreams.
 func BenchmarkPickObject(b *testing.B) {
 	s, entries := largeService()
-	lb := groupAt(s, entries, entries[0])
+	lb := balancerAt(s, entries, entries[0])
 	b.ReportAllocs()
 	for i := range b.N {
 		c, err := lb.PickObject(t0, ObjectRequest{Object: mix(uint64(i)), Class: "r", Objective: time.Second})
--- a/internal/balance/ratelimit.go
+++ b/internal/balance/ratelimit.go
@@ -9,24 +9,26 @@
 )
 
 const (
-	// maxSenders is how many entries at most share the limit of an upstream. Each tells each
-	// other one of its requests.
+	// maxLimitSenders is the largest number of entries that share the limit of an upstream. Each of
+	// these sends an update to every other one for each of its requests.
 	maxLimitSenders = 16
-	// rateNewsFor is how long a change is told again and again.
+	// announcePeriod is how long a change is sent repeatedly.
 	announcePeriod = time.Second
 )
 
-// RateLimit is what an answer says of the requests that its upstream takes.
+// RateLimit is what an answer says about the rate limit of its upstream.
 type RateLimit struct {
-	// Known is set if the answer tells, by naming a limit or by naming none.
+	// Known is set if the answer says whether there is a limit.
 	Known bool
-	// PerSecond is the limit over all entries, or ratelimit.Unlimited.
+	// PerSecond is the limit in requests per second over all entries, or ratelimit.Unlimited.
 	PerSecond float64
 }
 
-// LimitError reports that upstreams might take the request but for the limits that they name.
+// LimitError reports that only the rate limits of the upstreams prevent the request from being
+// sent.
 type LimitError struct {
-	// Upstream is the one that may take a request first, PerSecond its limit.
+	// Upstream is the id of the upstream that may take a request first, PerSecond its limit in
+	// requests per second, RetryAfter the time until then.
 	Upstream   string
 	PerSecond  float64
 	RetryAfter time.Duration
@@ -34,33 +36,37 @@
 
 // Error implements error.
 func (e *LimitError) Error() string {
-	return fmt.Sprintf("balance: limit of %v requests a second at %s, the next in %v", e.PerSecond, e.Upstream, e.RetryAfter.Round(time.Millisecond))
+	return fmt.Sprintf("balance: rate limit of %v requests per second at upstream %s, next request allowed in %v", e.PerSecond, e.Upstream, e.RetryAfter.Round(time.Millisecond))
 }
 
-// Unwrap returns ErrNoSlot, of which a LimitError is a kind.
+// Unwrap returns ErrNoSlot; a LimitError is a special case of it.
 func (e *LimitError) Unwrap() error { return ErrNoSlot }
 
-// LimitUpdate is what an entry knows of the limit of an upstream.
+// LimitUpdate is what one entry reports to others about the limit of an upstream.
 type LimitUpdate struct {
-	// Upstream is as LifeKey gives it.
+	// Upstream identifies the upstream by its IncarnationKey.
 	Upstream uint32
-	// PerSecond is the limit, or ratelimit.Unlimited, and Version that of the value.
+	// PerSecond is the limit in requests per second, or ratelimit.Unlimited, and Version the
+	// version of this value.
 	PerSecond float64
 	Version   uint32
-	// Sent is how many requests the entry has sent there since it has known a limit.
+	// Sent is the number of requests that the entry has sent to the upstream since it first
+	// received a limit.
 	Sent uint32
-	// Senders are the ids of the other entries that may send, and Changed is set if nobody was
-	// told of the limit yet. They are not told to others.
+	// Senders are the ids of the other entries that may send to the upstream. Changed is set if the
+	// limit has not been sent to any entry yet. Neither is part of the message to other entries.
 	Senders []string
 	Changed bool
 }
 
-// OnLimitUpdate has a function called when others are to hear at once of a request to an upstream
-// with a limit, or of a limit that has changed. It must be quick.
+// OnLimitUpdate sets the function that is called when other entries must be sent an update at once:
+// after a request to an upstream with a limit, or a change of a limit. The function is called with
+// the Balancer locked and must return quickly. OnLimitUpdate must be called before the Balancer is
+// used.
 func (b *Balancer) OnLimitUpdate(notify func()) { b.notify = notify }
 
-// ObserveLimit takes in what the answer to a Choice says of its upstream's limit. It reports whether
-// that has changed.
+// ObserveLimit applies what the answer to a Choice says about its upstream's limit. It reports
+// whether the limit has changed.
 func (b *Balancer) ObserveLimit(now time.Time, c Choice, r RateLimit) bool {
 	if !r.Known || r.PerSecond == ratelimit.Unlimited && b.limitedCount.Load() == 0 {
 		return false
@@ -75,7 +81,7 @@
 	return true
 }
 
-// limitChanged brings the bucket of an upstream up to its limit.
+// applyLimit adapts the bucket of an upstream to its current limit and announces the limit.
 func (b *Balancer) applyLimit(u *upstreamState, now time.Time) {
 	limited := u.limit.Limited()
 	switch {
@@ -99,13 +105,13 @@
 	b.notifyUpdate(u)
 }
 
-// tellLimit has all others told of a limit for a while.
+// announceLimit marks an upstream's limit to be sent to all other entries for announcePeriod.
 func (b *Balancer) announceLimit(u *upstreamState, now time.Time) {
 	u.announceUntil = now.Add(announcePeriod)
 	b.announceUntil = u.announceUntil
 }
 
-// hasRateNews has others told of an upstream at once.
+// notifyUpdate marks an upstream as having unsent changes and calls the notify function.
 func (b *Balancer) notifyUpdate(u *upstreamState) {
 	u.unsent = true
 	if b.notify != nil {
@@ -113,7 +119,7 @@
 	}
 }
 
-// dropLimit forgets the limit of a life that is over.
+// dropLimit removes the bucket of an incarnation that has ended.
 func (b *Balancer) dropLimit(u *upstreamState) {
 	if u.bucket != nil {
 		u.bucket = nil
@@ -121,7 +127,7 @@
 	}
 }
 
-// setSenders brings the senders of the upstreams with limits up to date.
+// updateLimitSenders recomputes which entries share the limit of each upstream that has one.
 func (b *Balancer) updateLimitSenders(now time.Time) {
 	if b.limitedCount.Load() == 0 {
 		return
@@ -133,8 +139,9 @@
 	}
 }
 
-// senders returns the ids of the entries that share the limit of an upstream, the nearest. All
-// entries work out the same.
+// limitSenders returns the ids of the entries that share the limit of an upstream: the nearest
+// ones, at most maxLimitSenders. All entries compute the same result. An entry that has retired
+// gets no senders.
 func (b *Balancer) limitSenders(u *upstreamState) []string {
 	if b.retired {
 		return nil
@@ -147,8 +154,8 @@
 	return ids
 }
 
-// Retire takes this entry from the senders of all upstreams with limits, as it is about to
-// leave and others do not hear of its requests any more.
+// Retire removes this entry from the senders of all upstreams with limits. It is called when the
+// entry is about to leave, because others then no longer receive updates about its requests.
 func (b *Balancer) Retire(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -156,14 +163,15 @@
 	b.updateLimitSenders(now)
 }
 
-// withinRate reports whether the limit of an upstream leaves room for one more request of this
+// withinLimit reports whether the limit of an upstream leaves room for one more request of this
 // entry.
 func (u *upstreamState) withinLimit(now time.Time) bool {
 	return u.bucket == nil || u.bucket.Wait(now) == 0
 }
 
-// markHome marks which of the candidates of an object, in its order, is its home: the first, if it
-// is in the region of this entry. A request without an object is at home in the whole region.
+// markSpillover marks the candidates for which a request is spillover: all but the first one in the
+// object's order, and all in other regions than this entry's. A request without affinity is
+// spillover only in other regions.
 func (b *Balancer) markSpillover(cs []candidate, spread bool) []candidate {
 	for i := range cs {
 		cs[i].spills = i > 0 && !spread || cs[i].state.Region != b.region
@@ -171,10 +179,10 @@
 	return cs
 }
 
-// rateWait returns after what time the limit of a candidate leaves room for a request of this
-// entry; 0 if it does now. A request that belongs elsewhere gets only what the upstream's own
-// objects leave: it would take the place of one of these, and its object would be at hand at
-// neither.
+// limitWait returns the time until the limit of a candidate leaves room for a request of this
+// entry; 0 if it does now. A spillover request gets only the part of the limit that the upstream's
+// own objects leave unused: otherwise it would take the place of a request for one of these
+// objects, and neither request would reach an upstream that is warm for its object.
 func (c candidate) limitWait(now time.Time) time.Duration {
 	switch {
 	case c.state.bucket == nil:
@@ -185,7 +193,7 @@
 	return c.state.bucket.Wait(now)
 }
 
-// spendRate counts a request against the limit of its upstream.
+// spendLimit counts a request against the limit of its upstream.
 func (b *Balancer) spendLimit(u *upstreamState, now time.Time) {
 	if u.bucket == nil {
 		return
@@ -195,8 +203,8 @@
 	b.notifyUpdate(u)
 }
 
-// limitError returns the error for a request that the limits of all candidates leave no room
-// for.
+// limitError returns the error for a request for which the limits of all candidates leave no room:
+// a LimitError, or ErrNoSlot if no candidate will have room for this entry.
 func (b *Balancer) limitError(now time.Time, ranked []candidate) error {
 	var first *upstreamState
 	least := time.Duration(math.MaxInt64)
@@ -206,26 +214,27 @@
 		}
 	}
 	if first == nil {
-		// Others have the room that there is.
+		// This entry is no sender of any candidate; other entries use the limits.
 		return ErrNoSlot
 	}
 	return &LimitError{Upstream: first.ID, PerSecond: first.limit.PerSecond(), RetryAfter: first.bucket.Reserve(least, now)}
 }
 
-// UpdateScope says of which limits others are told.
+// UpdateScope selects the limits for which updates are sent.
 type UpdateScope int
 
 // The scopes.
 const (
-	// UnsentUpdates is what has not been told to anyone.
+	// UnsentUpdates selects changes that have not been sent to any entry.
 	UnsentUpdates UpdateScope = iota
-	// RecentUpdates is what has changed of late.
+	// RecentUpdates selects changes of limits, and requests counted against them, of the last
+	// announcePeriod.
 	RecentUpdates
-	// AllUpdates is all limits, and what has changed of late.
+	// AllUpdates selects all limits, and changes of the last announcePeriod.
 	AllUpdates
 )
 
-// VisitLimitUpdates calls visit with what others are to be told.
+// VisitLimitUpdates calls visit with the updates of a scope, and marks these as sent.
 func (b *Balancer) VisitLimitUpdates(now time.Time, scope UpdateScope, visit func(LimitUpdate)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -246,6 +255,7 @@
 	}
 }
 
+// needsUpdate reports whether a scope includes an update for an upstream.
 func (b *Balancer) needsUpdate(u *upstreamState, now time.Time, scope UpdateScope) bool {
 	if scope == UnsentUpdates {
 		return u.unsent
@@ -253,8 +263,8 @@
 	return u.unsent || now.Before(u.announceUntil) || u.bucket != nil && (scope == AllUpdates || now.Sub(u.lastSpent) < announcePeriod)
 }
 
-// VisitLimitSenders calls visit with the ids of the other senders of upstreams to which this entry
-// may send.
+// VisitLimitSenders calls visit with the ids of the entries that share an upstream's limit with
+// this entry, once for each such upstream.
 func (b *Balancer) VisitLimitSenders(visit func(id string)) {
 	if b.limitedCount.Load() == 0 {
 		return
@@ -268,49 +278,52 @@
 	}
 }
 
-// ApplyPeerLimits takes in what a peer told of limits, in one of its lives.
-func (b *Balancer) ApplyPeerLimits(now time.Time, peer string, life uint64, told []LimitUpdate) {
+// ApplyPeerLimits applies the updates that a peer has sent. incarnation identifies the peer's
+// process.
+func (b *Balancer) ApplyPeerLimits(now time.Time, peer string, incarnation uint64, updates []LimitUpdate) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	byKey := make(map[uint32]LimitUpdate, len(told))
-	for _, n := range told {
+	byKey := make(map[uint32]LimitUpdate, len(updates))
+	for _, n := range updates {
 		byKey[n.Upstream] = n
 	}
 	for _, u := range b.upstreams {
 		if n, ok := byKey[u.incarnationKey]; ok {
-			b.applyPeerLimit(u, now, peer, life, n)
+			b.applyPeerLimit(u, now, peer, incarnation, n)
 		} else if u.bucket != nil {
 			u.bucket.Alive(peer, now)
 		}
 	}
 }
 
-func (b *Balancer) applyPeerLimit(u *upstreamState, now time.Time, peer string, life uint64, n LimitUpdate) {
+// applyPeerLimit applies a peer's update for one upstream.
+func (b *Balancer) applyPeerLimit(u *upstreamState, now time.Time, peer string, incarnation uint64, n LimitUpdate) {
 	switch u.limit.Merge(n.PerSecond, n.Version, now) {
 	case ratelimit.Newer:
 		b.applyLimit(u, now)
 	case ratelimit.Older:
-		// Told again, as the peer does not know it.
+		// The peer lacks the newer value, so it is sent again.
 		b.announceLimit(u, now)
 	}
 	if u.bucket != nil {
-		u.bucket.Heard(peer, life, n.Sent, now)
+		u.bucket.Heard(peer, incarnation, n.Sent, now)
 	}
 }
 
-// LimitStatus is the limit of one upstream as this entry sees it, for metrics and dumps.
+// LimitStatus is the limit of one upstream as known to this entry, for metrics and dumps.
 type LimitStatus struct {
 	Upstream  string  `json:"upstream"`
 	PerSecond float64 `json:"per_s"`
 	Version   uint32  `json:"version"`
 	// Level is how many requests all senders together may send now.
 	Level float64 `json:"level"`
-	// Sender is set if this entry may send, Sent counts what it has sent.
+	// Sender is set if this entry may send requests to the upstream. Sent counts the requests that
+	// it has sent.
 	Sender bool   `json:"sender"`
 	Sent   uint32 `json:"sent"`
 }
 
-// LimitStatuses returns the limits of upstreams, at most n.
+// LimitStatuses returns the status of at most n limits of upstreams.
 func (b *Balancer) LimitStatuses(now time.Time, n int) []LimitStatus {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/balance/ratelimit_bench_test.go
+++ b/internal/balance/ratelimit_bench_test.go
@@ -8,11 +8,11 @@
 	"github.com/loomkeel/loomkeel/internal/ratelimit"
 )
 
-// benchmarkPick measures a request at one of four entries and 216 upstreams, from its pick to its
+// benchmarkPick measures a request at one of four entries with 216 upstreams, from its pick to its
 // answer.
 func benchmarkPick(b *testing.B, prepare func(lb *Balancer, now time.Time), answered func(lb *Balancer, now time.Time, c Choice)) {
-	s, entries := site(54, 8)
-	lb := groupAt(s, entries, entries[0])
+	s, entries := twoRegionService(54, 8)
+	lb := balancerAt(s, entries, entries[0])
 	prepare(lb, t0)
 	b.ReportAllocs()
 	for i := range b.N {
@@ -26,18 +26,19 @@
 	}
 }
 
+// BenchmarkPick measures requests whose answers say nothing about limits.
 func BenchmarkPick(b *testing.B) {
 	benchmarkPick(b, func(*Balancer, time.Time) {}, func(*Balancer, time.Time, Choice) {})
 }
 
-// BenchmarkPickWithoutLimits is the same with answers that name no limit.
+// BenchmarkPickWithoutLimits measures requests whose answers announce that there is no limit.
 func BenchmarkPickWithoutLimits(b *testing.B) {
 	benchmarkPick(b, func(*Balancer, time.Time) {}, func(lb *Balancer, now time.Time, c Choice) {
 		lb.ObserveLimit(now, c, RateLimit{Known: true, PerSecond: ratelimit.Unlimited})
 	})
 }
 
-// BenchmarkPickWithLimits is the same while a third of the upstreams name a limit.
+// BenchmarkPickWithLimits measures requests while a third of the upstreams announce a limit.
 func BenchmarkPickWithLimits(b *testing.B) {
 	limited := make(map[string]bool)
 	benchmarkPick(b, func(lb *Balancer, now time.Time) {
--- a/internal/balance/ratelimit_fleet_test.go
+++ b/internal/balance/ratelimit_fleet_test.go
@@ -11,71 +11,75 @@
 	"github.com/loomkeel/loomkeel/internal/ratelimit"
 )
 
-// This file has a fleet in virtual time: entries with their Groups, upstreams that name limits
-// in their answers, and what the entries tell each other over links that delay and lose it.
+// This file simulates a fleet in virtual time: entries with their Balancers, upstreams that
+// announce limits in their answers, and the messages between entries over links with delay and
+// loss.
 
 const (
-	fleetNear    = time.Millisecond
-	fleetFar     = 35 * time.Millisecond
-	fleetLost    = 0.01
-	fleetUrgent  = 5 * time.Millisecond
-	fleetChanges = 50 * time.Millisecond
-	fleetReport  = 100 * time.Millisecond
-	fleetTell    = 200 * time.Millisecond
-	fleetTellAll = 5
-	// fleetLapse is after what time the registration of a dead entry lapses, fleetLearn the
-	// longest time until an entry knows of a change of the members.
-	fleetLapse = 4 * time.Second
-	fleetLearn = 600 * time.Millisecond
-	// fleetDirect is up to how many entries tell all others of limits.
-	fleetDirect = 25
+	delayWithinRegion   = time.Millisecond
+	delayBetweenRegions = 35 * time.Millisecond
+	messageLoss         = 0.01
+	unsentUpdateDelay   = 5 * time.Millisecond
+	minChangeInterval   = 50 * time.Millisecond
+	firstContactWithin  = 100 * time.Millisecond
+	updateInterval      = 200 * time.Millisecond
+	allUpdatesEvery     = 5
+	// registrationTTL is the time after which the registration of a crashed entry expires.
+	// maxMembersDelay is the longest time until an entry receives a change of the members.
+	registrationTTL = 4 * time.Second
+	maxMembersDelay = 600 * time.Millisecond
+	// maxDirectEntries is the largest fleet in which each entry sends limits to all others; larger
+	// fleets use hubs.
+	maxDirectEntries = 25
 )
 
-// limitedEntry is one entry of a fleet.
-type limitedEntry struct {
+// simEntry is one entry of a fleet.
+type simEntry struct {
 	model.Member
-	group *Balancer
-	life  uint64
-	dead  bool
-	// frozen is until when the entry stands still; what comes meanwhile waits.
-	frozen time.Time
-	// island is which part of a cut fleet it is in, registered is set while others list it.
-	island     int
-	registered bool
-	urgent     bool
-	// changesTold is when it last told of changed limits at once.
-	changesTold time.Time
-	told        int
+	balancer    *Balancer
+	incarnation uint64
+	dead        bool
+	// frozenUntil is the end of a pause of the entry; messages that arrive during the pause are
+	// processed after it.
+	frozenUntil time.Time
+	// partition is the part of a partitioned network that the entry is in. registered is set while
+	// other entries list it.
+	partition       int
+	registered      bool
+	updateScheduled bool
+	// lastChangesSent is when the entry last sent changed limits outside of its periodic updates.
+	lastChangesSent time.Time
+	periods         int
 }
 
-// limitFleet is a fleet of entries and upstreams of one service.
-type limitFleet struct {
+// simFleet is a simulated fleet of entries and upstreams of one service.
+type simFleet struct {
 	rnd     *rand.Rand
 	agenda  *agenda.Agenda
-	entries []*limitedEntry
+	entries []*simEntry
 	service *model.Service
-	// limitOf is the limit that an upstream names at a time.
+	// limitOf returns the limit that an upstream announces at a time since the start.
 	limitOf func(upstream string, at time.Duration) float64
-	// rate is the demand in requests per second, over all entries.
-	rate   func(at time.Duration) float64
-	weight func(e *limitedEntry) float64
-	// arrivals are the times at which requests reach each upstream.
-	arrivals map[string][]time.Duration
-	refused  int
-	asked    int
-	work     time.Duration
-	objects  int
-	messages int
-	// lastLimited is when an entry last kept to a limit that had ended.
+	// demand returns the requests per second over all entries.
+	demand func(at time.Duration) float64
+	weight func(e *simEntry) float64
+	// arrivals holds the times at which requests reach each upstream.
+	arrivals    map[string][]time.Duration
+	refused     int
+	requests    int
+	serviceTime time.Duration
+	objects     int
+	messages    int
+	// lastLimited is when an entry was last seen to keep a limit.
 	lastLimited time.Duration
 }
 
-// newLimitFleet returns a fleet with a number of entries and upstreams, spread over six failure
-// domains of three regions.
-func newLimitFleet(seed uint64, entries, upstreams int) *limitFleet {
-	f := &limitFleet{
+// newSimFleet returns a fleet with a number of entries and upstreams, spread over six failure
+// domains in three regions.
+func newSimFleet(seed uint64, entries, upstreams int) *simFleet {
+	f := &simFleet{
 		rnd: rand.New(rand.NewPCG(seed, 3)), agenda: agenda.New(t0), arrivals: make(map[string][]time.Duration),
-		service: &model.Service{Name: "s", Routed: true}, work: 150 * time.Millisecond, objects: 40 * upstreams,
+		service: &model.Service{Name: "s", Routed: true}, serviceTime: 150 * time.Millisecond, objects: 40 * upstreams,
 	}
 	place := func(i int) (region, domain string) {
 		region = fmt.Sprint("r", i%3)
@@ -87,156 +91,159 @@
 	}
 	for i := range entries {
 		region, domain := place(i)
-		e := &limitedEntry{Member: model.Member{ID: fmt.Sprint("e", i), Region: region, Domain: domain}, registered: true}
+		e := &simEntry{Member: model.Member{ID: fmt.Sprint("e", i), Region: region, Domain: domain}, registered: true}
 		f.entries = append(f.entries, e)
 	}
 	f.limitOf = func(string, time.Duration) float64 { return ratelimit.Unlimited }
-	f.weight = func(*limitedEntry) float64 { return 1 }
+	f.weight = func(*simEntry) float64 { return 1 }
 	for _, e := range f.entries {
 		f.start(e)
 	}
-	f.after(0, f.arrive)
+	f.after(0, f.generateRequests)
 	return f
 }
 
-func (f *limitFleet) after(d time.Duration, do func()) { f.agenda.After(d, do) }
+func (f *simFleet) after(d time.Duration, do func()) { f.agenda.After(d, do) }
 
-// at schedules something at a time since the beginning.
-func (f *limitFleet) at(d time.Duration, do func()) { f.agenda.At(t0.Add(d), do) }
+// at schedules do at a time since the start.
+func (f *simFleet) at(d time.Duration, do func()) { f.agenda.At(t0.Add(d), do) }
 
-func (f *limitFleet) since() time.Duration { return f.agenda.Now().Sub(t0) }
+func (f *simFleet) since() time.Duration { return f.agenda.Now().Sub(t0) }
 
-func (f *limitFleet) run(until time.Duration) { f.agenda.RunUntil(t0.Add(until)) }
+func (f *simFleet) run(until time.Duration) { f.agenda.RunUntil(t0.Add(until)) }
 
-// start begins a life of an entry, which knows nothing of limits.
-func (f *limitFleet) start(e *limitedEntry) {
-	e.life = uint64(f.agenda.Now().UnixMilli())
-	e.dead, e.frozen, e.urgent = false, time.Time{}, false
-	e.group = NewBalancer()
-	life := e.life
-	e.group.OnLimitUpdate(func() {
-		if e.urgent {
+// start begins a new incarnation of an entry, which has no information about limits.
+func (f *simFleet) start(e *simEntry) {
+	e.incarnation = uint64(f.agenda.Now().UnixMilli())
+	e.dead, e.frozenUntil, e.updateScheduled = false, time.Time{}, false
+	e.balancer = NewBalancer()
+	incarnation := e.incarnation
+	e.balancer.OnLimitUpdate(func() {
+		if e.updateScheduled {
 			return
 		}
-		e.urgent = true
-		f.after(fleetUrgent, func() { f.whenAwake(e, life, func() { f.tellUrgent(e) }) })
+		e.updateScheduled = true
+		f.after(unsentUpdateDelay, func() { f.whenRunning(e, incarnation, func() { f.sendUnsent(e) }) })
 	})
-	f.update(e)
-	f.after(time.Duration(f.rnd.Int64N(int64(fleetTell))), func() { f.periodic(e, life) })
-	f.after(time.Duration(f.rnd.Int64N(int64(fleetReport))), func() { f.greet(e, life) })
+	f.updateEntry(e)
+	f.after(time.Duration(f.rnd.Int64N(int64(updateInterval))), func() { f.sendPeriodically(e, incarnation) })
+	f.after(time.Duration(f.rnd.Int64N(int64(firstContactWithin))), func() { f.exchangeOnStart(e, incarnation) })
 }
 
-// greet has an entry that has started heard for the first time, and told all limits.
-func (f *limitFleet) greet(e *limitedEntry, life uint64) {
+// exchangeOnStart has the entries that exchange limits with a newly started entry send it all of
+// theirs.
+func (f *simFleet) exchangeOnStart(e *simEntry, incarnation uint64) {
 	for _, to := range f.entries {
-		if to == e || !f.listens(e, to) || e.island != to.island {
+		if to == e || !f.sendsTo(e, to) || e.partition != to.partition {
 			continue
 		}
-		toLife := to.life
-		f.after(delay(e.Region, to.Region), func() {
-			f.whenAwake(to, toLife, func() {
-				if e.life == life {
-					f.send(to, e, f.news(to, AllUpdates))
+		toIncarnation := to.incarnation
+		f.after(oneWayDelay(e.Region, to.Region), func() {
+			f.whenRunning(to, toIncarnation, func() {
+				if e.incarnation == incarnation {
+					f.send(to, e, f.updates(to, AllUpdates))
 				}
 			})
 		})
 	}
 }
 
-// update tells an entry the members.
-func (f *limitFleet) update(e *limitedEntry) {
+// updateEntry passes the current members to an entry's Balancer.
+func (f *simFleet) updateEntry(e *simEntry) {
 	var members []model.Member
 	for _, o := range f.entries {
 		if o.registered || o == e {
 			members = append(members, o.Member)
 		}
 	}
-	e.group.Update(ServiceState{Service: f.service, Draining: never, Self: e.ID, Region: e.Region, Domain: e.Domain, Entries: members}, f.agenda.Now())
+	e.balancer.Update(ServiceState{Service: f.service, Draining: notDraining, Self: e.ID, Region: e.Region, Domain: e.Domain, Entries: members}, f.agenda.Now())
 }
 
-// membersChanged has all entries that are not cut off from the store learn the members.
-func (f *limitFleet) membersChanged() {
+// propagateMembers passes the current members to all entries that can reach the store, each after a
+// random delay.
+func (f *simFleet) propagateMembers() {
 	for _, e := range f.entries {
-		life := e.life
-		f.after(time.Duration(f.rnd.Int64N(int64(fleetLearn))), func() {
-			f.whenAwake(e, life, func() {
-				if e.island == 0 {
-					f.update(e)
+		incarnation := e.incarnation
+		f.after(time.Duration(f.rnd.Int64N(int64(maxMembersDelay))), func() {
+			f.whenRunning(e, incarnation, func() {
+				if e.partition == 0 {
+					f.updateEntry(e)
 				}
 			})
 		})
 	}
 }
 
-// whenAwake does something in a life of an entry, once the entry does not stand still.
-func (f *limitFleet) whenAwake(e *limitedEntry, life uint64, do func()) {
+// whenRunning calls do unless the given incarnation of an entry has ended; if the entry is frozen,
+// after that.
+func (f *simFleet) whenRunning(e *simEntry, incarnation uint64, do func()) {
 	switch {
-	case e.dead || e.life != life:
-	case f.agenda.Now().Before(e.frozen):
-		f.after(e.frozen.Sub(f.agenda.Now()), func() { f.whenAwake(e, life, do) })
+	case e.dead || e.incarnation != incarnation:
+	case f.agenda.Now().Before(e.frozenUntil):
+		f.after(e.frozenUntil.Sub(f.agenda.Now()), func() { f.whenRunning(e, incarnation, do) })
 	default:
 		do()
 	}
 }
 
-func (f *limitFleet) kill(e *limitedEntry) {
+func (f *simFleet) kill(e *simEntry) {
 	e.dead = true
-	life := e.life
-	f.after(fleetLapse, func() {
-		if e.dead && e.life == life {
+	incarnation := e.incarnation
+	f.after(registrationTTL, func() {
+		if e.dead && e.incarnation == incarnation {
 			e.registered = false
-			f.membersChanged()
+			f.propagateMembers()
 		}
 	})
 }
 
-func (f *limitFleet) restart(e *limitedEntry) {
+func (f *simFleet) restart(e *simEntry) {
 	f.start(e)
 	e.registered = true
-	f.membersChanged()
+	f.propagateMembers()
 }
 
-func (f *limitFleet) freeze(e *limitedEntry, d time.Duration) { e.frozen = f.agenda.Now().Add(d) }
+func (f *simFleet) freeze(e *simEntry, d time.Duration) { e.frozenUntil = f.agenda.Now().Add(d) }
 
-// delay is the one-way time between two regions.
-func delay(a, b string) time.Duration {
+// oneWayDelay returns the network delay between two regions in one direction.
+func oneWayDelay(a, b string) time.Duration {
 	if a == b {
-		return fleetNear
+		return delayWithinRegion
 	}
-	return fleetFar
+	return delayBetweenRegions
 }
 
-func (f *limitFleet) send(from, to *limitedEntry, news []LimitUpdate) {
+func (f *simFleet) send(from, to *simEntry, updates []LimitUpdate) {
 	f.messages++
-	if f.rnd.Float64() < fleetLost || from.island != to.island || to.dead {
+	if f.rnd.Float64() < messageLoss || from.partition != to.partition || to.dead {
 		return
 	}
-	life, fromLife := to.life, from.life
-	f.after(delay(from.Region, to.Region), func() {
-		f.whenAwake(to, life, func() { to.group.ApplyPeerLimits(f.agenda.Now(), from.ID, fromLife, news) })
+	incarnation, fromIncarnation := to.incarnation, from.incarnation
+	f.after(oneWayDelay(from.Region, to.Region), func() {
+		f.whenRunning(to, incarnation, func() { to.balancer.ApplyPeerLimits(f.agenda.Now(), from.ID, fromIncarnation, updates) })
 	})
 }
 
-func (f *limitFleet) tellUrgent(e *limitedEntry) {
-	e.urgent = false
-	news := f.news(e, UnsentUpdates)
-	f.tellSenders(e, news, nil)
-	changed := slices.DeleteFunc(news, func(n LimitUpdate) bool { return !n.Changed })
-	if len(changed) > 0 && f.agenda.Now().Sub(e.changesTold) >= fleetChanges {
-		e.changesTold = f.agenda.Now()
-		f.tellListeners(e, changed)
+func (f *simFleet) sendUnsent(e *simEntry) {
+	e.updateScheduled = false
+	updates := f.updates(e, UnsentUpdates)
+	f.sendToSenders(e, updates, nil)
+	changed := slices.DeleteFunc(updates, func(n LimitUpdate) bool { return !n.Changed })
+	if len(changed) > 0 && f.agenda.Now().Sub(e.lastChangesSent) >= minChangeInterval {
+		e.lastChangesSent = f.agenda.Now()
+		f.sendToListeners(e, changed)
 	}
 }
 
-func (f *limitFleet) news(e *limitedEntry, scope UpdateScope) (out []LimitUpdate) {
-	e.group.VisitLimitUpdates(f.agenda.Now(), scope, func(n LimitUpdate) { out = append(out, n) })
+func (f *simFleet) updates(e *simEntry, scope UpdateScope) (out []LimitUpdate) {
+	e.balancer.VisitLimitUpdates(f.agenda.Now(), scope, func(n LimitUpdate) { out = append(out, n) })
 	return out
 }
 
-func (f *limitFleet) tellSenders(e *limitedEntry, news []LimitUpdate, always map[string]bool) {
+func (f *simFleet) sendToSenders(e *simEntry, updates []LimitUpdate, always map[string]bool) {
 	for _, to := range f.entries {
 		var shared []LimitUpdate
-		for _, n := range news {
+		for _, n := range updates {
 			for _, id := range n.Senders {
 				if id == to.ID {
 					shared = append(shared, n)
@@ -249,40 +256,40 @@
 	}
 }
 
-// periodic tells again what may be lost. In a large fleet the first entry that lives in each
-// failure domain is its hub.
-func (f *limitFleet) periodic(e *limitedEntry, life uint64) {
-	if e.dead || e.life != life {
+// sendPeriodically repeats updates, since messages may be lost. In a large fleet the first live
+// entry of each failure domain is its hub.
+func (f *simFleet) sendPeriodically(e *simEntry, incarnation uint64) {
+	if e.dead || e.incarnation != incarnation {
 		return
 	}
-	f.after(fleetTell, func() { f.periodic(e, life) })
-	if f.agenda.Now().Before(e.frozen) {
+	f.after(updateInterval, func() { f.sendPeriodically(e, incarnation) })
+	if f.agenda.Now().Before(e.frozenUntil) {
 		return
 	}
 	scope := RecentUpdates
-	if e.told++; e.told%fleetTellAll == 0 {
+	if e.periods++; e.periods%allUpdatesEvery == 0 {
 		scope = AllUpdates
 	}
-	news := f.news(e, scope)
+	updates := f.updates(e, scope)
 	always := make(map[string]bool)
-	e.group.VisitLimitSenders(func(id string) { always[id] = true })
-	f.tellSenders(e, news, always)
-	if len(news) > 0 {
-		f.tellListeners(e, news)
+	e.balancer.VisitLimitSenders(func(id string) { always[id] = true })
+	f.sendToSenders(e, updates, always)
+	if len(updates) > 0 {
+		f.sendToListeners(e, updates)
 	}
 }
 
-func (f *limitFleet) tellListeners(e *limitedEntry, news []LimitUpdate) {
+func (f *simFleet) sendToListeners(e *simEntry, updates []LimitUpdate) {
 	for _, to := range f.entries {
-		if to != e && f.listens(e, to) {
-			f.send(e, to, news)
+		if to != e && f.sendsTo(e, to) {
+			f.send(e, to, updates)
 		}
 	}
 }
 
-// listens reports whether an entry hears of limits from another.
-func (f *limitFleet) listens(from, to *limitedEntry) bool {
-	if len(f.entries) <= fleetDirect {
+// sendsTo reports whether the entry from sends limits to the entry to.
+func (f *simFleet) sendsTo(from, to *simEntry) bool {
+	if len(f.entries) <= maxDirectEntries {
 		return true
 	}
 	fromHub, toHub := f.hub(from) == from, f.hub(to) == to
@@ -292,32 +299,32 @@
 	return fromHub && toHub
 }
 
-func (f *limitFleet) hub(of *limitedEntry) *limitedEntry {
+func (f *simFleet) hub(of *simEntry) *simEntry {
 	for _, e := range f.entries {
-		if e.Domain == of.Domain && !e.dead && e.island == of.island {
+		if e.Domain == of.Domain && !e.dead && e.partition == of.partition {
 			return e
 		}
 	}
 	return of
 }
 
-// arrive has one request come, and the next one after it.
-func (f *limitFleet) arrive() {
-	rate := f.rate(f.since())
+// generateRequests sends one request from a random entry and schedules the next one.
+func (f *simFleet) generateRequests() {
+	rate := f.demand(f.since())
 	if rate <= 0 {
-		f.after(10*time.Millisecond, f.arrive)
+		f.after(10*time.Millisecond, f.generateRequests)
 		return
 	}
-	f.after(time.Duration(f.rnd.ExpFloat64()/rate*float64(time.Second)), f.arrive)
+	f.after(time.Duration(f.rnd.ExpFloat64()/rate*float64(time.Second)), f.generateRequests)
 	total := 0.0
 	for _, e := range f.entries {
-		if !e.dead && !f.agenda.Now().Before(e.frozen) {
+		if !e.dead && !f.agenda.Now().Before(e.frozenUntil) {
 			total += f.weight(e)
 		}
 	}
 	x := f.rnd.Float64() * total
 	for _, e := range f.entries {
-		if e.dead || f.agenda.Now().Before(e.frozen) {
+		if e.dead || f.agenda.Now().Before(e.frozenUntil) {
 			continue
 		}
 		if x -= f.weight(e); x < 0 {
@@ -327,9 +334,9 @@
 	}
 }
 
-func (f *limitFleet) request(e *limitedEntry) {
-	f.asked++
-	lb, life := e.group, e.life
+func (f *simFleet) request(e *simEntry) {
+	f.requests++
+	lb, incarnation := e.balancer, e.incarnation
 	c, err := lb.PickObject(f.agenda.Now(), ObjectRequest{
 		Object: HashObject("c", fmt.Sprint(f.rnd.IntN(f.objects), e.Region)), Class: "c", Objective: 10 * time.Second,
 	})
@@ -337,13 +344,13 @@
 		f.refused++
 		return
 	}
-	way := delay(e.Region, c.Region)
-	work := time.Duration((0.5 + f.rnd.Float64()) * float64(f.work))
+	way := oneWayDelay(e.Region, c.Region)
+	work := time.Duration((0.5 + f.rnd.Float64()) * float64(f.serviceTime))
 	f.after(way, func() { f.arrivals[c.ID] = append(f.arrivals[c.ID], f.since()) })
 	f.after(way+work, func() {
 		rate := RateLimit{Known: true, PerSecond: f.limitOf(c.ID, f.since())}
 		f.after(way, func() {
-			f.whenAwake(e, life, func() {
+			f.whenRunning(e, incarnation, func() {
 				lb.ObserveLimit(f.agenda.Now(), c, rate)
 				lb.Done(f.agenda.Now(), c, DoneInfo{Result: OK, Load: -1, Waiting: -1})
 			})
@@ -351,9 +358,9 @@
 	})
 }
 
-// most returns the most requests that reach an upstream in any window that begins after from
-// and ends before to.
-func (f *limitFleet) most(upstream string, window, from, to time.Duration) (most int, at time.Duration) {
+// maxInWindow returns the largest number of requests that reach an upstream in any window that
+// begins after from and ends before to, and the end of that window.
+func (f *simFleet) maxInWindow(upstream string, window, from, to time.Duration) (most int, at time.Duration) {
 	times := f.arrivals[upstream]
 	first := 0
 	for last, t := range times {
@@ -367,8 +374,9 @@
 	return most, at
 }
 
-// firstAfter returns when the first request since a time reaches an upstream.
-func (f *limitFleet) firstAfter(upstream string, from time.Duration) time.Duration {
+// firstAfter returns when the first request since from reaches an upstream, or from if there is
+// none.
+func (f *simFleet) firstAfter(upstream string, from time.Duration) time.Duration {
 	for _, t := range f.arrivals[upstream] {
 		if t >= from {
 			return t
@@ -377,8 +385,8 @@
 	return from
 }
 
-// between counts the requests that reach an upstream in a span.
-func (f *limitFleet) between(upstream string, from, to time.Duration) (n int) {
+// countBetween returns the number of requests that reach an upstream between two times.
+func (f *simFleet) countBetween(upstream string, from, to time.Duration) (n int) {
 	for _, t := range f.arrivals[upstream] {
 		if t >= from && t < to {
 			n++
--- a/internal/balance/regions.go
+++ b/internal/balance/regions.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// farWeight is the weight of regions that nothing has to spill to: enough to
-	// have an order among their upstreams when all nearer ones are gone.
+	// minRegionWeight is the weight of regions that receive no spillover. It is positive so that
+	// their upstreams are still ordered when all upstreams of the other regions are gone.
 	minRegionWeight = 1e-6
 )
 
-// shares says what part of the own region's requests goes to each region.
+// regionShares holds the share of the own region's requests that goes to each region.
 type regionShares map[string]float64
 
-// spread returns the shares that load all regions alike. Demand is what part of all
-// requests each region asks for, capacity the slots that may be used there. A region
-// that has the capacity for its demand keeps its requests; the others send what is
-// too much for them to where there is capacity to spare.
+// spreadDemand returns the shares that load all regions equally. demand holds the share of all
+// requests that originates in each region, capacity the usable slots of each region. A region with
+// enough capacity for its demand keeps all its requests; the others send their excess to regions
+// with spare capacity, in proportion to that.
 func spreadDemand(home string, capacity, demand map[string]float64) regionShares {
 	total := 0.0
 	for _, c := range capacity {
@@ -47,8 +47,8 @@
 	return out
 }
 
-// weigh sets the weights of the upstreams for the requests of the own region: by the
-// shares of the regions, and within a region by slots.
+// updateWeights sets the weights of the upstreams for requests from the region home: by the shares
+// of the regions, and within a region by slots.
 func (b *Balancer) updateWeights(now time.Time, home string, demand map[string]float64) {
 	capacity := b.capacityByRegion(now)
 	share := spreadDemand(home, capacity, demand)
@@ -58,10 +58,9 @@
 	}
 }
 
-// capacityByRegion returns the slots of the upstreams that may get new work. Those
-// of a failure domain that is being emptied are no capacity: a region that loses half
-// of its upstreams to that and keeps all its requests refuses every second one while
-// others have slots to spare.
+// capacityByRegion returns the slots of the upstreams that may get new requests. Upstreams of a
+// failure domain that drains do not count: a region that loses half of its upstreams in this way
+// and kept all its requests would refuse every second one while other regions have free slots.
 func (b *Balancer) capacityByRegion(now time.Time) map[string]float64 {
 	capacity := make(map[string]float64)
 	for _, u := range b.upstreams {
@@ -72,8 +71,8 @@
 	return capacity
 }
 
-// demandByRegion is the share of a service's requests that each region asks for.
-// Regions with an entry are taken to ask alike.
+// demandByRegion returns the share of a service's requests that originates in each region. All
+// regions with an entry are assumed to have equal demand.
 func demandByRegion(entries []model.Member) map[string]float64 {
 	demand := make(map[string]float64)
 	for _, e := range entries {
--- a/internal/balance/regions_test.go
+++ b/internal/balance/regions_test.go
@@ -9,11 +9,11 @@
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
-// TestDrainedDomainIsNoCapacity empties one of the two failure domains of a region.
-// The region then has a third of the capacity for half of the requests, and a third
-// of its objects must go to the other region until the domain is back.
-func TestDrainedDomainIsNoCapacity(t *testing.T) {
-	s, entries := site(4, 8)
+// TestDrainedDomainHasNoCapacity drains one of the two failure domains of a region. The region then
+// has a third of the capacity for half of the requests, so a third of its objects must go to the
+// other region until the domain is back.
+func TestDrainedDomainHasNoCapacity(t *testing.T) {
+	s, entries := twoRegionService(4, 8)
 	lb := NewBalancer()
 	for i, tt := range []struct {
 		drained string
@@ -26,7 +26,7 @@
 		for o := range objects {
 			first := lb.byScore(t0, ObjectRequest{Object: HashObject("r", fmt.Sprint(o))})[0].state
 			if first.Domain == tt.drained {
-				t.Fatalf("object %d is at an upstream that leaves", o)
+				t.Fatalf("object %d is at an upstream that drains", o)
 			}
 			if first.Region != "muscat" {
 				n++
--- a/internal/balance/restart_test.go
+++ b/internal/balance/restart_test.go
@@ -7,8 +7,8 @@
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
-// restartable returns an update of a group to one upstream in a given life.
-func restartable(born int64) ServiceState {
+// stateWithBorn returns the state of a service with one upstream that started at born.
+func stateWithBorn(born int64) ServiceState {
 	return ServiceState{
 		Service:  &model.Service{Warmup: 3 * time.Second, Upstreams: []model.Upstream{{ID: "u1", Region: "m", Domain: "m1", Address: "10.0.0.1:80", Slots: 4, Born: born}}},
 		Draining: func(*model.Upstream, time.Time) bool { return false },
@@ -17,21 +17,21 @@
 	}
 }
 
-// TestRestartUnderTheSameID fails, drains and half fills an upstream, which then starts
-// again under its id: nothing of its earlier life counts.
+// TestRestartUnderTheSameID has an upstream with failures, a drain announcement and requests in
+// flight restart under its id: nothing of its earlier incarnation counts.
 func TestRestartUnderTheSameID(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	lb := NewBalancer()
-	lb.Update(restartable(1000), now)
+	lb.Update(stateWithBorn(1000), now)
 	req := ObjectRequest{Object: 7, Class: "c", Objective: time.Second}
 	warmed, err := lb.PickObject(now, req)
 	if err != nil {
 		t.Fatal(err)
 	}
 	lb.Done(now.Add(time.Second), warmed, DoneInfo{Result: OK, Load: -1, Draining: true})
-	lb.Update(restartable(1000), now)
+	lb.Update(stateWithBorn(1000), now)
 	if _, err := lb.PickObject(now.Add(time.Second), req); err == nil {
-		t.Fatal("an upstream that said that it drains gets work")
+		t.Fatal("an upstream that announced that it drains was picked")
 	}
 	earlier := lb.byID["u1"]
 	under := Choice{Upstream: earlier.Upstream, state: earlier, class: "c", object: 7, PickedAt: now}
@@ -42,37 +42,39 @@
 	earlier.setPeerRequests("e2", 3)
 
 	now = now.Add(2 * time.Second)
-	if got := lb.Update(restartable(2000), now); len(got) != 1 || got[0] != "10.0.0.1:80" {
+	if got := lb.Update(stateWithBorn(2000), now); len(got) != 1 || got[0] != "10.0.0.1:80" {
 		t.Errorf("restarted: %v", got)
 	}
 	c, err := lb.PickObject(now, req)
 	if err != nil {
-		t.Fatalf("the new life gets no work: %v", err)
+		t.Fatalf("the new incarnation was not picked: %v", err)
 	}
 	if c.Warm || c.Outstanding != 0 {
-		t.Errorf("picked with warm = %v, ahead = %v; the new life knows nothing", c.Warm, c.Outstanding)
+		t.Errorf("picked with warm = %v, outstanding = %v; want false and 0 for a new incarnation", c.Warm, c.Outstanding)
 	}
-	// The request of the earlier life ends, broken, and peers still tell of failures there.
+	// The request to the earlier incarnation fails, and a peer still reports failures of that
+	// incarnation.
 	lb.Done(now, under, DoneInfo{Result: Unreachable, Load: -1})
 	lb.ApplyPeerLoad(now, PeerLoad{Peer: "e2", Last: ^uint32(0), Loads: map[uint32]Load{
 		earlier.incarnationKey: {Requests: 9, Outcomes: Outcomes{Failed: 9, Total: 9}},
 	}})
 	u := lb.byID["u1"]
 	if u.inFlight != 1 || u.peerTotal != 0 || u.ejected(now) || u.isOutlier(now) || lb.inFlight["m"] != 1 {
-		t.Errorf("new life: %d own requests, %d of peers, ejected %v, outlying %v; %d in the region",
+		t.Errorf("new incarnation: %d own requests, %d of peers, ejected %v, outlier %v; %d in the region",
 			u.inFlight, u.peerTotal, u.ejected(now), u.isOutlier(now), lb.inFlight["m"])
 	}
 	if !lb.cold(u, now) {
-		t.Error("the new life is not cold")
+		t.Error("the new incarnation is not cold")
 	}
 }
 
-// TestRestartWithoutBirth has an upstream that does not tell its birth stay what it is.
-func TestRestartWithoutBirth(t *testing.T) {
+// TestRestartWithoutStartTime checks that an upstream does not count as restarted if the earlier or
+// the new start time is missing.
+func TestRestartWithoutStartTime(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	lb := NewBalancer()
 	for _, born := range []int64{1000, 0, 2000} {
-		if got := lb.Update(restartable(born), now); got != nil {
+		if got := lb.Update(stateWithBorn(born), now); got != nil {
 			t.Errorf("born %d: restarted %v", born, got)
 		}
 	}
--- a/internal/balance/retry_budget.go
+++ b/internal/balance/retry_budget.go
@@ -2,19 +2,19 @@
 
 import "sync"
 
-// RetryBudget limits retries to a share of recent requests, so that a region that
-// fails does not double its own load. It is safe for concurrent use.
+// RetryBudget limits retries to a share of recent requests, so that a failing region does not
+// double its own load. It is safe for concurrent use.
 type RetryBudget struct {
 	mu     sync.Mutex
 	burst  float64
 	tokens float64
 }
 
-// NewRetryBudget returns a full Budget. Burst is how many retries may be made before
-// any success.
+// NewRetryBudget returns a full RetryBudget. burst is the number of retries allowed before any
+// success.
 func NewRetryBudget(burst float64) *RetryBudget { return &RetryBudget{burst: burst, tokens: burst} }
 
-// SetBurst changes how many retries may be saved up.
+// SetBurst changes the largest number of retries that can be saved up.
 func (b *RetryBudget) SetBurst(burst float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -29,7 +29,7 @@
 	b.tokens = min(b.burst, b.tokens+share)
 }
 
-// TryWithdraw reports whether one more retry may be made, and counts it.
+// TryWithdraw reports whether one more retry may be made, and counts it if so.
 func (b *RetryBudget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/balance/service_time.go
+++ b/internal/balance/service_time.go
@@ -3,39 +3,39 @@
 import "time"
 
 const (
-	// warmFor is how long after its last answer an upstream is taken to still
-	// have an object at hand. Most still do for somewhat longer.
+	// warmTTL is how long after serving an object an upstream is expected to still have it cached.
+	// Most upstreams keep objects somewhat longer.
 	warmTTL = 20 * time.Second
-	// maxRemembered bounds how many objects are remembered for an upstream.
+	// maxWarmObjects is the largest number of objects that are tracked per upstream.
 	maxWarmObjects = 512
-	// workWeight is the weight of a new sample in the mean work.
+	// serviceTimeWeight is the weight of a new sample in the moving average of service times.
 	serviceTimeWeight = 0.1
-	// bytesWeight is that of a new sample in the mean size. Sizes vary widely, and
-	// the mean decides where objects are placed, so that it should move slowly.
+	// sizeWeight is the weight of a new sample in the moving average of sizes. Sizes vary widely
+	// and the average determines where objects are placed, so it must change slowly.
 	sizeWeight = 0.005
 )
 
-// times are the mean times that requests of one class take at an upstream
-// without waiting there.
+// classStats holds the mean service times, without waiting, and the mean size of the requests of
+// one class.
 type classStats struct {
-	// warm is that at an upstream which served the object not long ago, as far
-	// as this entry knows.
+	// warm is the mean service time at upstreams that have recently served the object for this
+	// entry.
 	warm time.Duration
-	// unknown is that at others, by their rank among the object's upstreams.
+	// unknown holds the mean service time at other upstreams, by their rank among the object's
+	// replicas.
 	unknown [replicas]time.Duration
-	// bytes is the mean size of a request and its answer.
+	// meanBytes is the mean size of a request and its answer together.
 	meanBytes float64
 }
 
-// large reports whether the requests are large enough to keep them in their
-// failure domain.
+// large reports whether requests of the class are large enough to be kept in their failure domain.
 func (t *classStats) large() bool { return t.meanBytes >= largeBytes }
 
-// huge reports whether the requests are so large that each failure domain should
-// have a replica.
+// huge reports whether requests of the class are so large that each failure domain should have a
+// replica.
 func (t *classStats) huge() bool { return t.meanBytes >= hugeBytes }
 
-// work returns the shortest of the known means, 0 if there is none.
+// shortest returns the shortest of the measured mean service times, 0 if there is none.
 func (t *classStats) shortest() time.Duration {
 	least := t.warm
 	for _, known := range t.unknown {
@@ -46,8 +46,8 @@
 	return least
 }
 
-// ServiceTime returns how long requests of a class take at best at an upstream, without waiting
-// there; 0 until answers have told.
+// ServiceTime returns the shortest mean service time of a class of requests, without waiting for a
+// slot; 0 if none has been measured.
 func (b *Balancer) ServiceTime(class string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -57,6 +57,7 @@
 	return 0
 }
 
+// classStats returns the statistics of a class, which it creates if needed.
 func (b *Balancer) classStats(class string) *classStats {
 	t := b.classes[class]
 	if t == nil {
@@ -66,14 +67,13 @@
 	return t
 }
 
-// warmFor reports whether this entry had an answer about the object from the
-// upstream not long ago.
+// isWarm reports whether the upstream has served the object for this entry within warmTTL.
 func (u *upstreamState) isWarm(object uint64, now time.Time) bool {
 	at, ok := u.lastServed[object]
 	return ok && now.Sub(at) < warmTTL
 }
 
-// remember notes that an upstream has served an object.
+// markServed records that the upstream has served an object.
 func (u *upstreamState) markServed(object uint64, now time.Time) {
 	if u.lastServed == nil {
 		u.lastServed = make(map[uint64]time.Time)
@@ -90,7 +90,8 @@
 	}
 }
 
-// learn takes in how long an answer took.
+// recordServiceTime updates the statistics of a class with a successful answer. Samples that
+// include waiting, or that come from cold upstreams, do not count as service times.
 func (b *Balancer) recordServiceTime(u *upstreamState, now time.Time, c Choice, r DoneInfo) {
 	if c.class == "" || r.Result != OK || r.ServerError {
 		return
@@ -105,15 +106,15 @@
 	if !c.immediate || r.Waiting > 0 || b.cold(u, now) || took <= 0 {
 		return
 	}
-	into := &t.unknown[min(c.Rank, len(t.unknown)-1)]
+	mean := &t.unknown[min(c.Rank, len(t.unknown)-1)]
 	if c.Warm {
-		into = &t.warm
+		mean = &t.warm
 	}
-	updateMean(into, took)
+	updateMean(mean, took)
 	updateMean(&b.meanServiceTime, took)
 }
 
-// average moves a mean towards a new sample; the first one becomes the mean.
+// updateMean moves a mean towards a new sample; the first sample becomes the mean.
 func updateMean(mean *time.Duration, sample time.Duration) {
 	if *mean == 0 {
 		*mean = sample
--- a/internal/balance/status.go
+++ b/internal/balance/status.go
@@ -6,8 +6,8 @@
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
-// Latency returns the mean latency over the upstreams of a region that have
-// answered, or 0.
+// Latency returns the mean latency over the upstreams of a region that have answered, or 0 if none
+// has.
 func (b *Balancer) Latency(region string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -25,7 +25,7 @@
 	return sum / time.Duration(n)
 }
 
-// LastReport returns when an upstream of a region last reported its load, or the zero
+// LastReport returns the time of the last load report of any upstream of a region, or the zero
 // time.
 func (b *Balancer) LastReport(region string) time.Time {
 	b.mu.Lock()
@@ -39,7 +39,7 @@
 	return last
 }
 
-// SelfDraining returns the ids of the upstreams that said that they drain.
+// SelfDraining returns the ids of the upstreams that have announced that they drain.
 func (b *Balancer) SelfDraining(now time.Time) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -52,7 +52,7 @@
 	return ids
 }
 
-// InFlight returns the own requests in flight at a region's upstreams.
+// InFlight returns the number of this entry's requests in flight at a region's upstreams.
 func (b *Balancer) InFlight(region string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -71,7 +71,7 @@
 	Draining bool          `json:"draining"`
 }
 
-// Dump returns the state of all upstreams.
+// Dump returns the state of all upstreams, in no particular order.
 func (b *Balancer) Dump(now time.Time) []Status {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/balance/subset.go
+++ b/internal/balance/subset.go
@@ -7,10 +7,10 @@
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
-// Subset divides a service's upstreams in a region evenly among the region's
-// entries and returns those of one entry. All entries work out the same from the
-// same members; while they disagree two may own an upstream, which costs no more
-// than a shed.
+// Subset divides a service's upstreams in a region evenly among the region's entries and returns
+// the ids of those assigned to self. All entries compute the same division from the same list of
+// entries. While their lists differ, two entries may use the same upstream first; the worst effect
+// is that it sheds a request.
 func Subset(upstreams []model.Upstream, region, self string, entries []string) map[string]bool {
 	var ids []string
 	for _, u := range upstreams {
