--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -1,5 +1,5 @@
-// Package admit decides whether a request is taken, waits for a slot, or gets
-// its final answer at once.
+// Package admit implements admission control: it decides whether a request is accepted, may wait
+// for a slot, or is refused at once. It also holds the queue of waiting requests.
 package admit
 
 import (
@@ -8,158 +8,161 @@
 	"time"
 )
 
-// Reason says why a request is not taken.
+// Reason says why a request is refused.
 type Reason string
 
 // The reasons.
 const (
-	// ReasonDeadline means that the request could not be answered in time.
+	// ReasonDeadline means that the request could not be answered before its deadline.
 	ReasonDeadline Reason = "deadline"
-	// ReasonQueueFull means that too many requests wait already.
+	// ReasonQueueFull means that too many requests are waiting already.
 	ReasonQueueFull Reason = "queue-full"
-	// ReasonPriority means that the entry keeps its room for more urgent services.
+	// ReasonPriority means that the entry reserves its remaining capacity for requests of higher
+	// priority.
 	ReasonPriority Reason = "low-priority"
 )
 
 const (
-	// minRetry and maxRetry bound the advice to a refused caller.
-	minRetry = 100 * time.Millisecond
-	maxRetry = 30 * time.Second
-	// topPriority is the highest priority of a service.
+	// minRetryAfter and maxRetryAfter bound the time after which a refused caller is told to retry.
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 30 * time.Second
+	// topPriority is the highest priority.
 	topPriority = 9
-	// reservedShare is the part of an entry's room that the lowest priority
-	// leaves to the others.
-	reservedShare = 0.3
+	// maxReservedShare is the share of an entry's capacity that requests of the lowest priority may
+	// not use.
+	maxReservedShare = 0.3
 )
 
-// Input is what is known when a request asks to be taken.
+// Input is the state on which the admission of a request is decided.
 type Input struct {
 	Now      time.Time
 	Deadline time.Time
-	// ExpectedLatency is how long the answer is likely to take once sent, 0 if unknown.
+	// ExpectedLatency is the expected time until the answer once the request is sent, 0 if unknown.
 	ExpectedLatency time.Duration
-	// Queued is the number of requests in the service's queue, QueueLimit how many
-	// may be.
+	// Queued is the number of requests in the service's queue, QueueLimit the largest number
+	// allowed.
 	Queued, QueueLimit int
-	// MaxWait is the longest wait for a slot.
+	// MaxWait is the longest time that the request may wait for a slot.
 	MaxWait time.Duration
-	// InFlight is the number of requests in the entry, Capacity how many it has room
-	// for.
+	// InFlight is the number of requests in the entry, Capacity the largest number allowed.
 	InFlight, Capacity int
-	// Priority is that of the service, from 0 to 9.
+	// Priority is the priority of the request, from 0 to 9 (highest).
 	Priority int
 }
 
-// Decision is the answer to a request that asks to be taken.
+// Decision is the result of Decide.
 type Decision struct {
-	// Reason is empty if the request is taken.
+	// Reason is empty if the request is accepted.
 	Reason Reason
-	// WaitUntil is until when the request may wait for a slot.
+	// WaitUntil is the time until which an accepted request may wait for a slot.
 	WaitUntil time.Time
-	// RetryAfter is when a refused caller should come back.
+	// RetryAfter is the time after which a refused caller should retry.
 	RetryAfter time.Duration
 }
 
-// Decide takes or refuses a request.
+// Decide accepts or refuses a request.
 func Decide(in Input) Decision {
 	latest := in.Deadline.Add(-in.ExpectedLatency)
 	if latest.Before(in.Now) {
 		return refuse(in, ReasonDeadline)
 	}
-	if in.InFlight >= roomFor(in.Priority, in.Capacity) {
+	if in.InFlight >= capacityFor(in.Priority, in.Capacity) {
 		return refuse(in, ReasonPriority)
 	}
 	if in.Queued > in.QueueLimit {
 		return refuse(in, ReasonQueueFull)
 	}
-	giveUp := in.Now.Add(in.MaxWait)
-	if latest.Before(giveUp) {
-		giveUp = latest
+	waitUntil := in.Now.Add(in.MaxWait)
+	if latest.Before(waitUntil) {
+		waitUntil = latest
 	}
-	return Decision{WaitUntil: giveUp}
+	return Decision{WaitUntil: waitUntil}
 }
 
-// PriorityOf returns the priority of a request by its rank, of which 0 is the most urgent.
+// PriorityOf returns the priority of a request by its rank, where rank 0 is the most urgent.
 func PriorityOf(rank int) int { return max(0, topPriority-rank) }
 
-// roomFor is how full the entry may be for a request of a priority to be taken.
-func roomFor(priority, room int) int {
-	kept := reservedShare * float64(topPriority-priority) / topPriority
-	return int(float64(room) * (1 - kept))
+// capacityFor returns the number of requests in the entry from which a request of a priority is
+// refused.
+func capacityFor(priority, capacity int) int {
+	reserved := maxReservedShare * float64(topPriority-priority) / topPriority
+	return int(float64(capacity) * (1 - reserved))
 }
 
 func refuse(in Input, r Reason) Decision {
 	return Decision{Reason: r, RetryAfter: RetryAfter(in.Queued, in.ExpectedLatency)}
 }
 
-// RetryAfter is the advice to a caller who was refused while others wait.
+// RetryAfter returns the time after which a refused caller should retry: the expected time for the
+// waiting requests to be answered one after the other, within fixed bounds.
 func RetryAfter(waiting int, expected time.Duration) time.Duration {
-	return min(max(time.Duration(waiting+1)*expected, minRetry), maxRetry)
+	return min(max(time.Duration(waiting+1)*expected, minRetryAfter), maxRetryAfter)
 }
 
-// Queue lets requests wait for a slot in the order of their coming. It is safe
-// for concurrent use.
+// Queue is a FIFO queue of requests that wait for a slot. It is safe for concurrent use.
 type Queue struct {
 	mu      sync.Mutex
 	waiters list.List
 }
 
-// Waiter is a place in a Queue.
+// Waiter is the position of one request in a Queue.
 type Waiter struct {
-	ready chan struct{}
-	at    *list.Element
+	ready   chan struct{}
+	element *list.Element
 }
 
-// Ready receives a value when it is the ticket's turn to look for a slot.
-func (t *Waiter) Ready() <-chan struct{} { return t.ready }
+// Ready returns the channel that receives a value when it is the waiter's turn to try to get a
+// slot.
+func (w *Waiter) Ready() <-chan struct{} { return w.ready }
 
-// DiscardTurn gives the present turn up, if it is the ticket's.
-func (t *Waiter) DiscardTurn() {
+// DiscardTurn discards the waiter's current turn, if it has one.
+func (w *Waiter) DiscardTurn() {
 	select {
-	case <-t.ready:
+	case <-w.ready:
 	default:
 	}
 }
 
-// Len returns how many wait.
+// Len returns the number of waiting requests.
 func (q *Queue) Len() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.waiters.Len()
 }
 
-// Enqueue takes the last place, or reports false if limit wait already.
+// Enqueue adds a waiter at the end of the queue, or returns false if limit requests are waiting
+// already. The first waiter gets a turn at once.
 func (q *Queue) Enqueue(limit int) (*Waiter, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.waiters.Len() >= limit {
 		return nil, false
 	}
-	t := &Waiter{ready: make(chan struct{}, 1)}
-	t.at = q.waiters.PushBack(t)
+	w := &Waiter{ready: make(chan struct{}, 1)}
+	w.element = q.waiters.PushBack(w)
 	if q.waiters.Len() == 1 {
-		q.wake()
+		q.wakeFirst()
 	}
-	return t, true
+	return w, true
 }
 
-// Remove gives a place up and gives the next in the queue a turn.
-func (q *Queue) Remove(t *Waiter) {
+// Remove removes a waiter and gives the first of the remaining ones a turn.
+func (q *Queue) Remove(w *Waiter) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.waiters.Remove(t.at)
-	q.wake()
+	q.waiters.Remove(w.element)
+	q.wakeFirst()
 }
 
-// Wake gives the first in the queue a turn. It is called when a slot may have
-// become free.
+// Wake gives the first waiter a turn. It is called when a slot may have become free.
 func (q *Queue) Wake() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.wake()
+	q.wakeFirst()
 }
 
-func (q *Queue) wake() {
+// wakeFirst gives the first waiter a turn. The caller must hold q.mu.
+func (q *Queue) wakeFirst() {
 	front := q.waiters.Front()
 	if front == nil {
 		return
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -13,15 +13,15 @@
 		name   string
 		change func(in *Input)
 		reason Reason
-		giveUp time.Duration
+		wait   time.Duration
 	}{
-		{"taken", func(*Input) {}, "", 50 * time.Millisecond},
-		{"too late to be answered", func(in *Input) { in.ExpectedLatency = 2 * time.Second }, ReasonDeadline, 0},
-		{"waits no longer than helps", func(in *Input) { in.ExpectedLatency = 970 * time.Millisecond }, "", 30 * time.Millisecond},
+		{"accepted", func(*Input) {}, "", 50 * time.Millisecond},
+		{"expected latency exceeds deadline", func(in *Input) { in.ExpectedLatency = 2 * time.Second }, ReasonDeadline, 0},
+		{"wait is bounded by the deadline", func(in *Input) { in.ExpectedLatency = 970 * time.Millisecond }, "", 30 * time.Millisecond},
 		{"queue full", func(in *Input) { in.Queued = 5 }, ReasonQueueFull, 0},
-		{"room left for the urgent", func(in *Input) { in.InFlight, in.Priority = 75, 0 }, ReasonPriority, 0},
-		{"the urgent gets it", func(in *Input) { in.InFlight, in.Priority = 75, 9 }, "", 50 * time.Millisecond},
-		{"no room at all", func(in *Input) { in.InFlight, in.Priority = 100, 9 }, ReasonPriority, 0},
+		{"reserved capacity, lowest priority", func(in *Input) { in.InFlight, in.Priority = 75, 0 }, ReasonPriority, 0},
+		{"reserved capacity, highest priority", func(in *Input) { in.InFlight, in.Priority = 75, 9 }, "", 50 * time.Millisecond},
+		{"no capacity left", func(in *Input) { in.InFlight, in.Priority = 100, 9 }, ReasonPriority, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -31,45 +31,45 @@
 			if d.Reason != tt.reason {
 				t.Fatalf("reason %q, want %q", d.Reason, tt.reason)
 			}
-			if d.Reason == "" && d.WaitUntil.Sub(t0) != tt.giveUp {
-				t.Errorf("gives up after %v, want %v", d.WaitUntil.Sub(t0), tt.giveUp)
+			if d.Reason == "" && d.WaitUntil.Sub(t0) != tt.wait {
+				t.Errorf("waits for %v, want %v", d.WaitUntil.Sub(t0), tt.wait)
 			}
-			if d.Reason != "" && d.RetryAfter < minRetry {
-				t.Errorf("advice %v", d.RetryAfter)
+			if d.Reason != "" && d.RetryAfter < minRetryAfter {
+				t.Errorf("RetryAfter is %v, below the minimum", d.RetryAfter)
 			}
 		})
 	}
 }
 
-func ready(t *Waiter) bool {
+func hasTurn(w *Waiter) bool {
 	select {
-	case <-t.Ready():
+	case <-w.Ready():
 		return true
 	default:
 		return false
 	}
 }
 
-func TestQueueIsInOrder(t *testing.T) {
+func TestQueueOrder(t *testing.T) {
 	var q Queue
 	a, _ := q.Enqueue(2)
 	b, _ := q.Enqueue(2)
 	if _, ok := q.Enqueue(2); ok {
-		t.Error("a third joined a queue of two")
+		t.Error("a third waiter was added with a limit of two")
 	}
-	if !ready(a) || ready(b) {
-		t.Error("the first has the turn, and only the first")
+	if !hasTurn(a) || hasTurn(b) {
+		t.Error("the first waiter, and only it, must have the turn")
 	}
 	q.Wake()
-	if !ready(a) || ready(b) {
-		t.Error("a freed slot is the first one's")
+	if !hasTurn(a) || hasTurn(b) {
+		t.Error("after Wake the first waiter, and only it, must have the turn")
 	}
 	q.Remove(a)
-	if !ready(b) {
-		t.Error("the next has the turn when the first leaves")
+	if !hasTurn(b) {
+		t.Error("the next waiter must have the turn after the first is removed")
 	}
 	q.Remove(b)
 	if q.Len() != 0 {
-		t.Errorf("%d still wait", q.Len())
+		t.Errorf("%d waiters left, want 0", q.Len())
 	}
 }
--- a/internal/admit/retry.go
+++ b/internal/admit/retry.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// returnedBelow is the part of the usual time below which a caller has evidently
-// spent some of it on an earlier try.
-const returnedBelow = 0.98
+// retryBelow is the share of the longest observed wait below which a caller must have spent some of
+// its time on an earlier attempt.
+const retryBelow = 0.98
 
-// RetryDetector knows how long the callers of each class of requests usually wait, and
-// so tells a first try from one that comes back after a refusal: the latter has
-// less time left. It is safe for concurrent use.
+// RetryDetector distinguishes retries from first attempts. It records the longest time that callers
+// of each class of requests are willing to wait; a caller that retries after a refusal has less
+// time left. It is safe for concurrent use.
 type RetryDetector struct {
-	mu      sync.Mutex
-	longest map[string]time.Duration
+	mu          sync.Mutex
+	longestWait map[string]time.Duration
 }
 
-// NewRetryDetector returns a Patience that knows no class.
+// NewRetryDetector returns a RetryDetector without observations.
 func NewRetryDetector() *RetryDetector {
-	return &RetryDetector{longest: make(map[string]time.Duration)}
+	return &RetryDetector{longestWait: make(map[string]time.Duration)}
 }
 
-// IsRetry takes in how long the caller of a request waits, and reports whether
-// the request has been tried before. One whose caller does not say has not.
-func (p *RetryDetector) IsRetry(class string, left time.Duration) bool {
+// IsRetry records the time that a caller has left, and reports whether the request is a retry. It
+// reports false if left is not positive, which means that the caller has not given a time.
+func (d *RetryDetector) IsRetry(class string, left time.Duration) bool {
 	if left <= 0 {
 		return false
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	longest := p.longest[class]
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	longest := d.longestWait[class]
 	if left > longest {
-		p.longest[class] = left
+		d.longestWait[class] = left
 		return false
 	}
-	return float64(left) < returnedBelow*float64(longest)
+	return float64(left) < retryBelow*float64(longest)
 }
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait has the pause between the rounds of a loop.
+// Package wait provides the pause between iterations of a loop.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d. It reports false if ctx ended before.
+// For waits for d. It returns false if ctx ends first.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/wait/wait_test.go
+++ b/internal/wait/wait_test.go
@@ -12,10 +12,10 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
 		if !For(ctx, time.Second) {
-			t.Error("a wait that was not ended reports so")
+			t.Error("For returned false although the context had not ended")
 		}
 		if For(ctx, time.Hour) {
-			t.Error("a wait that was ended reports that it was not")
+			t.Error("For returned true although the context had ended")
 		}
 	})
 }
