--- a/internal/balance/affinity.go
+++ b/internal/balance/affinity.go
@@ -80,8 +80,9 @@
 	return c, nil
 }
 
-// replicasFor returns the candidates for an object in the object's order, at most as many as
-// replicas. A request without affinity gets all usable upstreams.
+// replicasFor returns the candidates for an object, at most as many as replicas: in the object's
+// order, but cold and rate-limited upstreams last. A request without affinity gets all usable
+// upstreams.
 func (b *Balancer) replicasFor(now time.Time, req ObjectRequest) []candidate {
 	t := b.classStats(req.Class)
 	switch {
--- a/internal/balance/health.go
+++ b/internal/balance/health.go
@@ -72,7 +72,7 @@
 }
 
 // recordResult updates the failures, latency and ejection of an upstream with the result of a
-// request that took took.
+// request and its duration.
 func (b *Balancer) recordResult(u *upstreamState, now time.Time, took time.Duration, r Result) {
 	switch r {
 	case OK:
--- a/internal/balance/placement.go
+++ b/internal/balance/placement.go
@@ -60,7 +60,7 @@
 // outliers are left out, unless they are the majority: then this entry is more likely the one that
 // is cut off. The result is valid until the next call.
 func (b *Balancer) usableCandidates(now time.Time, req ObjectRequest) []candidate {
-	all, answering := b.scratch.all[:0], b.scratch.responsive[:0]
+	all, responsive := b.scratch.all[:0], b.scratch.responsive[:0]
 	for _, u := range b.upstreams {
 		if !b.usable(u, now, req) {
 			continue
@@ -68,12 +68,12 @@
 		c := candidate{state: u, score: score(req.Object, u)}
 		all = append(all, c)
 		if !b.unresponsive(u, now) && !u.isOutlier(now) {
-			answering = append(answering, c)
+			responsive = append(responsive, c)
 		}
 	}
-	b.scratch.all, b.scratch.responsive = all, answering
-	if float64(len(all)-len(answering)) <= maxEjectionShare*float64(len(all)) {
-		return answering
+	b.scratch.all, b.scratch.responsive = all, responsive
+	if float64(len(all)-len(responsive)) <= maxEjectionShare*float64(len(all)) {
+		return responsive
 	}
 	return all
 }
