--- a/internal/balance/peers.go
+++ b/internal/balance/peers.go
@@ -12,10 +12,10 @@
 // entries. Reports about an earlier incarnation are thereby not applied to the current one.
 func IncarnationKey(u *model.Upstream) uint32 {
 	id := xxhash.Sum64String(u.ID)
-	if u.Born == 0 {
+	if u.StartedAt == 0 {
 		return uint32(id)
 	}
-	return uint32(mix(id ^ uint64(u.Born)))
+	return uint32(mix(id ^ uint64(u.StartedAt)))
 }
 
 // EntryFilter selects the entries whose requests and outcomes are counted.
--- a/internal/balance/ratelimit.go
+++ b/internal/balance/ratelimit.go
@@ -74,7 +74,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	u := c.state
-	if u.restarted || u.removed || !u.limit.Answered(ratelimit.Round(r.PerSecond), c.PickedAt, now) {
+	if u.restarted || u.removed || !u.limit.Observe(ratelimit.Round(r.PerSecond), c.PickedAt, now) {
 		return false
 	}
 	b.applyLimit(u, now)
@@ -95,7 +95,7 @@
 		}
 		u.bucket.SetRate(u.limit.PerSecond(), now)
 		u.bucket.SetSenders(b.self, b.limitSenders(u), now)
-		u.bucket.Empty(now)
+		u.bucket.DiscardTokens(now)
 		b.limitedCount.Add(1)
 	case limited:
 		u.bucket.SetRate(u.limit.PerSecond(), now)
@@ -188,7 +188,7 @@
 	case c.state.bucket == nil:
 		return 0
 	case c.spills:
-		return c.state.bucket.WaitSpare(now)
+		return c.state.bucket.WaitFull(now)
 	}
 	return c.state.bucket.Wait(now)
 }
@@ -217,7 +217,7 @@
 		// This entry is no sender of any candidate; other entries use the limits.
 		return ErrNoSlot
 	}
-	return &LimitError{Upstream: first.ID, PerSecond: first.limit.PerSecond(), RetryAfter: first.bucket.Reserve(least, now)}
+	return &LimitError{Upstream: first.ID, PerSecond: first.limit.PerSecond(), RetryAfter: first.bucket.RetryAfter(least, now)}
 }
 
 // UpdateScope selects the limits for which updates are sent.
@@ -247,9 +247,9 @@
 		}
 		n := LimitUpdate{Upstream: u.incarnationKey, PerSecond: u.limit.PerSecond(), Version: u.limit.Version(), Changed: u.limitUnsent}
 		u.unsent, u.limitUnsent = false, false
-		if u.bucket != nil && u.bucket.Sender() {
+		if u.bucket != nil && u.bucket.IsSender() {
 			n.Sent = u.bucket.Sent()
-			u.bucket.Peers(func(id string) { n.Senders = append(n.Senders, id) })
+			u.bucket.VisitPeers(func(id string) { n.Senders = append(n.Senders, id) })
 		}
 		visit(n)
 	}
@@ -272,8 +272,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, u := range b.upstreams {
-		if u.bucket != nil && u.bucket.Sender() {
-			u.bucket.Peers(visit)
+		if u.bucket != nil && u.bucket.IsSender() {
+			u.bucket.VisitPeers(visit)
 		}
 	}
 }
@@ -291,7 +291,7 @@
 		if n, ok := byKey[u.incarnationKey]; ok {
 			b.applyPeerLimit(u, now, peer, incarnation, n)
 		} else if u.bucket != nil {
-			u.bucket.Alive(peer, now)
+			u.bucket.MarkPeerAlive(peer, now)
 		}
 	}
 }
@@ -299,14 +299,14 @@
 // applyPeerLimit applies a peer's update for one upstream.
 func (b *Balancer) applyPeerLimit(u *upstreamState, now time.Time, peer string, incarnation uint64, n LimitUpdate) {
 	switch u.limit.Merge(n.PerSecond, n.Version, now) {
-	case ratelimit.Newer:
+	case ratelimit.MergeAdopted:
 		b.applyLimit(u, now)
-	case ratelimit.Older:
+	case ratelimit.MergeStale:
 		// The peer lacks the newer value, so it is sent again.
 		b.announceLimit(u, now)
 	}
 	if u.bucket != nil {
-		u.bucket.Heard(peer, incarnation, n.Sent, now)
+		u.bucket.RecordPeerSent(peer, incarnation, n.Sent, now)
 	}
 }
 
@@ -332,7 +332,7 @@
 		if u.bucket == nil || len(out) == n {
 			continue
 		}
-		out = append(out, LimitStatus{u.ID, u.limit.PerSecond(), u.limit.Version(), u.bucket.Level(now), u.bucket.Sender(), u.bucket.Sent()})
+		out = append(out, LimitStatus{u.ID, u.limit.PerSecond(), u.limit.Version(), u.bucket.Level(now), u.bucket.IsSender(), u.bucket.Sent()})
 	}
 	return out
 }
--- a/internal/balance/restart_test.go
+++ b/internal/balance/restart_test.go
@@ -10,7 +10,7 @@
 // stateWithBorn returns the state of a service with one upstream that started at born.
 func stateWithBorn(born int64) ServiceState {
 	return ServiceState{
-		Service:  &model.Service{Warmup: 3 * time.Second, Upstreams: []model.Upstream{{ID: "u1", Region: "m", Domain: "m1", Address: "10.0.0.1:80", Slots: 4, Born: born}}},
+		Service:  &model.Service{Warmup: 3 * time.Second, Upstreams: []model.Upstream{{ID: "u1", Region: "m", Domain: "m1", Address: "10.0.0.1:80", Slots: 4, StartedAt: born}}},
 		Draining: func(*model.Upstream, time.Time) bool { return false },
 		Self:     "e1", Region: "m", Domain: "m1",
 		Entries: []model.Member{{ID: "e1", Region: "m", Domain: "m1"}},
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -25,7 +25,7 @@
 
 // Entry carries requests and counts how they end.
 type Entry struct {
-	Carrier *forward.Carrier
+	Carrier *forward.Proxy
 	book    *share.Book
 	leaving atomic.Bool
 	mu      sync.Mutex
@@ -47,7 +47,7 @@
 	e := &Entry{book: share.NewBook(), byEnd: make(map[end]int64), latency: make(map[string]*metrics.Latency),
 		lines: logs.NewLimiter(linesPerSecond, lineBurst), routine: logs.NewLimiter(routinePerSecond, routineBurst)}
 	opt.Observe, opt.NewID = e.observe, newID
-	opt.Book, opt.Boot = e.book, bootclock.Now
+	opt.CapShares, opt.BootClock = e.book, bootclock.Now
 	e.Carrier = forward.New(opt)
 	return e
 }
@@ -68,7 +68,7 @@
 		e.latency[o.Service] = l
 	}
 	e.mu.Unlock()
-	l.Record(uint32(o.Took), o.Took)
+	l.Record(uint32(o.Duration), o.Duration)
 	e.log(o)
 }
 
@@ -99,9 +99,9 @@
 		return
 	}
 	klog.InfoS("request", "kind", k, "id", o.ID, "organisation", o.Organisation, "service", o.Service, "route", o.Route, "version", o.Version,
-		"status", o.Status, "verdict", o.Verdict, "reason", o.Reason, "detail", o.Detail, "took", o.Took, "attempts", o.Attempts,
+		"status", o.Status, "verdict", o.Verdict, "reason", o.Reason, "detail", o.Detail, "took", o.Duration, "attempts", o.Attempts,
 		"upstream", o.Choice.ID, "region", o.Choice.Region, "rank", o.Choice.Rank, "warm", o.Choice.Warm,
-		"ahead", o.Choice.Outstanding, "expected", o.Choice.ExpectedLatency, "load", o.Told.Load, "waiting", o.Told.Waiting, "left_out", left)
+		"ahead", o.Choice.Outstanding, "expected", o.Choice.ExpectedLatency, "load", o.Response.Load, "waiting", o.Response.Waiting, "left_out", left)
 }
 
 // kindSecondReplica are requests that another than the first upstream of their object
@@ -121,7 +121,7 @@
 		return "failed"
 	case o.Attempts > 1:
 		return "retried"
-	case o.Objective > 0 && o.Took > o.Objective:
+	case o.Objective > 0 && o.Duration > o.Objective:
 		return "late"
 	case o.Choice.Rank > 0:
 		return kindSecondReplica
--- a/internal/forward/broken.go
+++ b/internal/forward/poison.go
@@ -32,8 +32,8 @@
 // begin decides whether a request may go to upstreams, by what ended under the same
 // request before, here or at other entries. Refused at once, it costs no upstream. The
 // body is looked at only if something is known of a request that is like it otherwise.
-func (c *Carrier) begin(ctx context.Context, cl *call) *verdict.Error {
-	if !c.poison.Known(cl.head) {
+func (c *Proxy) begin(ctx context.Context, cl *call) *verdict.Error {
+	if !c.poison.HasRecord(cl.head) {
 		return nil
 	}
 	keys, ok := cl.keys(ctx)
@@ -45,14 +45,14 @@
 	}
 	d := c.poison.Begin(c.now(), keys)
 	if d.Held {
-		return verdict.New(verdict.NotRun, reasonPoison, nil).After(d.RetryAfter)
+		return verdict.New(verdict.NotRun, reasonPoison, nil).WithRetryAfter(d.RetryAfter)
 	}
 	cl.counted = &keys
 	return nil
 }
 
 // end counts a request as under way no longer.
-func (c *Carrier) end(cl *call) {
+func (c *Proxy) end(cl *call) {
 	if cl.counted != nil {
 		c.poison.End(*cl.counted)
 	}
@@ -62,7 +62,7 @@
 // whether the request must not be sent on. After two ends it may be: behind a link that
 // cuts all answers of a region, the third upstream, of another region, serves it. The line
 // tells what the request is, by the keys, whatever id its tries have.
-func (c *Carrier) noteBroken(ctx context.Context, cl *call, to balance.Choice, err *verdict.Error) bool {
+func (c *Proxy) noteBroken(ctx context.Context, cl *call, to balance.Choice, err *verdict.Error) bool {
 	if err.Reason != reasonBroken || err.Verdict != verdict.MayHaveRun || !closedByPeer(err) {
 		return false
 	}
@@ -74,10 +74,10 @@
 		return false
 	}
 	now := c.now()
-	d := c.poison.Broke(now, cl.head, keys, balance.IncarnationKey(&to.Upstream))
+	d := c.poison.RecordCrash(now, cl.head, keys, balance.IncarnationKey(&to.Upstream))
 	if left, allowed := brokenLines.Allow(now, "broken"); allowed {
-		klog.InfoS("upstream broke off", "request", cl.ID, "key", uint64(keys.Anyone), "caller_key", uint64(keys.Caller),
-			"upstream", to.ID, "born", to.Born, "under_way", now.Sub(to.PickedAt), "suspect", d.Suspect, "held", d.Held, "err", err, "left_out", left)
+		klog.InfoS("upstream broke off", "request", cl.ID, "key", uint64(keys.AnyCaller), "caller_key", uint64(keys.Caller),
+			"upstream", to.ID, "born", to.StartedAt, "under_way", now.Sub(to.PickedAt), "suspect", d.Suspect, "held", d.Held, "err", err, "left_out", left)
 	}
 	return d.Held
 }
@@ -95,18 +95,18 @@
 }
 
 // noteAlive records that an upstream answered anything.
-func (c *Carrier) noteAlive(from balance.Choice, ans *answer) {
-	if ans == nil || ans.told.NotRun == ReasonReplaced {
+func (c *Proxy) noteAlive(from balance.Choice, ans *answer) {
+	if ans == nil || ans.told.NotRunReason == ReasonReplaced {
 		return
 	}
-	c.poison.Alive(c.now(), balance.IncarnationKey(&from.Upstream), from.PickedAt)
+	c.poison.RecordAlive(c.now(), balance.IncarnationKey(&from.Upstream), from.PickedAt)
 }
 
 // noteAnswered records that an upstream answered the request whole. An answer that came
 // before the body's beginning says nothing of the body.
-func (c *Carrier) noteAnswered(cl *call) {
+func (c *Proxy) noteAnswered(cl *call) {
 	prefix, whole := cl.body.begun()
 	if whole || cl.body.length < 0 && len(prefix) > 0 {
-		c.poison.Answered(c.now(), cl.head.WithBody(prefix))
+		c.poison.RecordResponse(c.now(), cl.head.WithBody(prefix))
 	}
 }
