--- a/internal/balance/restart_test.go
+++ b/internal/balance/restart_test.go
@@ -7,10 +7,10 @@
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
-// stateWithBorn returns the state of a service with one upstream that started at born.
-func stateWithBorn(born int64) ServiceState {
+// stateStartedAt returns the state of a service with one upstream that started at startedAt.
+func stateStartedAt(startedAt int64) ServiceState {
 	return ServiceState{
-		Service:  &model.Service{Warmup: 3 * time.Second, Upstreams: []model.Upstream{{ID: "u1", Region: "m", Domain: "m1", Address: "10.0.0.1:80", Slots: 4, StartedAt: born}}},
+		Service:  &model.Service{Warmup: 3 * time.Second, Upstreams: []model.Upstream{{ID: "u1", Region: "m", Domain: "m1", Address: "10.0.0.1:80", Slots: 4, StartedAt: startedAt}}},
 		Draining: func(*model.Upstream, time.Time) bool { return false },
 		Self:     "e1", Region: "m", Domain: "m1",
 		Entries: []model.Member{{ID: "e1", Region: "m", Domain: "m1"}},
@@ -22,14 +22,14 @@
 func TestRestartUnderTheSameID(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	lb := NewBalancer()
-	lb.Update(stateWithBorn(1000), now)
+	lb.Update(stateStartedAt(1000), now)
 	req := ObjectRequest{Object: 7, Class: "c", Objective: time.Second}
 	warmed, err := lb.PickObject(now, req)
 	if err != nil {
 		t.Fatal(err)
 	}
 	lb.Done(now.Add(time.Second), warmed, DoneInfo{Result: OK, Load: -1, Draining: true})
-	lb.Update(stateWithBorn(1000), now)
+	lb.Update(stateStartedAt(1000), now)
 	if _, err := lb.PickObject(now.Add(time.Second), req); err == nil {
 		t.Fatal("an upstream that announced that it drains was picked")
 	}
@@ -42,7 +42,7 @@
 	earlier.setPeerRequests("e2", 3)
 
 	now = now.Add(2 * time.Second)
-	if got := lb.Update(stateWithBorn(2000), now); len(got) != 1 || got[0] != "10.0.0.1:80" {
+	if got := lb.Update(stateStartedAt(2000), now); len(got) != 1 || got[0] != "10.0.0.1:80" {
 		t.Errorf("restarted: %v", got)
 	}
 	c, err := lb.PickObject(now, req)
@@ -73,9 +73,9 @@
 func TestRestartWithoutStartTime(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	lb := NewBalancer()
-	for _, born := range []int64{1000, 0, 2000} {
-		if got := lb.Update(stateWithBorn(born), now); got != nil {
-			t.Errorf("born %d: restarted %v", born, got)
+	for _, startedAt := range []int64{1000, 0, 2000} {
+		if got := lb.Update(stateStartedAt(startedAt), now); got != nil {
+			t.Errorf("startedAt %d: restarted %v", startedAt, got)
 		}
 	}
 }
