--- a/internal/balance/ratelimit_test.go
+++ b/internal/balance/ratelimit_test.go
@@ -340,10 +340,10 @@
 func TestLimitBelongsToOneIncarnation(t *testing.T) {
 	now := t0
 	lb := NewBalancer()
-	lb.Update(stateWithBorn(1000), now)
+	lb.Update(stateStartedAt(1000), now)
 	earlier := lb.byID["u1"]
 	announceLimit(t, lb, "u1", 0.1, now)
-	lb.Update(stateWithBorn(2000), now)
+	lb.Update(stateStartedAt(2000), now)
 	if lb.byID["u1"].limit.Limited() || lb.limitedCount.Load() != 0 {
 		t.Error("the new incarnation has a limit")
 	}
