--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -37,7 +37,7 @@
 // answer is an upstream's answer, ready to go to the caller.
 type answer struct {
 	resp *http.Response
-	told Told
+	told ResponseInfo
 	// connect is how long the connection took to be made; 0 if it was there.
 	connect time.Duration
 	// whole is the body if it has been read to its end.
@@ -48,7 +48,7 @@
 // attempt sends the call to one upstream. The error, if any, has the verdict of
 // this attempt alone; the answer is then nil, or has only what the upstream told of
 // itself as it refused.
-func (c *Carrier) attempt(ctx context.Context, r *http.Request, cl *call, to balance.Choice) (*answer, *verdict.Error) {
+func (c *Proxy) attempt(ctx context.Context, r *http.Request, cl *call, to balance.Choice) (*answer, *verdict.Error) {
 	body, ok := cl.body.attach(ctx)
 	if !ok {
 		return nil, verdict.New(verdict.NotRun, reasonBodyUsed, nil)
@@ -63,17 +63,17 @@
 	if err != nil {
 		return nil, sendError(ctx, cl, &watch, err)
 	}
-	told := c.opt.Protocol.Read(resp, &cl.Ask, cl.service)
+	told := c.opt.Protocol.ParseResponse(resp, &cl.RequestInfo, cl.service)
 	c.noteRate(cl, to, told.Rate)
-	if told.NotRun != "" {
-		e := verdict.New(verdict.NotRun, told.NotRun, fmt.Errorf("upstream answered %s", resp.Status))
+	if told.NotRunReason != "" {
+		e := verdict.New(verdict.NotRun, told.NotRunReason, fmt.Errorf("upstream answered %s", resp.Status))
 		e.RetryAfter = retryAfterOf(resp)
 		discard(resp)
 		return &answer{told: told}, e
 	}
-	if told.Broken != "" {
+	if told.InvalidReason != "" {
 		discard(resp)
-		return nil, verdict.New(verdict.MayHaveRun, told.Broken, fmt.Errorf("answer %s to request %s", resp.Status, cl.ID))
+		return nil, verdict.New(verdict.MayHaveRun, told.InvalidReason, fmt.Errorf("answer %s to request %s", resp.Status, cl.ID))
 	}
 	ans, verr := readAnswer(ctx, resp)
 	if verr == nil {
@@ -83,10 +83,10 @@
 }
 
 // request returns what goes to the upstream.
-func (c *Carrier) request(ctx context.Context, r *http.Request, cl *call, to balance.Choice, body *attemptBody) *http.Request {
+func (c *Proxy) request(ctx context.Context, r *http.Request, cl *call, to balance.Choice, body *attemptBody) *http.Request {
 	h := r.Header.Clone()
 	dropHop(h)
-	c.opt.Protocol.Mark(h, &cl.Ask, &to.Upstream, cl.deadline.Sub(c.now()))
+	c.opt.Protocol.SetRequestHeaders(h, &cl.RequestInfo, &to.Upstream, cl.deadline.Sub(c.now()))
 	if _, ok := h["User-Agent"]; !ok {
 		h.Set("User-Agent", "")
 	}
@@ -106,7 +106,7 @@
 
 // target returns the URL at an upstream, with the request's path and query to
 // the letter.
-func (c *Carrier) target(r *http.Request, to balance.Choice) *url.URL {
+func (c *Proxy) target(r *http.Request, to balance.Choice) *url.URL {
 	u := &url.URL{Scheme: c.scheme, Host: to.Address, Path: r.URL.Path, RawPath: r.URL.RawPath, RawQuery: r.URL.RawQuery}
 	if strings.HasPrefix(r.RequestURI, "/") {
 		u.Opaque = r.RequestURI
@@ -174,13 +174,13 @@
 
 // deliver sends an answer to the caller. A body that breaks off aborts the
 // caller's connection, so that it is never taken for whole.
-func (a *answer) deliver(w http.ResponseWriter, p Protocol, ask *Ask) (int64, error) {
+func (a *answer) deliver(w http.ResponseWriter, p Protocol, ask *RequestInfo) (int64, error) {
 	h := w.Header()
 	for name, values := range a.resp.Header {
 		h[name] = values
 	}
 	dropHop(h)
-	p.Pass(h, ask)
+	p.SetResponseHeaders(h, ask)
 	if a.resp.ContentLength >= 0 {
 		h.Set("Content-Length", strconv.FormatInt(a.resp.ContentLength, 10))
 	}
--- a/internal/forward/serve.go
+++ b/internal/forward/serve.go
@@ -28,11 +28,11 @@
 )
 
 // serve runs attempts until one is answered or none may follow.
-func (c *Carrier) serve(ctx context.Context, w http.ResponseWriter, r *http.Request, snap *model.Snapshot, cl *call, out *Outcome) {
+func (c *Proxy) serve(ctx context.Context, w http.ResponseWriter, r *http.Request, snap *model.Snapshot, cl *call, out *Outcome) {
 	l := c.lane(cl.service.Name)
 	regions := c.regions(snap, cl, l)
 	if cl.service.Routed {
-		l.budget.Earn(cl.service.RetryBudget)
+		l.budget.Deposit(cl.service.RetryBudget)
 	}
 	var last *verdict.Error
 	sheds, patient := 0, false
@@ -54,7 +54,7 @@
 		if err != nil && err.Reason == ReasonShed && !cl.service.Routed && sheds < maxSheds {
 			sheds++
 			last = err
-			patient = !l.sheds.Take()
+			patient = !l.sheds.TryWithdraw()
 			c.done(l, choice, reportFor(ans, err))
 			continue
 		}
@@ -87,14 +87,14 @@
 
 // mayRetry decides whether a failed attempt is followed by another: only by its
 // verdict, within the attempts, the deadline and the budget.
-func (c *Carrier) mayRetry(ctx context.Context, cl *call, l *lane, err *verdict.Error, attempts int) bool {
+func (c *Proxy) mayRetry(ctx context.Context, cl *call, l *lane, err *verdict.Error, attempts int) bool {
 	if ctx.Err() != nil || attempts >= cl.attempts {
 		return false
 	}
 	if err.Verdict != verdict.NotRun && !cl.Safe {
 		return false
 	}
-	return l.budget.Take()
+	return l.budget.TryWithdraw()
 }
 
 // retryableAnswer reports whether an answer to a safe request should be tried
@@ -117,8 +117,8 @@
 
 // reportFor tells the balancer how a failed attempt reflects on its upstream. The
 // answer is that of the attempt, or nil.
-func reportFor(ans *answer, err *verdict.Error) balance.Report {
-	r := balance.Report{Result: balance.Failed, Load: -1, Waiting: -1}
+func reportFor(ans *answer, err *verdict.Error) balance.DoneInfo {
+	r := balance.DoneInfo{Result: balance.Failed, Load: -1, Waiting: -1}
 	if ans != nil {
 		r.Load, r.Waiting = ans.told.Load, ans.told.Waiting
 	}
@@ -135,21 +135,21 @@
 
 // done frees an upstream's slot and gives the next in the queue a turn. It returns the
 // result as it counts.
-func (c *Carrier) done(l *lane, choice balance.Choice, r balance.Report) balance.Result {
+func (c *Proxy) done(l *lane, choice balance.Choice, r balance.DoneInfo) balance.Result {
 	result := l.group.Done(c.now(), choice, r)
 	l.queue.Wake()
 	return result
 }
 
 // deliver sends the answer and frees the slot when it has gone out whole.
-func (c *Carrier) deliver(w http.ResponseWriter, l *lane, cl *call, choice balance.Choice, a *answer, out *Outcome) {
-	report := balance.Report{Result: balance.OK, Load: a.told.Load, Waiting: a.told.Waiting, Draining: a.told.Draining, Connect: a.connect}
-	report.Errored = a.resp.StatusCode >= http.StatusInternalServerError
+func (c *Proxy) deliver(w http.ResponseWriter, l *lane, cl *call, choice balance.Choice, a *answer, out *Outcome) {
+	report := balance.DoneInfo{Result: balance.OK, Load: a.told.Load, Waiting: a.told.Waiting, Draining: a.told.Draining, ConnectTime: a.connect}
+	report.ServerError = a.resp.StatusCode >= http.StatusInternalServerError
 	report.Bytes = max(0, cl.body.length) + max(int64(len(a.whole)), a.resp.ContentLength)
 	if a.read {
 		c.done(l, choice, report)
 	}
-	_, err := a.deliver(w, c.opt.Protocol, &cl.Ask)
+	_, err := a.deliver(w, c.opt.Protocol, &cl.RequestInfo)
 	if err != nil {
 		report.Result = balance.Abandoned
 	}
@@ -159,21 +159,21 @@
 	if err == nil {
 		c.noteAnswered(cl)
 	}
-	out.Status, out.Verdict, out.Told = a.resp.StatusCode, verdict.Ran, a.told
+	out.Status, out.Verdict, out.Response = a.resp.StatusCode, verdict.Ran, a.told
 	if err != nil {
 		out.Reason = reasonBroken
 		klog.InfoS("answer broke off", "request", cl.ID, "upstream", choice.ID, "err", err)
 		panic(http.ErrAbortHandler)
 	}
 	if !cl.service.Routed {
-		l.budget.Earn(cl.service.RetryBudget)
+		l.budget.Deposit(cl.service.RetryBudget)
 	}
-	l.sheds.Earn(shedShare)
+	l.sheds.Deposit(shedShare)
 }
 
 // regions returns the regions to try, in order: the one that a move names, the
 // own, then those for overflow.
-func (c *Carrier) regions(snap *model.Snapshot, cl *call, l *lane) []string {
+func (c *Proxy) regions(snap *model.Snapshot, cl *call, l *lane) []string {
 	var moves []tree.Move
 	for _, m := range snap.Moves {
 		if m.Service == cl.service.Name && m.From == snap.Region {
@@ -189,7 +189,7 @@
 		Moves: moves,
 		Cap:   cl.service.ShiftCap,
 		Rate:  cl.service.ShiftRate,
-		Seen:  l.group.Seen,
+		Seen:  l.group.LastReport,
 	})
 	if to == "" {
 		return order
--- a/internal/forward/shed_test.go
+++ b/internal/forward/shed_test.go
@@ -9,12 +9,12 @@
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
-// Read implements Protocol: 429 is a shed, by an upstream that does not tell its load.
-func (p routed) Read(resp *http.Response, ask *Ask, svc *model.Service) Told {
+// ParseResponse implements Protocol: 429 is a shed, by an upstream that does not tell its load.
+func (p routed) ParseResponse(resp *http.Response, ask *RequestInfo, svc *model.Service) ResponseInfo {
 	if resp.StatusCode == http.StatusTooManyRequests {
-		return Told{NotRun: ReasonShed, Load: -1, Waiting: -1}
+		return ResponseInfo{NotRunReason: ReasonShed, Load: -1, Waiting: -1}
 	}
-	return p.Native.Read(resp, ask, svc)
+	return p.Native.ParseResponse(resp, ask, svc)
 }
 
 // TestIdleShedIsAskedAgain has the upstream of an object refuse requests although it
@@ -34,7 +34,7 @@
 		a, b := newFake(t), newFake(t)
 		route := &model.Route{
 			Name: "r", Attempts: tt.attempts, Timeout: time.Minute, Affinity: true,
-			Parts: []model.Part{{Service: "orders", Weight: 1}},
+			Services: []model.WeightedService{{Service: "orders", Weight: 1}},
 		}
 		e := newRouted(t, 1, route, []*fake{a, b})
 		e.send(t, http.MethodPost, "/x", "", header.RequestID, "r0")
--- a/internal/inflight/uses_hub_test.go
+++ b/internal/inflight/uses_hub_test.go
@@ -18,14 +18,14 @@
 // ledger is Limits that keep what is heard, and tell one request a second of an organisation.
 type ledger struct {
 	mu   sync.Mutex
-	told map[string]quota.Told
+	told map[string]quota.Report
 	// changed receives a value for each report.
 	changed chan struct{}
 }
 
-func (l *ledger) Limits() bool { return true }
+func (l *ledger) HasLimits() bool { return true }
 
-func (l *ledger) Uses(own bool, from func(string) bool, _ time.Time) []quota.Use {
+func (l *ledger) Usages(own bool, from func(string) bool, _ time.Time) []quota.Usage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sum := 0.0
@@ -33,36 +33,36 @@
 		sum = 1
 	}
 	for speaker, t := range l.told {
-		if from(speaker) && len(t.Uses) > 0 {
-			sum += t.Uses[0].Admitted
+		if from(speaker) && len(t.Usages) > 0 {
+			sum += t.Usages[0].Admitted
 		}
 	}
-	return []quota.Use{{Organisation: 7, Admitted: sum, Asked: sum}}
+	return []quota.Usage{{Organisation: 7, Admitted: sum, Requested: sum}}
 }
 
-func (l *ledger) Covered(from func(string) bool, _ time.Time) int {
+func (l *ledger) CoveredWeight(from func(string) bool, _ time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
 	for speaker, t := range l.told {
 		if from(speaker) {
-			n += t.Covered
+			n += t.CoveredWeight
 		}
 	}
 	return n
 }
 
-func (l *ledger) Heard(t quota.Told, _ time.Time) {
+func (l *ledger) HandleReport(t quota.Report, _ time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.told[t.Speaker] = t
+	l.told[t.Reporter] = t
 	select {
 	case l.changed <- struct{}{}:
 	default:
 	}
 }
 
-func (l *ledger) Expect(int, []quota.Source, time.Time) {}
+func (l *ledger) SetSources(int, []quota.Source, time.Time) {}
 
 // Three entries of a fleet with hubs take each other for hubs, in a ring. What they tell must
 // not grow by going round: callers of all organisations were refused for four seconds after it
@@ -74,13 +74,13 @@
 	peers := make(map[string]Peer)
 	fleet := func(self string) func() Fleet {
 		return func() Fleet {
-			f := Fleet{Carries: true}
+			f := Fleet{Advertised: true}
 			for i, id := range ids {
 				if id != self {
 					f.Peers = append(f.Peers, peers[id])
 				}
 				if id == self {
-					f.Hubs = []Peer{peers[ids[(i+1)%3]], peers[ids[(i+2)%3]], {ID: self}}
+					f.HubCandidates = []Peer{peers[ids[(i+1)%3]], peers[ids[(i+2)%3]], {ID: self}}
 				}
 			}
 			for i := range maxDirect {
@@ -90,17 +90,17 @@
 		}
 	}
 	for _, id := range ids {
-		ledgers[id] = &ledger{told: make(map[string]quota.Told), changed: make(chan struct{}, 1)}
+		ledgers[id] = &ledger{told: make(map[string]quota.Report), changed: make(chan struct{}, 1)}
 		x, err := Listen(Options{
 			Address: "127.0.0.1:0", Entry: id, Fleet: fleet(id), Limits: ledgers[id],
-			Counts: func(balance.Counted) []Count { return nil }, Doubt: func() (rest, left time.Duration) { return 0, 0 },
-			Leaving: func() bool { return false }, Heard: func(string, *Report) {}, Stranger: func(netip.AddrPort) {},
+			Counts: func(balance.EntryFilter) []Count { return nil }, MaxConnIdle: func() (rest, left time.Duration) { return 0, 0 },
+			Leaving: func() bool { return false }, OnReport: func(string, *Report) {}, OnUnknownSender: func(netip.AddrPort) {},
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 		exchanges[id] = x
-		peers[id] = Peer{ID: id, Address: x.conn.LocalAddr().(*net.UDPAddr).AddrPort(), Domain: "d", Near: true, Carries: true}
+		peers[id] = Peer{ID: id, Address: x.conn.LocalAddr().(*net.UDPAddr).AddrPort(), Domain: "d", SameRegion: true, Advertised: true}
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -109,7 +109,7 @@
 	}
 	for rounds := 0; rounds < 60; {
 		for _, l := range ledgers {
-			if all := l.Uses(true, func(string) bool { return true }, t0); all[0].Admitted > 4*float64(len(ids)) {
+			if all := l.Usages(true, func(string) bool { return true }, t0); all[0].Admitted > 4*float64(len(ids)) {
 				t.Fatalf("%.0f requests a second are known, there are %d", all[0].Admitted, len(ids))
 			}
 		}
@@ -125,7 +125,7 @@
 // An entry that was cut off from all others, and whose registrations then lapsed, is alone:
 // nothing of the limits is set aside for anybody any more.
 func TestAloneHasTheWholeLimit(t *testing.T) {
-	peers := []Peer{{ID: "b", Carries: true}}
+	peers := []Peer{{ID: "b", Advertised: true}}
 	x := &Exchange{hubs: newHubs("a"), presence: newPresence()}
 	limits := quota.NewLimiter()
 	table, err := model.NewOrganisations([]*model.Organisation{{Name: "o", Limit: model.Limit{Rate: 100, Burst: 100}}}, nil)
@@ -134,8 +134,8 @@
 	}
 	limits.Update(table, 0, t0)
 	x.opt = Options{
-		Entry: "a", Limits: limits, Fleet: func() Fleet { return Fleet{Peers: peers, Carries: true} }, Busy: func() bool { return false },
-		Counts: func(balance.Counted) []Count { return nil }, Doubt: func() (rest, left time.Duration) { return 0, 0 },
+		Entry: "a", Limits: limits, Fleet: func() Fleet { return Fleet{Peers: peers, Advertised: true} }, Busy: func() bool { return false },
+		Counts: func(balance.EntryFilter) []Count { return nil }, MaxConnIdle: func() (rest, left time.Duration) { return 0, 0 },
 		Leaving: func() bool { return false }, Claims: func(int, bool) []poison.Claim { return nil },
 	}
 	if x.conn, err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
@@ -145,7 +145,7 @@
 	missing := func(now time.Time) float64 {
 		x.send(now)
 		limits.Take("o", now)
-		return limits.Status(1, now)[0].Missing
+		return limits.Status(1, now)[0].MissingShare
 	}
 	if got := missing(t0.Add(time.Second)); got != 0.5 {
 		t.Errorf("beside one that is not heard %v of the limit is set aside", got)
--- a/test/sessions/world_test.go
+++ b/test/sessions/world_test.go
@@ -62,7 +62,7 @@
 	log       *configlog.Log
 	committer *configlog.Committer
 	regions   []string
-	entries   map[string]*forward.Carrier
+	entries   map[string]*forward.Proxy
 	books     map[string]*share.Book
 	seed      uint64
 	changes   int
@@ -76,7 +76,7 @@
 			t: t, began: time.Now(), latency: latency, regions: regions,
 			upstreams: make(map[string]*upstream), runs: make(map[string]int), cut: make(map[string]bool),
 			store: standin.NewStore(), log: configlog.NewLog(),
-			entries: make(map[string]*forward.Carrier), books: make(map[string]*share.Book),
+			entries: make(map[string]*forward.Proxy), books: make(map[string]*share.Book),
 		}
 		w.committer = configlog.NewCommitter(w.store, w.log, time.Now)
 		for _, r := range regions {
@@ -94,15 +94,15 @@
 	book := share.NewBook()
 	w.books[region] = book
 	w.entries[region] = forward.New(forward.Options{
-		Self:      "entry-" + region,
-		Room:      1000,
-		Transport: transport{w, region},
-		Now:       time.Now,
-		Rand:      func() *rand.Rand { w.seed++; return rand.New(rand.NewPCG(w.seed, 7)) },
-		Book:      book,
-		Boot:      func() int64 { return time.Now().UnixNano() },
-		NewID:     func() string { return "id" },
-		Observe:   func(forward.Outcome) {},
+		Self:        "entry-" + region,
+		MaxInFlight: 1000,
+		Transport:   transport{w, region},
+		Now:         time.Now,
+		Rand:        func() *rand.Rand { w.seed++; return rand.New(rand.NewPCG(w.seed, 7)) },
+		CapShares:   book,
+		BootClock:   func() int64 { return time.Now().UnixNano() },
+		NewID:       func() string { return "id" },
+		Observe:     func(forward.Outcome) {},
 	})
 }
 
