--- a/internal/forward/admission.go
+++ b/internal/forward/admission.go
@@ -12,59 +12,59 @@
 	"github.com/loomkeel/loomkeel/internal/verdict"
 )
 
-// recheckEvery is how often the first in the queue looks for a slot that another
-// entry's request has freed.
-const recheckEvery = 10 * time.Millisecond
+// recheckInterval is how often the first request in the queue checks for a slot that a request
+// of another entry has freed.
+const recheckInterval = 10 * time.Millisecond
 
-// take admits the call and takes a slot, waiting in the queue if it has to. A
-// patient call waits in any case until a slot may have become free.
-func (c *Proxy) take(ctx context.Context, cl *call, l *lane, regions []string, patient bool) (balance.Choice, *verdict.Error) {
+// acquire admits the call and takes an upstream's slot, waiting in the queue if necessary. If
+// mustWait is set, it waits in the queue in any case until a slot may have become free.
+func (p *Proxy) acquire(ctx context.Context, cl *call, state *serviceState, regions []string, mustWait bool) (balance.Choice, *verdict.Error) {
 	svc := cl.service
-	now := c.now()
+	now := p.now()
 	d := admit.Decide(admit.Input{
 		Now:      now,
 		Deadline: cl.deadline,
-		Expected: expected(cl, l.group, regions[0]),
-		Waiting:  l.queue.Len(),
+		Expected: minLatency(cl, state.group, regions[0]),
+		Waiting:  state.queue.Len(),
 		Limit:    svc.Queue,
-		Wait:     max(0, svc.QueueWait-now.Sub(cl.began)),
-		InFlight: int(c.inFlight.Load()),
-		Room:     c.opt.MaxInFlight,
+		Wait:     max(0, svc.QueueWait-now.Sub(cl.start)),
+		InFlight: int(p.inFlight.Load()),
+		Room:     p.opt.MaxInFlight,
 		Priority: cl.priority,
 	})
 	if d.Reason != "" {
 		return balance.Choice{}, verdict.New(verdict.NotRun, string(d.Reason), nil).WithRetryAfter(d.RetryAfter)
 	}
 	if svc.Routed {
-		return takeForObject(now, cl, l, regions[0])
+		return acquireForObject(now, cl, state, regions[0])
 	}
-	req := balance.Request{Regions: regions, Allowed: c.allowed(svc), Tried: cl.tried}
-	if l.queue.Len() == 0 && !patient {
-		choice, err := l.group.Pick(now, c.opt.Rand(), req)
+	req := balance.Request{Regions: regions, Allowed: p.allowedByCap(svc), Tried: cl.tried}
+	if state.queue.Len() == 0 && !mustWait {
+		choice, err := state.group.Pick(now, p.opt.Rand(), req)
 		if err == nil {
 			return choice, nil
 		}
 		if errors.Is(err, balance.ErrNoUpstream) {
-			return balance.Choice{}, verdict.New(verdict.NotRun, reasonNoUpstream, err).WithRetryAfter(stopRetry)
+			return balance.Choice{}, verdict.New(verdict.NotRun, reasonNoUpstream, err).WithRetryAfter(unavailableRetryAfter)
 		}
 	}
-	return c.wait(ctx, l, req, svc.Queue, d.GiveUp, patient)
+	return p.waitForSlot(ctx, state, req, svc.Queue, d.GiveUp, mustWait)
 }
 
-// expected returns how long an answer takes at the least, 0 if unknown: half of what is usual.
-// That of a request with a route is the work of its own route. By the latency of the service
-// a route of short requests, among others whose work is long, would be refused for ever, as
-// it never came to tell its own.
-func expected(cl *call, group *balance.Group, region string) time.Duration {
+// minLatency returns the shortest time that a response is expected to take, which is half the
+// usual time; 0 if unknown. For a request with a route the usual time is that of its own route.
+// With the latency of the whole service, a route of short requests in a service of long ones
+// would always be rejected, and its own latency would never be measured.
+func minLatency(cl *call, group *balance.Group, region string) time.Duration {
 	if cl.Route != nil {
 		return group.Work(cl.Route.Name) / 2
 	}
 	return group.Latency(region) / 2
 }
 
-// takeForObject picks an upstream for the call's object.
-func takeForObject(now time.Time, cl *call, l *lane, region string) (balance.Choice, *verdict.Error) {
-	choice, err := l.group.PickObject(now, cl.objectRequest())
+// acquireForObject picks an upstream for the call's object without queueing.
+func acquireForObject(now time.Time, cl *call, state *serviceState, region string) (balance.Choice, *verdict.Error) {
+	choice, err := state.group.PickObject(now, cl.objectRequest())
 	var late *balance.LateError
 	var limit *balance.LimitError
 	switch {
@@ -75,16 +75,16 @@
 	case errors.As(err, &late):
 		return balance.Choice{}, verdict.New(verdict.NotRun, reasonLate, err).WithRetryAfter(late.RetryAfter)
 	}
-	return balance.Choice{}, verdict.New(verdict.NotRun, reasonOf(err), err).WithRetryAfter(l.retryAfter(region))
+	return balance.Choice{}, verdict.New(verdict.NotRun, reasonOf(err), err).WithRetryAfter(state.retryAfter(region))
 }
 
-// Reasons of a request that no upstream can take.
+// Reasons of requests that no upstream can take.
 const (
 	reasonNoUpstream = "no-upstream"
 	reasonNoSlot     = "no-slot"
-	// reasonLate means that the answer would come too late now.
+	// reasonLate means that every upstream would currently respond too late for the objective.
 	reasonLate = "would-be-late"
-	// reasonUpstreamLimit means that the upstreams take no more requests a second.
+	// reasonUpstreamLimit means that the upstreams have reached their rate limits.
 	reasonUpstreamLimit = "upstream-limit"
 )
 
@@ -95,42 +95,42 @@
 	return reasonNoSlot
 }
 
-// newRand returns a source seeded from the process's own.
+// newRand returns a random source seeded by the global generator.
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// allowed keeps the requests in flight in a region within the own share of its
-// cap.
-func (c *Proxy) allowed(svc *model.Service) func(string, int) bool {
+// allowedByCap returns a function that reports whether another request in a region stays within
+// this entry's share of the region's in-flight cap.
+func (p *Proxy) allowedByCap(svc *model.Service) func(string, int) bool {
 	return func(region string, inFlight int) bool {
-		return !svc.Capped(region) || c.opt.CapShares.Allow(svc.Name, region, inFlight, c.opt.BootClock())
+		return !svc.Capped(region) || p.opt.CapShares.Allow(svc.Name, region, inFlight, p.opt.BootClock())
 	}
 }
 
-// wait holds a place in the queue until a slot is free or it is time to give up.
-func (c *Proxy) wait(ctx context.Context, l *lane, req balance.Request, limit int, giveUp time.Time, patient bool) (balance.Choice, *verdict.Error) {
-	t, ok := l.queue.Join(limit)
+// waitForSlot waits in the queue until a slot is free, giveUp is reached or ctx ends.
+func (p *Proxy) waitForSlot(ctx context.Context, state *serviceState, req balance.Request, limit int, giveUp time.Time, mustWait bool) (balance.Choice, *verdict.Error) {
+	ticket, ok := state.queue.Join(limit)
 	if !ok {
-		return balance.Choice{}, verdict.New(verdict.NotRun, string(admit.ReasonQueueFull), nil).WithRetryAfter(l.retryAfter(req.Regions[0]))
+		return balance.Choice{}, verdict.New(verdict.NotRun, string(admit.ReasonQueueFull), nil).WithRetryAfter(state.retryAfter(req.Regions[0]))
 	}
-	defer l.queue.Leave(t)
-	if patient {
-		t.Pass()
+	defer state.queue.Leave(ticket)
+	if mustWait {
+		ticket.Pass()
 	}
-	timer := time.NewTimer(giveUp.Sub(c.now()))
+	timer := time.NewTimer(giveUp.Sub(p.now()))
 	defer timer.Stop()
-	recheck := time.NewTicker(recheckEvery)
+	recheck := time.NewTicker(recheckInterval)
 	defer recheck.Stop()
 	for {
 		select {
 		case <-recheck.C:
-			l.queue.Wake()
-		case <-t.Ready():
-			choice, err := l.group.Pick(c.now(), c.opt.Rand(), req)
+			state.queue.Wake()
+		case <-ticket.Ready():
+			choice, err := state.group.Pick(p.now(), p.opt.Rand(), req)
 			if err == nil {
 				return choice, nil
 			}
 		case <-timer.C:
-			return balance.Choice{}, verdict.New(verdict.NotRun, reasonNoSlot, nil).WithRetryAfter(l.retryAfter(req.Regions[0]))
+			return balance.Choice{}, verdict.New(verdict.NotRun, reasonNoSlot, nil).WithRetryAfter(state.retryAfter(req.Regions[0]))
 		case <-ctx.Done():
 			return balance.Choice{}, verdict.New(verdict.NotRun, reasonCallerGone, ctx.Err())
 		}
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -16,83 +16,84 @@
 	"github.com/loomkeel/loomkeel/internal/verdict"
 )
 
-// Reasons of failed attempts.
+// Reasons of failed attempts. They are sent to callers.
 const (
-	reasonTimeout     = "timeout"
-	reasonCallerGone  = "caller-gone"
-	reasonUnreachable = "upstream-unreachable"
-	reasonBroken      = "upstream-broken"
-	reasonUnframed    = "answer-unframed"
-	reasonBodyUsed    = "body-not-repeatable"
-	// reasonCallerBody and reasonTooLarge are for bodies that the caller broke
-	// off or that are over the bound.
+	reasonTimeout       = "timeout"
+	reasonCallerGone    = "caller-gone"
+	reasonUnreachable   = "upstream-unreachable"
+	reasonBroken        = "upstream-broken"
+	reasonUnframed      = "answer-unframed"
+	reasonNotRepeatable = "body-not-repeatable"
+	// reasonCallerBody means that the caller broke off its request body, and reasonTooLarge
+	// that the body exceeds the limit.
 	reasonCallerBody = "caller-body-broken"
 	reasonTooLarge   = "body-too-large"
 )
 
-// wholeLimit is the largest answer in bytes that is read whole before the first
-// byte goes to the caller, so that a cut one can still be tried elsewhere.
-const wholeLimit = 64 << 10
+// maxBufferedResponse is the largest response body in bytes that is read completely before its
+// first byte is sent to the caller. If such a response is truncated, the request can still be
+// retried.
+const maxBufferedResponse = 64 << 10
 
-// answer is an upstream's answer, ready to go to the caller.
-type answer struct {
+// upstreamResponse is the response of an upstream.
+type upstreamResponse struct {
 	resp *http.Response
-	told ResponseInfo
-	// connect is how long the connection took to be made; 0 if it was there.
-	connect time.Duration
-	// whole is the body if it has been read to its end.
-	whole []byte
-	read  bool
+	info ResponseInfo
+	// connectTime is the time it took to open the connection; 0 for a reused connection.
+	connectTime time.Duration
+	// body is the complete body if buffered is set.
+	body     []byte
+	buffered bool
 }
 
-// attempt sends the call to one upstream. The error, if any, has the verdict of
-// this attempt alone; the answer is then nil, or has only what the upstream told of
-// itself as it refused.
-func (c *Proxy) attempt(ctx context.Context, r *http.Request, cl *call, to balance.Choice) (*answer, *verdict.Error) {
+// attempt sends the call to one upstream. A returned error has the verdict of this attempt
+// alone. The response that is returned with an error is nil, or has only the info field, if the
+// upstream reported that it did not run the request.
+func (p *Proxy) attempt(ctx context.Context, r *http.Request, cl *call, to balance.Choice) (*upstreamResponse, *verdict.Error) {
 	body, ok := cl.body.attach(ctx)
 	if !ok {
-		return nil, verdict.New(verdict.NotRun, reasonBodyUsed, nil)
+		return nil, verdict.New(verdict.NotRun, reasonNotRepeatable, nil)
 	}
-	var watch sendWatch
-	sending := watch.context(ctx)
+	var writes writeTracker
+	sending := writes.withTrace(ctx)
 	if !cl.Safe {
-		sending = withOnce(sending)
+		sending = withUnsafe(sending)
 	}
-	out := c.request(sending, r, cl, to, body)
-	resp, err := c.transport.RoundTrip(out)
+	out := p.newRequest(sending, r, cl, to, body)
+	resp, err := p.transport.RoundTrip(out)
 	if err != nil {
-		return nil, sendError(ctx, cl, &watch, err)
+		return nil, sendError(ctx, cl, &writes, err)
 	}
-	told := c.opt.Protocol.ParseResponse(resp, &cl.RequestInfo, cl.service)
-	c.noteRate(cl, to, told.Rate)
-	if told.NotRunReason != "" {
-		e := verdict.New(verdict.NotRun, told.NotRunReason, fmt.Errorf("upstream answered %s", resp.Status))
-		e.RetryAfter = retryAfterOf(resp)
+	info := p.opt.Protocol.ParseResponse(resp, &cl.RequestInfo, cl.service)
+	p.recordRate(cl, to, info.Rate)
+	if info.NotRunReason != "" {
+		e := verdict.New(verdict.NotRun, info.NotRunReason, fmt.Errorf("upstream responded %s", resp.Status))
+		e.RetryAfter = parseRetryAfter(resp)
 		discard(resp)
-		return &answer{told: told}, e
+		return &upstreamResponse{info: info}, e
 	}
-	if told.InvalidReason != "" {
+	if info.InvalidReason != "" {
 		discard(resp)
-		return nil, verdict.New(verdict.MayHaveRun, told.InvalidReason, fmt.Errorf("answer %s to request %s", resp.Status, cl.ID))
+		return nil, verdict.New(verdict.MayHaveRun, info.InvalidReason, fmt.Errorf("upstream responded %s to request %s", resp.Status, cl.ID))
 	}
-	ans, verr := readAnswer(ctx, resp)
+	res, verr := readResponse(ctx, resp)
 	if verr == nil {
-		ans.told, ans.connect = told, watch.connectTime()
+		res.info, res.connectTime = info, writes.connectTime()
 	}
-	return ans, verr
+	return res, verr
 }
 
-// request returns what goes to the upstream.
-func (c *Proxy) request(ctx context.Context, r *http.Request, cl *call, to balance.Choice, body *attemptBody) *http.Request {
+// newRequest returns the request for the upstream.
+func (p *Proxy) newRequest(ctx context.Context, r *http.Request, cl *call, to balance.Choice, body *attemptBody) *http.Request {
 	h := r.Header.Clone()
-	dropHop(h)
-	c.opt.Protocol.SetRequestHeaders(h, &cl.RequestInfo, &to.Upstream, cl.deadline.Sub(c.now()))
+	removeHopHeaders(h)
+	p.opt.Protocol.SetRequestHeaders(h, &cl.RequestInfo, &to.Upstream, cl.deadline.Sub(p.now()))
 	if _, ok := h["User-Agent"]; !ok {
 		h.Set("User-Agent", "")
 	}
 	out := &http.Request{
 		Method:        r.Method,
-		URL:           c.target(r, to),
+		URL:           p.targetURL(r, to),
 		Host:          r.Host,
 		Header:        h,
 		Body:          body,
@@ -104,20 +105,20 @@
 	return out.WithContext(ctx)
 }
 
-// target returns the URL at an upstream, with the request's path and query to
-// the letter.
-func (c *Proxy) target(r *http.Request, to balance.Choice) *url.URL {
-	u := &url.URL{Scheme: c.scheme, Host: to.Address, Path: r.URL.Path, RawPath: r.URL.RawPath, RawQuery: r.URL.RawQuery}
+// targetURL returns the URL at an upstream, with path and query exactly as the caller sent
+// them.
+func (p *Proxy) targetURL(r *http.Request, to balance.Choice) *url.URL {
+	u := &url.URL{Scheme: p.scheme, Host: to.Address, Path: r.URL.Path, RawPath: r.URL.RawPath, RawQuery: r.URL.RawQuery}
 	if strings.HasPrefix(r.RequestURI, "/") {
 		u.Opaque = r.RequestURI
 	}
 	return u
 }
 
-// sendError gives the verdict of an attempt that got no answer.
-func sendError(ctx context.Context, cl *call, watch *sendWatch, err error) *verdict.Error {
+// sendError returns the error of an attempt that got no response.
+func sendError(ctx context.Context, cl *call, writes *writeTracker, err error) *verdict.Error {
 	v := verdict.MayHaveRun
-	if watch.nothingSent() {
+	if writes.nothingWritten() {
 		v = verdict.NotRun
 	}
 	var tooLarge *http.MaxBytesError
@@ -137,12 +138,13 @@
 	return verdict.New(v, reasonBroken, err)
 }
 
-// readAnswer reads an answer whole if it is small, or ends with its connection
-// and so has no length to check it by.
-func readAnswer(ctx context.Context, resp *http.Response) (*answer, *verdict.Error) {
-	a := &answer{resp: resp}
-	if !endsWithConnection(resp) && (resp.ContentLength < 0 || resp.ContentLength > wholeLimit) {
-		return a, nil
+// readResponse reads the body of a small response completely. It does the same for a response
+// that is delimited by the end of its connection, because such a response has no length to
+// detect truncation by.
+func readResponse(ctx context.Context, resp *http.Response) (*upstreamResponse, *verdict.Error) {
+	res := &upstreamResponse{resp: resp}
+	if !closeDelimited(resp) && (resp.ContentLength < 0 || resp.ContentLength > maxBufferedResponse) {
+		return res, nil
 	}
 	body, err := io.ReadAll(resp.Body)
 	resp.Body.Close()
@@ -153,18 +155,18 @@
 		}
 		return nil, verdict.New(verdict.MayHaveRun, reason, err)
 	}
-	a.whole, a.read = body, true
-	return a, nil
+	res.body, res.buffered = body, true
+	return res, nil
 }
 
-// discard drops an answer. A short rest is read so that the connection can be
-// used again.
+// discard drops a response. It reads up to 4 KiB of the body, so that the connection can be
+// reused if the body ends there.
 func discard(resp *http.Response) {
 	_, _ = io.CopyN(io.Discard, resp.Body, 4<<10)
 	resp.Body.Close()
 }
 
-func retryAfterOf(resp *http.Response) time.Duration {
+func parseRetryAfter(resp *http.Response) time.Duration {
 	s, err := strconv.Atoi(resp.Header.Get("Retry-After"))
 	if err != nil || s < 0 {
 		return 0
@@ -172,35 +174,34 @@
 	return time.Duration(s) * time.Second
 }
 
-// deliver sends an answer to the caller. A body that breaks off aborts the
-// caller's connection, so that it is never taken for whole.
-func (a *answer) deliver(w http.ResponseWriter, p Protocol, ask *RequestInfo) (int64, error) {
+// writeTo sends the response to the caller and returns the number of body bytes sent.
+func (res *upstreamResponse) writeTo(w http.ResponseWriter, protocol Protocol, info *RequestInfo) (int64, error) {
 	h := w.Header()
-	for name, values := range a.resp.Header {
+	for name, values := range res.resp.Header {
 		h[name] = values
 	}
-	dropHop(h)
-	p.SetResponseHeaders(h, ask)
-	if a.resp.ContentLength >= 0 {
-		h.Set("Content-Length", strconv.FormatInt(a.resp.ContentLength, 10))
+	removeHopHeaders(h)
+	protocol.SetResponseHeaders(h, info)
+	if res.resp.ContentLength >= 0 {
+		h.Set("Content-Length", strconv.FormatInt(res.resp.ContentLength, 10))
 	}
-	w.WriteHeader(a.resp.StatusCode)
-	if a.read {
-		return io.Copy(w, bytes.NewReader(a.whole))
+	w.WriteHeader(res.resp.StatusCode)
+	if res.buffered {
+		return io.Copy(w, bytes.NewReader(res.body))
 	}
-	return a.stream(w)
+	return res.stream(w)
 }
 
-// streamBuffer is the memory in bytes that one streamed answer takes.
-const streamBuffer = 32 << 10
+// streamBufferSize is the size in bytes of the copy buffer for one streamed body.
+const streamBufferSize = 32 << 10
 
-func (a *answer) stream(w http.ResponseWriter) (int64, error) {
-	defer a.resp.Body.Close()
+func (res *upstreamResponse) stream(w http.ResponseWriter) (int64, error) {
+	defer res.resp.Body.Close()
 	flush := http.NewResponseController(w)
-	buf := make([]byte, streamBuffer)
+	buf := make([]byte, streamBufferSize)
 	var sent int64
 	for {
-		n, err := a.resp.Body.Read(buf)
+		n, err := res.resp.Body.Read(buf)
 		if n > 0 {
 			if _, werr := w.Write(buf[:n]); werr != nil {
 				return sent, werr
--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -14,35 +14,36 @@
 )
 
 const (
-	// replayLimit is how much of a request body is kept for another attempt. An
-	// upload of some 100 KB, which an upstream may refuse before it has read it,
-	// fits; a hundred of them take a tenth of a small instance's memory.
-	replayLimit = 256 << 10
-	// handOver is how long an attempt waits for the one before to end its read of
-	// the caller's body, and handOverPoll how often it looks.
-	handOver     = 250 * time.Millisecond
-	handOverPoll = 2 * time.Millisecond
+	// maxReplayBytes is how many bytes of a request body are buffered for a retry. Uploads of
+	// about 100 KB fit; an upstream may reject one before it has read it. A hundred such
+	// buffers take a tenth of the memory of a small instance.
+	maxReplayBytes = 256 << 10
+	// handOverTimeout is how long a new attempt waits until the previous attempt's read of the
+	// caller's body has returned. The lock is tried every handOverPollInterval.
+	handOverTimeout      = 250 * time.Millisecond
+	handOverPollInterval = 2 * time.Millisecond
 )
 
-// errDetached is what a read of an ended attempt's body returns.
-var errDetached = errors.New("forward: attempt has ended")
+// errDetached is returned by reads through the body of an attempt that has been replaced.
+var errDetached = errors.New("forward: read of the request body after its attempt ended")
 
-// replayBody is a caller's body that can be sent again as long as no more than
-// replayLimit bytes of it were read.
+// replayBody is a caller's request body that can be sent again as long as at most
+// maxReplayBytes were read from it.
 type replayBody struct {
-	// mu is held while the caller's body is read.
-	mu     sync.Mutex
-	src    io.Reader
-	kept   []byte
-	err    error
-	over   bool
-	length int64
-	user   *attemptBody
-
-	// prefixMu guards prefix alone: mu may be held for as long as the caller takes.
+	// mu is held during reads of the caller's body.
+	mu         sync.Mutex
+	src        io.Reader
+	buffered   []byte
+	err        error
+	overflowed bool
+	length     int64
+	current    *attemptBody
+
+	// prefixMu guards prefix. It is separate because mu is held for as long as a read from the
+	// caller blocks.
 	prefixMu sync.Mutex
-	// prefix is the beginning of the body, up to poison.BodyPrefix bytes, also of one
-	// that is too long to be kept.
+	// prefix is the beginning of the body, up to poison.BodyPrefix bytes. It is kept even if
+	// the body is too long to be buffered.
 	prefix []byte
 }
 
@@ -50,28 +51,28 @@
 	return &replayBody{src: r.Body, length: r.ContentLength}
 }
 
-// attemptBody is the body of one attempt. It has no GetBody, so that net/http
-// never sends a request a second time by itself after a part of it was written.
+// attemptBody is the request body of one attempt. The request has no GetBody, so net/http never
+// resends it by itself after part of it was written.
 type attemptBody struct {
 	body *replayBody
 	pos  int
 }
 
-// attach returns the body for the next attempt, from its start. It reports false if
-// that is no longer possible: too much was read, or the attempt before still reads
-// when ctx or the time for handing over ends.
+// attach returns a body for the next attempt, which reads from the start. It returns false if
+// that is impossible: more than maxReplayBytes were read, or the previous attempt is still
+// reading when ctx ends or handOverTimeout has passed.
 func (b *replayBody) attach(ctx context.Context) (*attemptBody, bool) {
-	for end := time.Now().Add(handOver); !b.mu.TryLock(); time.Sleep(handOverPoll) {
+	for end := time.Now().Add(handOverTimeout); !b.mu.TryLock(); time.Sleep(handOverPollInterval) {
 		if ctx.Err() != nil || time.Now().After(end) {
 			return nil, false
 		}
 	}
 	defer b.mu.Unlock()
-	if b.over {
+	if b.overflowed {
 		return nil, false
 	}
-	b.user = &attemptBody{body: b}
-	return b.user, true
+	b.current = &attemptBody{body: b}
+	return b.current, true
 }
 
 // Read implements io.Reader.
@@ -79,11 +80,11 @@
 	b := a.body
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.user != a {
+	if b.current != a {
 		return 0, errDetached
 	}
-	if !b.over && a.pos < len(b.kept) {
-		n := copy(p, b.kept[a.pos:])
+	if !b.overflowed && a.pos < len(b.buffered) {
+		n := copy(p, b.buffered[a.pos:])
 		a.pos += n
 		return n, nil
 	}
@@ -92,52 +93,52 @@
 	}
 	n, err := b.src.Read(p)
 	b.err = err
-	b.keepPrefix(p[:n])
-	b.keep(p[:n])
+	b.appendPrefix(p[:n])
+	b.appendBuffered(p[:n])
 	a.pos += n
 	return n, err
 }
 
-// begun returns the beginning of the body, up to poison.BodyPrefix bytes, as far as it
-// was read, and whether that is all of it.
-func (b *replayBody) begun() (prefix []byte, whole bool) {
+// prefixRead returns the part of the prefix that has been read so far, and whether that is the
+// whole prefix.
+func (b *replayBody) prefixRead() (prefix []byte, complete bool) {
 	b.prefixMu.Lock()
 	defer b.prefixMu.Unlock()
 	n := int64(len(b.prefix))
 	return b.prefix, n == poison.BodyPrefix || n == b.length
 }
 
-// peek returns what begun does, and reads what is missing from the caller. It reports
-// false if ctx ends first, or the caller breaks off.
-func (b *replayBody) peek(ctx context.Context) ([]byte, bool) {
-	if prefix, whole := b.begun(); whole {
+// peekPrefix returns the prefix and reads missing bytes from the caller. It returns false if
+// ctx ends first or the caller breaks off.
+func (b *replayBody) peekPrefix(ctx context.Context) ([]byte, bool) {
+	if prefix, complete := b.prefixRead(); complete {
 		return prefix, true
 	}
 	done := make(chan error, 1)
 	go func() { done <- b.readPrefix() }()
 	select {
 	case err := <-done:
-		prefix, _ := b.begun()
+		prefix, _ := b.prefixRead()
 		return prefix, err == nil
 	case <-ctx.Done():
 		return nil, false
 	}
 }
 
-// readPrefix reads on until the prefix is whole.
+// readPrefix reads from the caller until the prefix is complete.
 func (b *replayBody) readPrefix() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	buf := make([]byte, poison.BodyPrefix)
 	for b.err == nil {
-		prefix, whole := b.begun()
-		if whole {
+		prefix, complete := b.prefixRead()
+		if complete {
 			return nil
 		}
 		n, err := b.src.Read(buf[:poison.BodyPrefix-len(prefix)])
 		b.err = err
-		b.keepPrefix(buf[:n])
-		b.keep(buf[:n])
+		b.appendPrefix(buf[:n])
+		b.appendBuffered(buf[:n])
 	}
 	if errors.Is(b.err, io.EOF) {
 		return nil
@@ -145,13 +146,14 @@
 	return b.err
 }
 
-// longAgo is a deadline that has passed.
-var longAgo = time.Unix(1, 0)
+// pastTime is used as a deadline that has already passed.
+var pastTime = time.Unix(1, 0)
 
-// interrupt has a read of the caller's body that is under way when ctx ends fail, and
-// returns how to stop that. net/http writes no answer while a body is being read, so that
-// without it the caller of a stalled upload got its answer only with its next bytes.
-func (b *replayBody) interrupt(ctx context.Context, w http.ResponseWriter) (stop func() bool) {
+// interruptRead makes a blocked read of the caller's body fail when ctx ends. The returned
+// function cancels this. net/http writes no response while a read of the request body blocks,
+// so without the interrupt the caller of a stalled upload would get its response only after
+// sending more bytes.
+func (b *replayBody) interruptRead(ctx context.Context, w http.ResponseWriter) (stop func() bool) {
 	if b.length == 0 {
 		return func() bool { return true }
 	}
@@ -160,14 +162,14 @@
 			b.mu.Unlock()
 			return
 		}
-		if err := http.NewResponseController(w).SetReadDeadline(longAgo); err != nil {
-			klog.V(1).InfoS("read of a body not interrupted", "err", err)
+		if err := http.NewResponseController(w).SetReadDeadline(pastTime); err != nil {
+			klog.V(1).InfoS("interrupting the read of a stalled request body failed", "err", err)
 		}
 	})
 }
 
-// callerError returns the error, other than its end, that reading the caller's
-// body gave. It returns nil while the body is still being read.
+// callerError returns the error of reading the caller's body. It returns nil at the end of the
+// body and while a read is in progress.
 func (b *replayBody) callerError() error {
 	if !b.mu.TryLock() {
 		return nil
@@ -179,7 +181,7 @@
 	return b.err
 }
 
-func (b *replayBody) keepPrefix(p []byte) {
+func (b *replayBody) appendPrefix(p []byte) {
 	b.prefixMu.Lock()
 	defer b.prefixMu.Unlock()
 	if missing := poison.BodyPrefix - len(b.prefix); missing > 0 {
@@ -187,15 +189,15 @@
 	}
 }
 
-func (b *replayBody) keep(p []byte) {
-	if b.over {
+func (b *replayBody) appendBuffered(p []byte) {
+	if b.overflowed {
 		return
 	}
-	if len(b.kept)+len(p) > replayLimit {
-		b.over, b.kept = true, nil
+	if len(b.buffered)+len(p) > maxReplayBytes {
+		b.overflowed, b.buffered = true, nil
 		return
 	}
-	b.kept = append(b.kept, p...)
+	b.buffered = append(b.buffered, p...)
 }
 
 // Close implements io.Closer.
--- a/internal/forward/budget_test.go
+++ b/internal/forward/budget_test.go
@@ -13,21 +13,21 @@
 	"github.com/loomkeel/loomkeel/internal/share"
 )
 
-// routed is the native protocol with one route for every request.
-type routed struct {
+// routedProtocol is the native protocol with one route for all requests.
+type routedProtocol struct {
 	Native
 	route *model.Route
 }
 
 // ParseRequest implements Protocol.
-func (p routed) ParseRequest(r *http.Request, _ *model.Snapshot) (RequestInfo, *RequestError) {
+func (p routedProtocol) ParseRequest(r *http.Request, _ *model.Snapshot) (RequestInfo, *RequestError) {
 	return RequestInfo{ID: r.Header.Get(header.RequestID), Route: p.route, Safe: p.route.Safe, Object: r.URL.Path}, nil
 }
 
-// newRouted returns one of several entries with one route to fakes.
-func newRouted(t *testing.T, entries int, route *model.Route, fakes []*fake) *entry {
+// newRoutedEntry returns one of several entries that have one route to the fakes.
+func newRoutedEntry(t *testing.T, entries int, route *model.Route, fakes []*fakeUpstream) *entry {
 	c := New(Options{
-		MaxInFlight: 100, Now: time.Now, Protocol: routed{route: route}, CapShares: share.NewBook(), Domain: "a",
+		MaxInFlight: 100, Now: time.Now, Protocol: routedProtocol{route: route}, CapShares: share.NewBook(), Domain: "a",
 		BootClock: func() int64 { return 0 }, NewID: func() string { return "own" }, Observe: func(Outcome) {},
 	})
 	in := model.RoutedInput{
@@ -48,21 +48,21 @@
 	return &entry{c, srv.URL}
 }
 
-// TestRetryBudgetHoldsOverAllEntries has every upstream break off every answer. What
-// all entries together send beyond the first attempt of each request stays within
-// the budget of the service, however the requests are spread over them.
+// TestRetryBudgetHoldsOverAllEntries makes every upstream truncate every response. The retries
+// of all entries together must stay within the retry budget of the service, however the
+// requests are distributed over the entries.
 func TestRetryBudgetHoldsOverAllEntries(t *testing.T) {
 	const entries, requests = 4, 120
 	for name, entryOf := range map[string]func(i int) int{
-		"evenly":         func(i int) int { return i % entries },
-		"all at one":     func(int) int { return 0 },
-		"half at one":    func(i int) int { return (i % 2) * (i % entries) },
-		"one by another": func(i int) int { return i * entries / requests },
+		"evenly":            func(i int) int { return i % entries },
+		"all at one":        func(int) int { return 0 },
+		"half at one":       func(i int) int { return (i % 2) * (i % entries) },
+		"one after another": func(i int) int { return i * entries / requests },
 	} {
 		t.Run(name, func(t *testing.T) {
-			fakes := []*fake{newFake(t), newFake(t), newFake(t), newFake(t)}
+			fakes := []*fakeUpstream{newFakeUpstream(t), newFakeUpstream(t), newFakeUpstream(t), newFakeUpstream(t)}
 			for _, f := range fakes {
-				f.always = cuts
+				f.always = truncates
 			}
 			route := &model.Route{
 				Name: "r", Safe: true, Attempts: 3, Timeout: time.Minute, Affinity: true,
@@ -70,20 +70,20 @@
 			}
 			var all []*entry
 			for range entries {
-				all = append(all, newRouted(t, entries, route, fakes))
+				all = append(all, newRoutedEntry(t, entries, route, fakes))
 			}
 			for i := range requests {
 				all[entryOf(i)].send(t, http.MethodGet, fmt.Sprint("/", i), "", header.RequestID, fmt.Sprint("r", i))
 			}
 			arrivals := 0
 			for _, f := range fakes {
-				arrivals += len(f.receipts())
+				arrivals += len(f.received())
 			}
 			if bound := 0.2*requests + 12; float64(arrivals-requests) > bound {
-				t.Errorf("%d arrivals for %d requests, allowed %.0f beyond the first", arrivals, requests, bound)
+				t.Errorf("%d arrivals for %d requests, want at most %.0f retries", arrivals, requests, bound)
 			}
 			if arrivals < requests {
-				t.Errorf("%d arrivals for %d requests", arrivals, requests)
+				t.Errorf("%d arrivals for %d requests, want at least one each", arrivals, requests)
 			}
 		})
 	}
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -14,94 +14,97 @@
 	"github.com/loomkeel/loomkeel/internal/verdict"
 )
 
-// call is one request of a caller.
+// call is the state of one caller's request.
 type call struct {
 	RequestInfo
 	service  *model.Service
-	began    time.Time
+	start    time.Time
 	deadline time.Time
-	// version is that of the configuration by which allows was found.
-	version uint64
-	// allows reports whether a region may serve the request; nil if it has no route.
+	// configVersion is the revision of the configuration that allows was derived from.
+	configVersion uint64
+	// allows reports whether a region may serve the request; nil for a request without a route.
 	allows func(region string) bool
-	// paid is set while the request has been counted against its organisation's limit and
-	// no upstream may have run it for that.
-	paid bool
-	// attempts is how many upstreams the request may be sent to.
+	// charged is set while the request counts against its organisation's limit and no upstream
+	// may have run it since it was counted.
+	charged bool
+	// attempts is the largest number of attempts for the request.
 	attempts int
 	priority int
 	body     *replayBody
-	// tried holds the upstreams that the request must not be sent to again.
+	// tried holds the IDs of upstreams that must not get the request again.
 	tried []string
-	// head names what the request is, without its body.
-	head poison.Keys
-	// counted are the keys by which the request is counted as under way; nil if it is not.
-	counted *poison.Keys
-	// failed is the region of the last failed attempt.
-	failed string
+	// headKeys are the request's poison keys without the body.
+	headKeys poison.Keys
+	// inFlightKeys are the poison keys under which the request counts as in flight; nil if it
+	// does not count.
+	inFlightKeys *poison.Keys
+	// failedRegion is the region of the last failed attempt.
+	failedRegion string
 	// outcome joins the verdicts of the attempts so far.
 	outcome verdict.Verdict
 }
 
-// newCall returns the call of a request that asks for a service.
-func newCall(r *http.Request, ask RequestInfo, svc *model.Service, now time.Time) *call {
+// newCall returns the call for a request to svc. Limits of the request's route take precedence
+// over those of the service.
+func newCall(r *http.Request, info RequestInfo, svc *model.Service, now time.Time) *call {
 	c := &call{
-		RequestInfo: ask,
+		RequestInfo: info,
 		service:     svc,
-		began:       now,
+		start:       now,
 		attempts:    svc.Attempts,
 		priority:    svc.Priority,
 		body:        newReplayBody(r),
 		outcome:     verdict.NotRun,
-		head:        headOf(r, &ask),
+		headKeys:    headKeysOf(r, &info),
 	}
-	longest := svc.Deadline
-	if ask.Route != nil {
-		c.attempts = ask.Route.Attempts
-		c.allows = ask.allows
-		c.priority = admit.PriorityOf(rankOf(&ask))
-		longest = ask.Route.Timeout
+	maxTimeout := svc.Deadline
+	if info.Route != nil {
+		c.attempts = info.Route.Attempts
+		c.allows = info.allows
+		c.priority = admit.PriorityOf(priorityOf(&info))
+		maxTimeout = info.Route.Timeout
 	}
-	c.deadline = now.Add(shorter(ask.Timeout, longest))
+	c.deadline = now.Add(minTimeout(info.Timeout, maxTimeout))
 	return c
 }
 
-// rankOf returns how urgent a request with a route is; 0 is the most urgent.
-func rankOf(ask *RequestInfo) int {
-	if o := ask.Organisation; o != nil && o.Priority != model.RoutePriority {
+// priorityOf returns the priority of a request with a route; 0 is the most urgent.
+func priorityOf(info *RequestInfo) int {
+	if o := info.Organisation; o != nil && o.Priority != model.RoutePriority {
 		return o.Priority
 	}
-	return ask.Route.Priority
+	return info.Route.Priority
 }
 
-// headOf returns the keys of a request without its body. Its caller is told by address.
-func headOf(r *http.Request, ask *RequestInfo) poison.Keys {
+// headKeysOf returns the poison keys of a request without its body. Callers are distinguished
+// by IP address.
+func headKeysOf(r *http.Request, info *RequestInfo) poison.Keys {
 	caller, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		caller = r.RemoteAddr
 	}
 	req := poison.Request{
-		Method: r.Method, Host: r.Host, Target: r.RequestURI, Object: ask.Object, Caller: caller, Length: r.ContentLength,
+		Method: r.Method, Host: r.Host, Target: r.RequestURI, Object: info.Object, Caller: caller, Length: r.ContentLength,
 	}
 	return req.Head()
 }
 
-// keys returns the keys of the request. It reports false if the beginning of its body
-// does not come until ctx ends.
+// keys returns the poison keys of the request. It returns false if the beginning of the body
+// cannot be read before ctx ends.
 func (c *call) keys(ctx context.Context) (poison.Keys, bool) {
-	prefix, ok := c.body.peek(ctx)
-	return c.head.WithBody(prefix), ok
+	prefix, ok := c.body.peekPrefix(ctx)
+	return c.headKeys.WithBody(prefix), ok
 }
 
-// unboundedDeadline is how long a request may take if neither the caller nor
-// the configuration says.
-const unboundedDeadline = time.Minute
+// defaultTimeout is the time limit of a request for which neither the caller nor the
+// configuration sets one.
+const defaultTimeout = time.Minute
 
-// shorter returns the smaller of two bounds, of which 0 means none.
-func shorter(a, b time.Duration) time.Duration {
+// minTimeout returns the smaller of two timeouts, where 0 means none.
+func minTimeout(a, b time.Duration) time.Duration {
 	switch {
 	case a <= 0 && b <= 0:
-		return unboundedDeadline
+		return defaultTimeout
 	case a <= 0:
 		return b
 	case b <= 0:
@@ -110,7 +113,7 @@
 	return min(a, b)
 }
 
-// objectRequest is what the call asks of the balancer if it has a route.
+// objectRequest returns the balancer's request for a call with a route.
 func (c *call) objectRequest() balance.ObjectRequest {
 	req := balance.ObjectRequest{Class: c.Route.Name, Objective: c.Route.Objective, Regions: c.allows, Tried: c.tried}
 	if c.Route.Affinity && c.Object != "" {
@@ -122,16 +125,16 @@
 	return req
 }
 
-// after returns the regions for the next attempt. One in which two attempts
-// failed in a row goes last; a shed is no failure.
-func (c *call) after(err *verdict.Error, region string, regions []string) []string {
+// reorderRegions returns the regions for the next attempt. A region in which two attempts in a
+// row failed is moved to the end; sheds do not count as failures.
+func (c *call) reorderRegions(err *verdict.Error, region string, regions []string) []string {
 	if err.Reason == ReasonShed {
 		return regions
 	}
-	if c.failed != region {
-		c.failed = region
+	if c.failedRegion != region {
+		c.failedRegion = region
 		return regions
 	}
-	rest := slices.DeleteFunc(slices.Clone(regions), func(r string) bool { return r == region })
-	return append(rest, region)
+	others := slices.DeleteFunc(slices.Clone(regions), func(r string) bool { return r == region })
+	return append(others, region)
 }
--- a/internal/forward/conn.go
+++ b/internal/forward/conn.go
@@ -15,45 +15,45 @@
 )
 
 const (
-	// maxAnswerHeader bounds the header of an answer in bytes.
-	maxAnswerHeader = 64 << 10
-	// inlineBody is the largest body in bytes that is sent before the answer is
-	// looked for. A longer one is sent beside, since the upstream may answer
-	// before it has read it all.
-	inlineBody = 8 << 10
-	connBuffer = 4 << 10
+	// maxResponseHeader is the largest response header in bytes.
+	maxResponseHeader = 64 << 10
+	// maxInlineBody is the largest request body in bytes that is sent before the response is
+	// read. A longer body is sent in a goroutine of its own, because the upstream may respond
+	// before it has read the whole body.
+	maxInlineBody  = 8 << 10
+	connBufferSize = 4 << 10
 )
 
 var (
-	errSurplus     = errors.New("forward: too many answers to earlier requests")
-	errHeaderBound = errors.New("forward: header of the answer is too long")
+	errStaleResponses = errors.New("forward: too many responses to earlier requests on the connection")
+	errHeaderTooLong  = errors.New("forward: response header exceeds the size limit")
 )
 
-// upstreamConn is one connection to an upstream.
+// upstreamConn is a connection to an upstream.
 type upstreamConn struct {
-	*countedConn
+	*trackedConn
 	pool *Pool
 	addr string
-	// raw is the connection's socket, or nil if it has none.
+	// raw is the underlying socket; nil if there is none.
 	raw syscall.Conn
 	br  *bufio.Reader
 	bw  *bufio.Writer
-	// limit bounds what is read as the header of an answer.
+	// limit limits the size of a response header.
 	limit *io.LimitedReader
-	// requests is how many were sent.
-	requests  int
-	keep      time.Duration
-	keepUntil time.Time
-	// restedSince is when the connection was last put back; zero if it never was.
-	restedSince time.Time
-	closed      atomic.Bool
+	// requestCount is the number of requests sent on the connection.
+	requestCount int
+	idleTimeout  time.Duration
+	idleDeadline time.Time
+	// idleSince is when the connection was last returned to the pool; zero if it never was.
+	idleSince time.Time
+	closed    atomic.Bool
 }
 
-func newUpstreamConn(p *Pool, addr string, conn *countedConn, raw syscall.Conn) *upstreamConn {
-	c := &upstreamConn{countedConn: conn, pool: p, addr: addr, raw: raw, keep: defaultIdle}
+func newUpstreamConn(p *Pool, addr string, conn *trackedConn, raw syscall.Conn) *upstreamConn {
+	c := &upstreamConn{trackedConn: conn, pool: p, addr: addr, raw: raw, idleTimeout: defaultIdleTimeout}
 	c.limit = &io.LimitedReader{R: conn}
-	c.br = bufio.NewReaderSize(c.limit, connBuffer)
-	c.bw = bufio.NewWriterSize(conn, connBuffer)
+	c.br = bufio.NewReaderSize(c.limit, connBufferSize)
+	c.bw = bufio.NewWriterSize(conn, connBufferSize)
 	return c
 }
 
@@ -63,9 +63,9 @@
 	}
 }
 
-// quiet reports whether an idle connection is open and nothing has come on it: a
-// byte out of turn belongs to no request.
-func (c *upstreamConn) quiet() bool {
+// usable reports whether an idle connection is open and has no unread data. Data received on an
+// idle connection belongs to no request.
+func (c *upstreamConn) usable() bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
@@ -76,37 +76,37 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	usable := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = n < 0 && (err == syscall.EAGAIN || err == syscall.EWOULDBLOCK)
+		usable = n < 0 && (err == syscall.EAGAIN || err == syscall.EWOULDBLOCK)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && usable
 }
 
-// exchange sends a request and reads the header of its answer. The connection
-// goes back to the pool, or is closed, when the answer's body ends.
-func (c *upstreamConn) exchange(req *http.Request) (*http.Response, error) {
+// roundTrip sends a request and reads the header of its response. At the end of the response
+// body the connection returns to the pool or is closed.
+func (c *upstreamConn) roundTrip(req *http.Request) (*http.Response, error) {
 	stop := context.AfterFunc(req.Context(), c.close)
-	first := c.requests == 0
-	c.requests++
+	first := c.requestCount == 0
+	c.requestCount++
 	sent, err := c.send(req)
 	if err != nil {
 		stop()
 		return nil, err
 	}
-	resp, surplus, err := c.receive(req, first)
+	resp, stale, err := c.receive(req, first)
 	if err != nil {
 		stop()
 		return nil, err
 	}
-	b := &answerBody{ReadCloser: resp.Body, conn: c, stop: stop, sent: sent}
-	b.reuse = !resp.Close && !surplus && !endsWithConnection(resp)
+	b := &responseBody{ReadCloser: resp.Body, conn: c, stop: stop, sent: sent}
+	b.reuse = !resp.Close && !stale && !closeDelimited(resp)
 	empty := resp.ContentLength == 0 || resp.Body == http.NoBody
-	if keep, ok := keepAlive(resp.Header.Get("Keep-Alive")); ok {
-		c.keep = keep
+	if timeout, ok := parseKeepAlive(resp.Header.Get("Keep-Alive")); ok {
+		c.idleTimeout = timeout
 	}
 	resp.Body = b
 	if empty {
@@ -115,14 +115,14 @@
 	return resp, nil
 }
 
-// send writes the request. It returns a channel on which the end of a long body
-// will be told, or nil if all is sent.
+// send writes the request. It returns a channel that receives the result of sending a long
+// body, or nil if the request has been sent completely.
 func (c *upstreamConn) send(req *http.Request) (<-chan error, error) {
-	writeHead(c.bw, req)
+	writeHeader(c.bw, req)
 	if req.Body == nil || req.ContentLength == 0 {
 		return nil, c.bw.Flush()
 	}
-	if req.ContentLength > 0 && req.ContentLength <= inlineBody {
+	if req.ContentLength > 0 && req.ContentLength <= maxInlineBody {
 		return nil, c.sendBody(req)
 	}
 	if err := c.bw.Flush(); err != nil {
@@ -132,8 +132,8 @@
 	go func() {
 		err := c.sendBody(req)
 		if errors.Is(err, errCallerBody) {
-			// The upstream must not take the part for the whole, and the answer
-			// that it owes would never come.
+			// The upstream must not take the part that it got for the whole body. It would
+			// never send the response that the Proxy waits for.
 			c.close()
 		}
 		done <- err
@@ -141,15 +141,15 @@
 	return done, nil
 }
 
-// errCallerBody means that a request's body broke off on its way from the
-// caller, rather than on its way to the upstream.
-var errCallerBody = errors.New("forward: body from the caller broke off")
+// errCallerBody means that reading the request body from the caller failed, rather than writing
+// it to the upstream.
+var errCallerBody = errors.New("forward: reading the request body from the caller failed")
 
-// sendBody sends the body framed as writeHead announced it.
+// sendBody sends the body in the framing that writeHeader announced.
 func (c *upstreamConn) sendBody(req *http.Request) error {
 	chunked := req.ContentLength < 0
 	left := req.ContentLength
-	buf := make([]byte, streamBuffer)
+	buf := make([]byte, streamBufferSize)
 	for chunked || left > 0 {
 		n, err := req.Body.Read(buf)
 		if !chunked {
@@ -157,7 +157,7 @@
 			left -= int64(n)
 		}
 		if n > 0 {
-			c.writePiece(buf[:n], chunked)
+			c.writeChunk(buf[:n], chunked)
 			if ferr := c.bw.Flush(); ferr != nil {
 				return ferr
 			}
@@ -175,8 +175,8 @@
 	return c.bw.Flush()
 }
 
-// writePiece writes a part of a body. An error comes out at Flush.
-func (c *upstreamConn) writePiece(p []byte, chunked bool) {
+// writeChunk writes part of a body. Write errors are reported by the next Flush.
+func (c *upstreamConn) writeChunk(p []byte, chunked bool) {
 	if !chunked {
 		_, _ = c.bw.Write(p)
 		return
@@ -186,8 +186,9 @@
 	_, _ = c.bw.WriteString("\r\n")
 }
 
-// writeHead writes the request line and the header. An error comes out at Flush.
-func writeHead(w *bufio.Writer, req *http.Request) {
+// writeHeader writes the request line and the header. Write errors are reported by the next
+// Flush.
+func writeHeader(w *bufio.Writer, req *http.Request) {
 	target := req.URL.Opaque
 	if target == "" {
 		target = req.URL.RequestURI()
@@ -196,7 +197,7 @@
 	switch {
 	case req.ContentLength < 0 && req.Body != nil:
 		_, _ = w.WriteString("Transfer-Encoding: chunked\r\n")
-	case req.ContentLength > 0 || bodyExpected(req.Method):
+	case req.ContentLength > 0 || needsContentLength(req.Method):
 		_, _ = w.WriteString("Content-Length: " + strconv.FormatInt(max(0, req.ContentLength), 10) + "\r\n")
 	}
 	for name, values := range req.Header {
@@ -213,40 +214,42 @@
 	_, _ = w.WriteString("\r\n")
 }
 
-// bodyExpected reports whether a request of a method has a length even if it is 0.
-func bodyExpected(method string) bool {
+// needsContentLength reports whether requests of a method carry a Content-Length even if it is
+// 0.
+func needsContentLength(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// receive reads the header of the request's answer, past those of earlier
-// requests. Surplus is set if there were any.
-func (c *upstreamConn) receive(req *http.Request, first bool) (resp *http.Response, surplus bool, err error) {
-	for range maxSurplus {
-		c.limit.N = maxAnswerHeader
+// receive reads the header of the response to req. It discards responses to earlier requests
+// and sets stale if there were any. It reads at most maxStaleResponses headers.
+func (c *upstreamConn) receive(req *http.Request, first bool) (resp *http.Response, stale bool, err error) {
+	for range maxStaleResponses {
+		c.limit.N = maxResponseHeader
 		resp, err = http.ReadResponse(c.br, req)
 		if err != nil {
 			if c.limit.N <= 0 {
-				err = errHeaderBound
+				err = errHeaderTooLong
 			}
-			return nil, surplus, err
+			return nil, stale, err
 		}
 		c.limit.N = 1<<63 - 1
 		if resp.StatusCode >= 100 && resp.StatusCode < 200 {
 			continue
 		}
-		if first || c.pool.opt.Matches(resp, req) || endsWithConnection(resp) {
-			return resp, surplus, nil
+		if first || c.pool.opt.Matches(resp, req) || closeDelimited(resp) {
+			return resp, stale, nil
 		}
-		surplus = true
+		stale = true
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-			return nil, surplus, err
+			return nil, stale, err
 		}
 	}
-	return nil, surplus, errSurplus
+	return nil, stale, errStaleResponses
 }
 
-// keepAlive reads how long an upstream keeps an idle connection, less the margin.
-func keepAlive(field string) (time.Duration, bool) {
+// parseKeepAlive returns the idle timeout from a Keep-Alive header field, less idleMargin. It
+// returns false if the field has no valid timeout.
+func parseKeepAlive(field string) (time.Duration, bool) {
 	for param := range strings.SplitSeq(field, ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(param), "timeout=")
 		if !ok {
@@ -261,21 +264,21 @@
 	return 0, false
 }
 
-// answerBody is the body of an answer. At its end the connection goes back to
-// the pool if nothing speaks against it.
-type answerBody struct {
+// responseBody is the body of a response. At its end the connection returns to the pool if it
+// can be reused.
+type responseBody struct {
 	io.ReadCloser
 	conn *upstreamConn
 	stop func() bool
-	// sent tells the end of a request body that is still being sent; nil if all
-	// was sent before the answer came.
+	// sent receives the result of sending the request body; nil if the body was sent before the
+	// response arrived.
 	sent  <-chan error
 	reuse bool
 	ended bool
 }
 
 // Read implements io.Reader.
-func (b *answerBody) Read(p []byte) (int, error) {
+func (b *responseBody) Read(p []byte) (int, error) {
 	if b.ended {
 		return 0, io.EOF
 	}
@@ -286,29 +289,29 @@
 	return n, err
 }
 
-// Close implements io.Closer. A body that is closed early closes its connection.
-func (b *answerBody) Close() error {
+// Close implements io.Closer. Closing before the end of the body closes the connection.
+func (b *responseBody) Close() error {
 	b.finish(false)
 	return nil
 }
 
-func (b *answerBody) finish(whole bool) {
+func (b *responseBody) finish(complete bool) {
 	if b.ended {
 		return
 	}
 	b.ended = true
 	cancelled := !b.stop()
-	if !whole || cancelled || !b.reuse || !b.allSent() || b.conn.br.Buffered() > 0 {
+	if !complete || cancelled || !b.reuse || !b.allSent() || b.conn.br.Buffered() > 0 {
 		b.conn.close()
 		return
 	}
 	b.conn.pool.put(b.conn)
 }
 
-// allSent reports whether the whole request had gone out when the answer ended.
-// After an answer that came early the upstream may still read the rest of the
-// body, so that nothing else may follow on the connection.
-func (b *answerBody) allSent() bool {
+// allSent reports whether the whole request had been sent when the response ended. After an
+// early response the upstream may still read the rest of the request body, so the connection
+// must not be reused.
+func (b *responseBody) allSent() bool {
 	if b.sent == nil {
 		return true
 	}
--- a/internal/forward/deadline.go
+++ b/internal/forward/deadline.go
@@ -7,41 +7,42 @@
 	"time"
 )
 
-// deadlines holds the requests under way by their deadlines. Timers go by the steady
-// clock, so that the deadline of a request which a suspension of the machine has passed
-// would be met only that much later: expire ends it at once. It is safe for concurrent use.
-type deadlines struct {
+// deadlineSet holds the deadlines of the requests in flight. Timers use the monotonic clock,
+// which stops while the machine is suspended, so a timer fires late by the time of the
+// suspension. expire ends such requests at once. It is safe for concurrent use.
+type deadlineSet struct {
 	mu     sync.Mutex
-	active map[*expiring]struct{}
+	active map[*deadlineContext]struct{}
 }
 
-// expiring is a context that ends at a time, with the error of a deadline.
-type expiring struct {
+// deadlineContext is a context that ends with context.DeadlineExceeded at its deadline.
+type deadlineContext struct {
 	context.Context
-	cancel  context.CancelFunc
-	at      time.Time
-	expired atomic.Bool
+	cancel   context.CancelFunc
+	deadline time.Time
+	expired  atomic.Bool
 }
 
 // Err implements context.Context.
-func (e *expiring) Err() error {
+func (e *deadlineContext) Err() error {
 	if e.expired.Load() {
 		return context.DeadlineExceeded
 	}
 	return e.Context.Err()
 }
 
-func (e *expiring) expire() {
+func (e *deadlineContext) expire() {
 	e.expired.Store(true)
 	e.cancel()
 }
 
-func newDeadlines() *deadlines { return &deadlines{active: make(map[*expiring]struct{})} }
+func newDeadlineSet() *deadlineSet { return &deadlineSet{active: make(map[*deadlineContext]struct{})} }
 
-// with returns a context that ends at a time of the caller's clock, and how to release it.
-func (d *deadlines) with(ctx context.Context, now, at time.Time) (context.Context, func()) {
+// withDeadline returns a context that ends at the time at, where now is the current time of the
+// caller's clock. The returned function releases the context.
+func (d *deadlineSet) withDeadline(ctx context.Context, now, at time.Time) (context.Context, func()) {
 	inner, cancel := context.WithCancel(ctx)
-	e := &expiring{Context: inner, cancel: cancel, at: at}
+	e := &deadlineContext{Context: inner, cancel: cancel, deadline: at}
 	timer := time.AfterFunc(at.Sub(now), e.expire)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -55,12 +56,12 @@
 	}
 }
 
-// expire ends the requests whose deadline has passed.
-func (d *deadlines) expire(now time.Time) {
+// expire ends the contexts whose deadline is not after now.
+func (d *deadlineSet) expire(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for e := range d.active {
-		if !now.Before(e.at) {
+		if !now.Before(e.deadline) {
 			e.expire()
 		}
 	}
--- a/internal/forward/deadline_test.go
+++ b/internal/forward/deadline_test.go
@@ -14,8 +14,9 @@
 )
 
 // TestShortRequestsAmongLongOnes adds a route of short requests to a service whose other
-// requests take long. All of them were refused with 503 as if they could not be answered in
-// time, and since none was sent nothing showed that they can.
+// requests take long. With a latency estimate for the whole service, the short requests would
+// all be rejected with 503 as too late, and since none would be sent, the estimate would never
+// be corrected.
 func TestShortRequestsAmongLongOnes(t *testing.T) {
 	const long, short = time.Second, 400 * time.Millisecond
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -26,7 +27,7 @@
 	}))
 	t.Cleanup(up.Close)
 	c := New(Options{
-		MaxInFlight: 100, Now: time.Now, Protocol: byRoutes{}, CapShares: share.NewBook(), Domain: "muscat-a",
+		MaxInFlight: 100, Now: time.Now, Protocol: configRoutes{}, CapShares: share.NewBook(), Domain: "muscat-a",
 		BootClock: func() int64 { return 0 }, NewID: func() string { return "own" }, Observe: func(Outcome) {},
 	})
 	route := func(name string, limit time.Duration) *model.Route {
--- a/internal/forward/fake_test.go
+++ b/internal/forward/fake_test.go
@@ -20,55 +20,56 @@
 	"github.com/loomkeel/loomkeel/internal/tree"
 )
 
-// behaviour is what a fake upstream does with one request.
+// behaviour is how a fake upstream handles one request.
 type behaviour int
 
 const (
-	answers behaviour = iota
-	// sheds answers 429 without running the request.
+	responds behaviour = iota
+	// sheds responds 429 without running the request.
 	sheds
-	// diesUnread closes without reading.
-	diesUnread
-	// diesRead reads the whole request, which counts as running it, and closes.
-	diesRead
-	// cuts runs the request and closes in the middle of the answer.
-	cuts
-	// cutsChunks runs the request and closes between two chunks of the answer.
-	cutsChunks
-	// unframed runs the request and ends the answer with the connection.
-	unframed
-	// mixesUp runs the request and answers under another request's id.
-	mixesUp
-	// hangs runs the request and answers nothing until the client leaves.
+	// closesUnread closes the connection without reading the request.
+	closesUnread
+	// closesAfterRead reads the whole request, which counts as running it, and closes the
+	// connection.
+	closesAfterRead
+	// truncates runs the request and closes the connection in the middle of the response.
+	truncates
+	// truncatesChunked runs the request and closes the connection between two chunks of the
+	// response.
+	truncatesChunked
+	// closesToEnd runs the request and marks the end of the response by closing the connection.
+	closesToEnd
+	// wrongID runs the request and responds with another request's ID.
+	wrongID
+	// hangs runs the request and does not respond until the client closes the connection.
 	hangs
 	behaviourCount
 )
 
-// receipt is a request that a fake upstream has read whole.
-type receipt struct {
+// receivedRequest is a request that a fake upstream has read completely.
+type receivedRequest struct {
 	id, path, body string
 	header         http.Header
 }
 
-// fake is an upstream on a raw listener, so that it can break off anywhere.
-type fake struct {
+// fakeUpstream is an upstream on a raw listener, so that it can break off at any point.
+type fakeUpstream struct {
 	lis  net.Listener
 	mu   sync.Mutex
 	next []behaviour
-	// always is what follows after next.
-	always behaviour
-	got    []receipt
-	// left receives a value when a client closes the connection of a hanging
-	// request.
-	left chan struct{}
+	// always is the behaviour after those in next.
+	always   behaviour
+	requests []receivedRequest
+	// clientClosed receives a value when a client closes the connection of a hanging request.
+	clientClosed chan struct{}
 }
 
-func newFake(t testing.TB, next ...behaviour) *fake {
+func newFakeUpstream(t testing.TB, next ...behaviour) *fakeUpstream {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fake{lis: lis, next: next, left: make(chan struct{}, 16)}
+	f := &fakeUpstream{lis: lis, next: next, clientClosed: make(chan struct{}, 16)}
 	t.Cleanup(func() { lis.Close() })
 	go func() {
 		for {
@@ -82,7 +83,7 @@
 	return f
 }
 
-func (f *fake) behave() behaviour {
+func (f *fakeUpstream) nextBehaviour() behaviour {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.next) == 0 {
@@ -93,21 +94,21 @@
 	return b
 }
 
-func (f *fake) receipts() []receipt {
+func (f *fakeUpstream) received() []receivedRequest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]receipt(nil), f.got...)
+	return append([]receivedRequest(nil), f.requests...)
 }
 
-func (f *fake) serve(c net.Conn) {
+func (f *fakeUpstream) serve(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
 		if _, err := r.Peek(1); err != nil {
 			return
 		}
-		b := f.behave()
-		if b == diesUnread {
+		b := f.nextBehaviour()
+		if b == closesUnread {
 			return
 		}
 		req, err := http.ReadRequest(r)
@@ -121,7 +122,7 @@
 		id := req.Header.Get(header.RequestID)
 		if b != sheds {
 			f.mu.Lock()
-			f.got = append(f.got, receipt{id, req.URL.RequestURI(), string(body), req.Header})
+			f.requests = append(f.requests, receivedRequest{id, req.URL.RequestURI(), string(body), req.Header})
 			f.mu.Unlock()
 		}
 		if !f.reply(c, r, b, id) {
@@ -130,43 +131,42 @@
 	}
 }
 
-// reply answers in the way of a behaviour, and reports whether the connection
-// goes on.
-func (f *fake) reply(c net.Conn, r *bufio.Reader, b behaviour, id string) bool {
+// reply responds according to a behaviour and reports whether the connection stays open.
+func (f *fakeUpstream) reply(c net.Conn, r *bufio.Reader, b behaviour, id string) bool {
 	switch b {
-	case diesRead:
+	case closesAfterRead:
 		return false
 	case sheds:
 		fmt.Fprintf(c, "HTTP/1.1 429 Too Many Requests\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n")
 		return true
-	case cuts:
+	case truncates:
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf of the")
 		return false
-	case cutsChunks:
+	case truncatesChunked:
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n")
 		return false
-	case unframed:
+	case closesToEnd:
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n\r\nwho knows")
 		return false
-	case mixesUp:
+	case wrongID:
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: of-another\r\nContent-Length: 7\r\n\r\nanother", header.RequestID)
 		return true
 	case hangs:
 		_, _ = r.ReadByte()
-		f.left <- struct{}{}
+		f.clientClosed <- struct{}{}
 		return false
 	}
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\nanswer to %s", header.RequestID, id, len("answer to ")+len(id), id)
 	return true
 }
 
-// entry is a Carrier behind a real server, in front of fakes.
+// entry is a Proxy behind an HTTP server, in front of fakes.
 type entry struct {
 	*Proxy
 	url string
 }
 
-func newEntry(t testing.TB, fakes []*fake, edits ...tree.Edit) *entry {
+func newEntry(t testing.TB, fakes []*fakeUpstream, edits ...tree.Edit) *entry {
 	t.Helper()
 	n := 0
 	var mu sync.Mutex
@@ -196,16 +196,16 @@
 	return &entry{c, srv.URL}
 }
 
-// told is what the caller got.
-type told struct {
+// result is what the caller received.
+type result struct {
 	status  int
 	body    string
 	header  http.Header
 	bodyErr error
 }
 
-// send sends a request and reads its answer.
-func (e *entry) send(t testing.TB, method, path, body string, fields ...string) told {
+// send sends a request and reads the response.
+func (e *entry) send(t testing.TB, method, path, body string, fields ...string) result {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
@@ -219,18 +219,19 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return told{bodyErr: err}
+		return result{bodyErr: err}
 	}
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
-	return told{resp.StatusCode, string(b), resp.Header, err}
+	return result{resp.StatusCode, string(b), resp.Header, err}
 }
 
 func bodyOf(s string) io.Reader {
 	if s == "" {
 		return nil
 	}
-	// Not a strings.Reader, so that the test's own client cannot repeat it.
+	// The reader is not a strings.Reader, so that the test's own client cannot repeat the
+	// request.
 	return io.MultiReader(newString(s))
 }
 
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -20,7 +20,7 @@
 	"github.com/loomkeel/loomkeel/internal/verdict"
 )
 
-func (a told) verdict(t testing.TB) verdict.Verdict {
+func (a result) verdict(t testing.TB) verdict.Verdict {
 	t.Helper()
 	if a.bodyErr != nil {
 		return verdict.MayHaveRun
@@ -36,34 +36,34 @@
 	return v
 }
 
-// TestUnsafeIsNeverRepeated lets an upstream read the request and close, on a
-// fresh connection and on one that served a request before. net/http would send
-// such a request again by itself if it has an Idempotency-Key.
+// TestUnsafeIsNeverRepeated makes an upstream read the request and close the connection, for a
+// new connection and for a reused one. net/http would resend such a request by itself because
+// of its Idempotency-Key.
 func TestUnsafeIsNeverRepeated(t *testing.T) {
 	for _, reused := range []bool{false, true} {
 		for _, method := range []string{"POST", "GET", "DELETE"} {
 			t.Run(fmt.Sprint(method, " reused ", reused), func(t *testing.T) {
-				next := []behaviour{diesRead}
+				next := []behaviour{closesAfterRead}
 				if reused {
-					next = []behaviour{answers, diesRead}
+					next = []behaviour{responds, closesAfterRead}
 				}
-				f := newFake(t, next...)
-				e := newEntry(t, []*fake{f, newFake(t, diesRead)}[:1])
+				f := newFakeUpstream(t, next...)
+				e := newEntry(t, []*fakeUpstream{f, newFakeUpstream(t, closesAfterRead)}[:1])
 				if reused {
 					e.send(t, "GET", "/warm", "")
 				}
 				a := e.send(t, method, "/order", "", header.Repeat, "unsafe", header.RequestID, "order-1", "Idempotency-Key", "k1")
 				if a.verdict(t) != verdict.MayHaveRun || a.status != http.StatusBadGateway {
-					t.Errorf("told %v, status %d", a.verdict(t), a.status)
+					t.Errorf("verdict %v, status %d", a.verdict(t), a.status)
 				}
 				n := 0
-				for _, r := range f.receipts() {
+				for _, r := range f.received() {
 					if r.id == "order-1" {
 						n++
 					}
 				}
 				if n != 1 {
-					t.Errorf("ran %d times", n)
+					t.Errorf("the request ran %d times", n)
 				}
 			})
 		}
@@ -79,25 +79,25 @@
 		verdict       verdict.Verdict
 		runs          int
 	}{
-		{"safe goes on after a death", []behaviour{diesRead, diesRead, diesRead}, nil, "GET", 200, verdict.Ran, -1},
-		{"safe goes on after a cut answer", []behaviour{cuts, cuts, cuts}, nil, "GET", 200, verdict.Ran, -1},
-		{"unsafe stops after a cut answer", []behaviour{cuts}, []behaviour{cuts}, "POST", 502, verdict.MayHaveRun, 1},
-		{"unsafe goes on after a shed", []behaviour{sheds, sheds, sheds}, nil, "POST", 200, verdict.Ran, 1},
-		{"shed everywhere is not run", []behaviour{sheds, sheds, sheds}, []behaviour{sheds, sheds, sheds}, "POST", 503, verdict.NotRun, 0},
-		{"an answer to another request is not passed on", []behaviour{mixesUp}, []behaviour{mixesUp}, "POST", 502, verdict.MayHaveRun, 1},
-		{"an answer without an end is not passed on", []behaviour{unframed}, []behaviour{unframed}, "POST", 502, verdict.MayHaveRun, 1},
-		{"unread may have run", []behaviour{diesUnread}, []behaviour{diesUnread}, "POST", 502, verdict.MayHaveRun, 0},
+		{"safe request is retried after a closed connection", []behaviour{closesAfterRead, closesAfterRead, closesAfterRead}, nil, "GET", 200, verdict.Ran, -1},
+		{"safe request is retried after a truncated response", []behaviour{truncates, truncates, truncates}, nil, "GET", 200, verdict.Ran, -1},
+		{"unsafe request is not retried after a truncated response", []behaviour{truncates}, []behaviour{truncates}, "POST", 502, verdict.MayHaveRun, 1},
+		{"unsafe request is retried after a shed", []behaviour{sheds, sheds, sheds}, nil, "POST", 200, verdict.Ran, 1},
+		{"request shed by all upstreams has not run", []behaviour{sheds, sheds, sheds}, []behaviour{sheds, sheds, sheds}, "POST", 503, verdict.NotRun, 0},
+		{"response to another request is not passed on", []behaviour{wrongID}, []behaviour{wrongID}, "POST", 502, verdict.MayHaveRun, 1},
+		{"close-delimited response is not passed on", []behaviour{closesToEnd}, []behaviour{closesToEnd}, "POST", 502, verdict.MayHaveRun, 1},
+		{"unread request may have run", []behaviour{closesUnread}, []behaviour{closesUnread}, "POST", 502, verdict.MayHaveRun, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			a, b := newFake(t, tt.first...), newFake(t, tt.second...)
-			e := newEntry(t, []*fake{a, b})
+			a, b := newFakeUpstream(t, tt.first...), newFakeUpstream(t, tt.second...)
+			e := newEntry(t, []*fakeUpstream{a, b})
 			got := e.send(t, tt.method, "/x", "", header.RequestID, "r1")
 			if got.status != tt.status || got.verdict(t) != tt.verdict {
-				t.Errorf("status %d, told %v; want %d, %v", got.status, got.verdict(t), tt.status, tt.verdict)
+				t.Errorf("status %d, verdict %v; want %d, %v", got.status, got.verdict(t), tt.status, tt.verdict)
 			}
-			if n := len(a.receipts()) + len(b.receipts()); tt.runs >= 0 && n != tt.runs {
-				t.Errorf("ran %d times, want %d", n, tt.runs)
+			if n := len(a.received()) + len(b.received()); tt.runs >= 0 && n != tt.runs {
+				t.Errorf("the request ran %d times, want %d", n, tt.runs)
 			}
 			if tt.status == 200 && got.body != "answer to r1" {
 				t.Errorf("body %q", got.body)
@@ -106,17 +106,17 @@
 	}
 }
 
-// TestVerdictsNeverLie sends requests to upstreams that behave at random. One
-// told not run must not have run, an unsafe one must not run twice, and a good
-// answer must be whole and the request's own.
-func TestVerdictsNeverLie(t *testing.T) {
+// TestVerdictsMatchExecution sends requests to upstreams with random behaviour. A request with
+// the verdict not-run must not have run, an unsafe request must not run twice, and a successful
+// response must be complete and belong to the request.
+func TestVerdictsMatchExecution(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(11)
 	params.MinSuccessfulTests = 40
 	props := gopter.NewProperties(params)
-	props.Property("told as it was", prop.ForAll(func(plan []int) string {
-		var fakes []*fake
+	props.Property("verdicts match executions", prop.ForAll(func(plan []int) string {
+		var fakes []*fakeUpstream
 		for i := range 3 {
-			f := newFake(t)
+			f := newFakeUpstream(t)
 			for j, b := range plan {
 				if j%3 == i {
 					f.next = append(f.next, behaviour(b))
@@ -128,10 +128,10 @@
 		for i := range len(plan) {
 			id := fmt.Sprint("r", i)
 			safe := i%2 == 0
-			mark := map[bool]string{true: "safe", false: "unsafe"}[safe]
-			a := e.send(t, "POST", "/x", "body of "+id, header.RequestID, id, header.Repeat, mark, "Idempotency-Key", id)
-			if fault := judge(t, fakes, id, safe, a); fault != "" {
-				return fault
+			repeat := map[bool]string{true: "safe", false: "unsafe"}[safe]
+			a := e.send(t, "POST", "/x", "body of "+id, header.RequestID, id, header.Repeat, repeat, "Idempotency-Key", id)
+			if failure := checkRequest(t, fakes, id, safe, a); failure != "" {
+				return failure
 			}
 		}
 		return ""
@@ -139,71 +139,71 @@
 	props.TestingRun(t)
 }
 
-func judge(t *testing.T, fakes []*fake, id string, safe bool, a told) string {
+func checkRequest(t *testing.T, fakes []*fakeUpstream, id string, safe bool, a result) string {
 	runs := 0
 	for _, f := range fakes {
-		for _, r := range f.receipts() {
+		for _, r := range f.received() {
 			if r.id != id {
 				continue
 			}
 			runs++
 			if r.body != "body of "+id {
-				return fmt.Sprintf("%s reached an upstream as %q", id, r.body)
+				return fmt.Sprintf("%s reached an upstream with the body %q", id, r.body)
 			}
 		}
 	}
 	v := a.verdict(t)
 	switch {
 	case v == verdict.NotRun && runs > 0:
-		return fmt.Sprintf("%s was told not run, ran %d times", id, runs)
+		return fmt.Sprintf("%s has the verdict not-run, but ran %d times", id, runs)
 	case !safe && runs > 1:
-		return fmt.Sprintf("unsafe %s ran %d times", id, runs)
+		return fmt.Sprintf("unsafe request %s ran %d times", id, runs)
 	case a.status == 200 && a.bodyErr == nil && a.body != "answer to "+id:
-		return fmt.Sprintf("%s was answered %q", id, a.body)
+		return fmt.Sprintf("%s got the response %q", id, a.body)
 	case a.status == 200 && a.bodyErr == nil && runs == 0:
-		return fmt.Sprintf("%s was answered, but never ran", id)
+		return fmt.Sprintf("%s got a successful response, but never ran", id)
 	}
 	return ""
 }
 
-// TestCutStreamIsNotWhole cuts an answer whose length the caller cannot know.
-func TestCutStreamIsNotWhole(t *testing.T) {
-	e := newEntry(t, []*fake{newFake(t, cutsChunks)})
+// TestTruncatedStreamIsReported truncates a chunked response. The caller must get an error.
+func TestTruncatedStreamIsReported(t *testing.T) {
+	e := newEntry(t, []*fakeUpstream{newFakeUpstream(t, truncatesChunked)})
 	if a := e.send(t, "POST", "/photo", ""); a.bodyErr == nil {
-		t.Errorf("the caller took %q for a whole answer", a.body)
+		t.Errorf("the caller got %q as a complete response", a.body)
 	}
 }
 
 func TestUnreachableIsNotRun(t *testing.T) {
-	gone := newFake(t)
+	gone := newFakeUpstream(t)
 	gone.lis.Close()
-	e := newEntry(t, []*fake{gone})
+	e := newEntry(t, []*fakeUpstream{gone})
 	a := e.send(t, "POST", "/x", "")
 	if a.status != http.StatusServiceUnavailable || a.verdict(t) != verdict.NotRun || a.header.Get("Retry-After") == "" {
-		t.Errorf("status %d, told %v, Retry-After %q", a.status, a.verdict(t), a.header.Get("Retry-After"))
+		t.Errorf("status %d, verdict %v, Retry-After %q", a.status, a.verdict(t), a.header.Get("Retry-After"))
 	}
-	up := newFake(t)
-	e = newEntry(t, []*fake{gone, gone, up})
-	if a := e.send(t, "POST", "/x", "", header.RequestID, "r1"); a.status != 200 || len(up.receipts()) != 1 {
-		t.Errorf("status %d, ran %d times", a.status, len(up.receipts()))
+	up := newFakeUpstream(t)
+	e = newEntry(t, []*fakeUpstream{gone, gone, up})
+	if a := e.send(t, "POST", "/x", "", header.RequestID, "r1"); a.status != 200 || len(up.received()) != 1 {
+		t.Errorf("status %d, the request ran %d times", a.status, len(up.received()))
 	}
 }
 
-// TestDeadlineEndsTheWait tells the caller at once when the time is up, and the
-// upstream by closing.
-func TestDeadlineEndsTheWait(t *testing.T) {
-	f := newFake(t, hangs)
-	e := newEntry(t, []*fake{f})
+// TestDeadlineCancelsRequest checks that at the deadline the caller gets its response and the
+// upstream's connection is closed.
+func TestDeadlineCancelsRequest(t *testing.T) {
+	f := newFakeUpstream(t, hangs)
+	e := newEntry(t, []*fakeUpstream{f})
 	a := e.send(t, "POST", "/x", "", header.Deadline, "100")
 	if a.status != http.StatusGatewayTimeout || a.verdict(t) != verdict.MayHaveRun {
-		t.Errorf("status %d, told %v", a.status, a.verdict(t))
+		t.Errorf("status %d, verdict %v", a.status, a.verdict(t))
 	}
-	<-f.left
+	<-f.clientClosed
 }
 
-func TestCancellationReachesTheUpstream(t *testing.T) {
-	f := newFake(t, hangs)
-	e := newEntry(t, []*fake{f})
+func TestCancellationReachesUpstream(t *testing.T) {
+	f := newFakeUpstream(t, hangs)
+	e := newEntry(t, []*fakeUpstream{f})
 	ctx, cancel := context.WithCancel(t.Context())
 	req, _ := http.NewRequestWithContext(ctx, "GET", e.url+"/x", nil)
 	req.Header.Set(header.Service, "orders")
@@ -212,49 +212,50 @@
 		_, err := http.DefaultClient.Do(req)
 		done <- err
 	}()
-	for len(f.receipts()) == 0 {
+	for len(f.received()) == 0 {
 		continue
 	}
 	cancel()
-	<-f.left
+	<-f.clientClosed
 	if <-done == nil {
-		t.Error("a cancelled request was answered")
+		t.Error("a cancelled request got a response")
 	}
 }
 
-func TestBadMarksAreRefused(t *testing.T) {
-	f := newFake(t)
-	e := newEntry(t, []*fake{f})
+func TestInvalidHeadersAreRejected(t *testing.T) {
+	f := newFakeUpstream(t)
+	e := newEntry(t, []*fakeUpstream{f})
 	for _, h := range [][]string{{header.Repeat, "often"}, {header.Deadline, "soon"}, {header.Deadline, "-5"}} {
 		a := e.send(t, "POST", "/x", "", h...)
 		if a.status != http.StatusBadRequest || a.verdict(t) != verdict.NotRun || !strings.Contains(a.body, h[1]) {
-			t.Errorf("%v: status %d, told %v: %s", h, a.status, a.verdict(t), a.body)
+			t.Errorf("%v: status %d, verdict %v: %s", h, a.status, a.verdict(t), a.body)
 		}
 	}
 	if a := e.send(t, "POST", "/x", "", header.Service, "nosuch"); a.status != http.StatusNotFound {
 		t.Errorf("unknown service: status %d", a.status)
 	}
-	if n := len(f.receipts()); n != 0 {
-		t.Errorf("%d refused requests ran", n)
+	if n := len(f.received()); n != 0 {
+		t.Errorf("%d rejected requests ran", n)
 	}
 }
 
-// TestServiceSettingOutranksTheMark keeps a caller from marking an order safe.
-func TestServiceSettingOutranksTheMark(t *testing.T) {
+// TestServiceSettingOverridesRepeatHeader checks that a caller cannot mark requests as safe
+// that the service's setting declares unsafe.
+func TestServiceSettingOverridesRepeatHeader(t *testing.T) {
 	edit := tree.Edit{Path: "/services/orders", Key: tree.KeyRepeat, Value: tree.RepeatUnsafe}
-	a, b := newFake(t, diesRead), newFake(t, diesRead)
-	e := newEntry(t, []*fake{a, b}, edit)
+	a, b := newFakeUpstream(t, closesAfterRead), newFakeUpstream(t, closesAfterRead)
+	e := newEntry(t, []*fakeUpstream{a, b}, edit)
 	e.send(t, "GET", "/x", "", header.Repeat, "safe")
-	if n := len(a.receipts()) + len(b.receipts()); n != 1 {
-		t.Errorf("ran %d times", n)
+	if n := len(a.received()) + len(b.received()); n != 1 {
+		t.Errorf("the request ran %d times", n)
 	}
 }
 
 func TestHeaders(t *testing.T) {
-	f := newFake(t)
-	e := newEntry(t, []*fake{f})
+	f := newFakeUpstream(t)
+	e := newEntry(t, []*fakeUpstream{f})
 	e.send(t, "GET", "/p%2Fq?a=b", "", "Connection", "X-Hop", "X-Hop", "1", "X-End", "2", "Loomkeel-Secret", "3", header.Deadline, "4000")
-	r := f.receipts()[0]
+	r := f.received()[0]
 	if r.path != "/p%2Fq?a=b" {
 		t.Errorf("path %q", r.path)
 	}
@@ -268,9 +269,9 @@
 	}
 }
 
-func TestStopNamesOthers(t *testing.T) {
-	f := newFake(t)
-	e := newEntry(t, []*fake{f})
+func TestStoppedEntryNamesOtherEntries(t *testing.T) {
+	f := newFakeUpstream(t)
+	e := newEntry(t, []*fakeUpstream{f})
 	e.Stop()
 	a := e.send(t, "POST", "/x", "")
 	var body ErrorResponse
@@ -282,21 +283,21 @@
 	}
 }
 
-// TestUploadArrivesWhole streams a body that is too large to be kept.
-func TestUploadArrivesWhole(t *testing.T) {
-	f := newFake(t)
-	e := newEntry(t, []*fake{f})
+// TestLongUploadIsForwarded streams a body that is too long to be buffered.
+func TestLongUploadIsForwarded(t *testing.T) {
+	f := newFakeUpstream(t)
+	e := newEntry(t, []*fakeUpstream{f})
 	photo := strings.Repeat("0123456789abcdef", 100_000)
-	if a := e.send(t, "POST", "/photo", photo); a.status != 200 || f.receipts()[0].body != photo {
-		t.Errorf("status %d, %d bytes arrived", a.status, len(f.receipts()[0].body))
+	if a := e.send(t, "POST", "/photo", photo); a.status != 200 || f.received()[0].body != photo {
+		t.Errorf("status %d, %d bytes arrived", a.status, len(f.received()[0].body))
 	}
 }
 
-// TestCutUploadIsNotRun breaks off an upload: the upstream must not take the
-// part for the whole.
-func TestCutUploadIsNotRun(t *testing.T) {
-	f := newFake(t)
-	e := newEntry(t, []*fake{f})
+// TestTruncatedUploadIsNotRun breaks off uploads. The upstream must not take the part for the
+// whole body.
+func TestTruncatedUploadIsNotRun(t *testing.T) {
+	f := newFakeUpstream(t)
+	e := newEntry(t, []*fakeUpstream{f})
 	for _, framing := range []string{"Content-Length: 1000", "Transfer-Encoding: chunked"} {
 		conn, err := net.Dial("tcp", strings.TrimPrefix(e.url, "http://"))
 		if err != nil {
@@ -307,25 +308,25 @@
 		_, _ = io.Copy(io.Discard, conn)
 		conn.Close()
 	}
-	if n := len(f.receipts()); n != 0 {
-		t.Errorf("%d cut uploads were taken for whole", n)
+	if n := len(f.received()); n != 0 {
+		t.Errorf("%d truncated uploads were run as complete", n)
 	}
 	for _, u := range e.Dump()["orders"].Upstreams {
 		if u.Failures != 0 {
-			t.Errorf("%d cut uploads count as failures of the upstream", u.Failures)
+			t.Errorf("%d truncated uploads count as failures of the upstream", u.Failures)
 		}
 	}
 }
 
-// TestTooLargeUpload refuses a body over the bound before it is sent, and cuts
-// one whose length is not told.
+// TestTooLargeUpload checks that a body over the limit is rejected before it is sent if its
+// length is known, and otherwise is cut off.
 func TestTooLargeUpload(t *testing.T) {
-	f := newFake(t)
-	e := newEntry(t, []*fake{f})
+	f := newFakeUpstream(t)
+	e := newEntry(t, []*fakeUpstream{f})
 	e.opt.MaxBody = 1000
 	a := e.send(t, "POST", "/photo", strings.Repeat("x", 5000))
 	if a.status != http.StatusRequestEntityTooLarge || a.verdict(t) != verdict.MayHaveRun {
-		t.Errorf("status %d, told %v", a.status, a.verdict(t))
+		t.Errorf("status %d, verdict %v", a.status, a.verdict(t))
 	}
 	req, _ := http.NewRequest("POST", e.url+"/photo", strings.NewReader(strings.Repeat("x", 5000)))
 	req.Header.Set(header.Service, "orders")
@@ -335,9 +336,9 @@
 	}
 	resp.Body.Close()
 	if resp.StatusCode != http.StatusRequestEntityTooLarge || resp.Header.Get(verdict.Header) != "not-run" {
-		t.Errorf("with its length told: status %d, %s", resp.StatusCode, resp.Header.Get(verdict.Header))
+		t.Errorf("upload with a known length: status %d, verdict %s", resp.StatusCode, resp.Header.Get(verdict.Header))
 	}
-	if n := len(f.receipts()); n != 0 {
-		t.Errorf("%d ran", n)
+	if n := len(f.received()); n != 0 {
+		t.Errorf("%d requests ran", n)
 	}
 }
--- a/internal/forward/header.go
+++ b/internal/forward/header.go
@@ -7,26 +7,27 @@
 	"github.com/loomkeel/loomkeel/internal/header"
 )
 
-// hopHeaders concern one connection only (RFC 9110, section 7.6.1).
-var hopHeaders = []string{
+// hopByHopHeaders apply to a single connection (RFC 9110, section 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// dropHop removes the headers that must not be passed on.
-func dropHop(h http.Header) {
+// removeHopHeaders removes the hop-by-hop headers, including those that the Connection header
+// lists.
+func removeHopHeaders(h http.Header) {
 	for _, list := range h["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
 			h.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		h.Del(name)
 	}
 }
 
-// dropOwn removes loomkeel's own headers.
-func dropOwn(h http.Header) {
+// removeOwnHeaders removes the headers that start with header.Prefix.
+func removeOwnHeaders(h http.Header) {
 	for name := range h {
 		if strings.HasPrefix(name, header.Prefix) {
 			delete(h, name)
--- a/internal/forward/limit.go
+++ b/internal/forward/limit.go
@@ -8,78 +8,80 @@
 	"github.com/loomkeel/loomkeel/internal/verdict"
 )
 
-// reasonOverLimit means that the organisation has as many requests as it may.
+// reasonOverLimit means that the request's organisation has reached its limit.
 const reasonOverLimit = "over-limit"
 
-// spendLimit takes a request out of its organisation's limit, or returns the refusal. A request
-// that is refused later or that no upstream runs is given back by refundLimit.
-func (c *Proxy) spendLimit(cl *call) *refusal {
+// takeLimit counts a request against the limit of its organisation, or returns the response to
+// reject it. refundLimit undoes the counting if the request is rejected later or no upstream
+// runs it.
+func (p *Proxy) takeLimit(cl *call) *localReply {
 	if cl.Organisation == nil {
 		return nil
 	}
-	ok, retryAfter := c.limits.Take(cl.Organisation.Name, c.now())
+	ok, retryAfter := p.limits.Take(cl.Organisation.Name, p.now())
 	if ok {
-		cl.paid = true
+		cl.charged = true
 		return nil
 	}
-	return &refusal{status: http.StatusTooManyRequests, reason: reasonOverLimit, verdict: verdict.NotRun, retryAfter: retryAfter}
+	return &localReply{status: http.StatusTooManyRequests, reason: reasonOverLimit, verdict: verdict.NotRun, retryAfter: retryAfter}
 }
 
-// refundLimit gives back what a request was let through for if it has not run.
-func (c *Proxy) refundLimit(cl *call) {
-	if cl.paid {
-		c.limits.Return(cl.Organisation.Name, c.now())
+// refundLimit undoes the counting of a request that has not run.
+func (p *Proxy) refundLimit(cl *call) {
+	if cl.charged {
+		p.limits.Return(cl.Organisation.Name, p.now())
 	}
 }
 
-// charge counts an attempt against the limit. A further one may be a second run.
-func (c *Proxy) charge(cl *call) {
-	if cl.Organisation != nil && !cl.paid {
-		c.limits.Charge(cl.Organisation.Name, c.now())
-		cl.paid = true
+// charge counts an attempt against the limit, unless the request is counted already. A retry
+// after an attempt that may have run counts again, because the request may run twice.
+func (p *Proxy) charge(cl *call) {
+	if cl.Organisation != nil && !cl.charged {
+		p.limits.Charge(cl.Organisation.Name, p.now())
+		cl.charged = true
 	}
 }
 
-// noteRun records whether an attempt may have run, and so has used what it was let
-// through for.
-func (cl *call) noteRun(err *verdict.Error) {
+// recordRun makes the count final if the attempt may have run: refundLimit then does not undo
+// it.
+func (c *call) recordRun(err *verdict.Error) {
 	if err == nil || err.Verdict != verdict.NotRun {
-		cl.paid = false
+		c.charged = false
 	}
 }
 
-// rebind binds the next attempt to the configuration in force: to the regions that it
-// allows, and to the organisation that holds the key now. The request may have come under
-// another configuration some time ago: it may have waited for its body, or an attempt may
-// have broken off late. It is not sent, nor sent again, once its key was taken away. A
-// request whose route is gone keeps the one that it came under.
-func (c *Proxy) rebind(r *http.Request, cl *call) *refusal {
-	snap := c.snap.Load()
-	if cl.Route == nil || snap.Revision == cl.version {
+// refreshConfig applies the configuration in force to the next attempt: the regions that it
+// allows, and the organisation that the request's key now belongs to. The configuration may
+// have changed since the request arrived, for example while its body was awaited or an attempt
+// was in progress. It returns a rejection if the key has been revoked, so that the request is
+// not sent again. A request whose route has been removed keeps the route that it arrived with.
+func (p *Proxy) refreshConfig(r *http.Request, cl *call) *localReply {
+	snap := p.snap.Load()
+	if cl.Route == nil || snap.Revision == cl.configVersion {
 		return nil
 	}
-	cl.version = snap.Revision
-	ask, fault := c.opt.Protocol.ParseRequest(r, snap)
-	if fault != nil && fault.Status == http.StatusUnauthorized {
-		return fault.refusal()
+	cl.configVersion = snap.Revision
+	info, reqErr := p.opt.Protocol.ParseRequest(r, snap)
+	if reqErr != nil && reqErr.Status == http.StatusUnauthorized {
+		return reqErr.localReply()
 	}
-	if fault != nil || ask.Route == nil {
+	if reqErr != nil || info.Route == nil {
 		return nil
 	}
-	c.refundLimit(cl)
-	wasPaid := cl.paid
-	cl.paid, cl.Organisation = false, ask.Organisation
-	if wasPaid {
-		c.charge(cl)
+	p.refundLimit(cl)
+	wasCharged := cl.charged
+	cl.charged, cl.Organisation = false, info.Organisation
+	if wasCharged {
+		p.charge(cl)
 	}
-	cl.allows = ask.allows
+	cl.allows = info.allows
 	return nil
 }
 
 // send makes one attempt and counts it against the organisation's limit.
-func (c *Proxy) send(ctx context.Context, r *http.Request, cl *call, to balance.Choice) (*answer, *verdict.Error) {
-	c.charge(cl)
-	ans, err := c.attempt(ctx, r, cl, to)
-	cl.noteRun(err)
-	return ans, err
+func (p *Proxy) send(ctx context.Context, r *http.Request, cl *call, to balance.Choice) (*upstreamResponse, *verdict.Error) {
+	p.charge(cl)
+	res, err := p.attempt(ctx, r, cl, to)
+	cl.recordRun(err)
+	return res, err
 }
--- a/internal/forward/native.go
+++ b/internal/forward/native.go
@@ -15,33 +15,35 @@
 	"github.com/loomkeel/loomkeel/internal/verdict"
 )
 
-// Native is the project's own Protocol; package header names its headers.
+// Native is the project's own Protocol. Package header defines its headers.
 type Native struct{}
 
-// maxRequestID is the largest length of a request id from a caller in bytes.
+// maxRequestID is the largest length in bytes of a request ID from a caller. A longer ID is
+// replaced.
 const maxRequestID = 64
 
-// ParseRequest implements Protocol. A request names its service by header or by host.
+// ParseRequest implements Protocol. The service is taken from header.Service or, without that
+// header, from the host.
 func (Native) ParseRequest(r *http.Request, snap *model.Snapshot) (RequestInfo, *RequestError) {
 	name, known := serviceName(r, snap)
 	svc := snap.Services[name]
 	if svc == nil || !known {
-		detail := fmt.Sprintf("unknown service %q: name one by %s or by host", name, header.Service)
+		detail := fmt.Sprintf("unknown service %q: set the header %s or use a host of a service", name, header.Service)
 		return RequestInfo{}, &RequestError{http.StatusNotFound, "unknown-service", detail}
 	}
 	safe, err := isSafe(r, svc)
 	if err != nil {
 		return RequestInfo{}, badRequest(err)
 	}
-	limit, err := timeLimit(r)
+	timeout, err := parseTimeout(r)
 	if err != nil {
 		return RequestInfo{}, badRequest(err)
 	}
-	a := RequestInfo{Service: name, Safe: safe, Timeout: limit}
+	info := RequestInfo{Service: name, Safe: safe, Timeout: timeout}
 	if id := r.Header.Get(header.RequestID); len(id) <= maxRequestID {
-		a.ID = id
+		info.ID = id
 	}
-	return a, nil
+	return info, nil
 }
 
 func badRequest(err error) *RequestError {
@@ -60,75 +62,75 @@
 	return name, ok
 }
 
-// isSafe tells whether a request may be repeated: by the caller's mark, else by
-// the service's setting, else by its method. A mark can make a request unsafe
-// that the method would make safe, and the other way round, but it cannot make
-// one safe that the service's setting calls unsafe.
+// isSafe reports whether a request may run more than once: by the caller's header.Repeat, else
+// by the service's setting, else by the method. The header may override the method either way,
+// but it cannot make a request safe that the service's setting declares unsafe.
 func isSafe(r *http.Request, svc *model.Service) (bool, error) {
-	mark := r.Header.Get(header.Repeat)
-	if mark != "" && mark != tree.RepeatSafe && mark != tree.RepeatUnsafe {
-		return false, fmt.Errorf("%s is %q, allowed are %s and %s", header.Repeat, mark, tree.RepeatSafe, tree.RepeatUnsafe)
+	repeat := r.Header.Get(header.Repeat)
+	if repeat != "" && repeat != tree.RepeatSafe && repeat != tree.RepeatUnsafe {
+		return false, fmt.Errorf("header %s has the value %q, allowed values are %q and %q", header.Repeat, repeat, tree.RepeatSafe, tree.RepeatUnsafe)
 	}
 	switch {
-	case svc.Repeat == tree.RepeatUnsafe, mark == tree.RepeatUnsafe:
+	case svc.Repeat == tree.RepeatUnsafe, repeat == tree.RepeatUnsafe:
 		return false, nil
-	case svc.Repeat == tree.RepeatSafe, mark == tree.RepeatSafe:
+	case svc.Repeat == tree.RepeatSafe, repeat == tree.RepeatSafe:
 		return true, nil
 	}
 	return r.Method == http.MethodGet || r.Method == http.MethodHead, nil
 }
 
-func timeLimit(r *http.Request) (time.Duration, error) {
+func parseTimeout(r *http.Request) (time.Duration, error) {
 	s := r.Header.Get(header.Deadline)
 	if s == "" {
 		return 0, nil
 	}
 	ms, err := strconv.ParseInt(s, 10, 32)
 	if err != nil || ms <= 0 {
-		return 0, fmt.Errorf("%s is %q, allowed are whole milliseconds above 0", header.Deadline, s)
+		return 0, fmt.Errorf("header %s has the value %q, allowed values are whole milliseconds above 0", header.Deadline, s)
 	}
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
 // SetRequestHeaders implements Protocol.
-func (Native) SetRequestHeaders(h http.Header, ask *RequestInfo, _ *model.Upstream, left time.Duration) {
-	dropOwn(h)
-	h.Set(header.RequestID, ask.ID)
+func (Native) SetRequestHeaders(h http.Header, info *RequestInfo, _ *model.Upstream, left time.Duration) {
+	removeOwnHeaders(h)
+	h.Set(header.RequestID, info.ID)
 	h.Set(header.Deadline, strconv.FormatInt(max(1, left.Milliseconds()), 10))
 }
 
-// ParseResponse implements Protocol. An answer that ends with its connection is refused:
-// nobody could tell it from a cut one.
-func (Native) ParseResponse(resp *http.Response, ask *RequestInfo, svc *model.Service) ResponseInfo {
-	t := ResponseInfo{Load: -1, Waiting: -1}
+// ParseResponse implements Protocol. A response that is delimited by the end of its connection
+// is invalid, because it cannot be distinguished from a truncated one.
+func (Native) ParseResponse(resp *http.Response, info *RequestInfo, svc *model.Service) ResponseInfo {
+	out := ResponseInfo{Load: -1, Waiting: -1}
 	if load, err := strconv.Atoi(resp.Header.Get(header.Load)); err == nil {
-		t.Load = load
+		out.Load = load
 	}
-	t.Draining = resp.Header.Get(header.State) == header.StateDraining
+	out.Draining = resp.Header.Get(header.State) == header.StateDraining
 	echo := resp.Header.Get(header.RequestID)
 	switch {
 	case slices.Contains(svc.NotRunStatuses, resp.StatusCode):
-		t.NotRunReason = ReasonShed
-		t.Rate, _, _ = ParseRate(resp, header.RateLimit)
-	case echo != "" && echo != ask.ID:
-		t.InvalidReason = ReasonMismatch
-	case endsWithConnection(resp):
-		t.InvalidReason = reasonUnframed
+		out.NotRunReason = ReasonShed
+		out.Rate, _, _ = ParseRate(resp, header.RateLimit)
+	case echo != "" && echo != info.ID:
+		out.InvalidReason = ReasonMismatch
+	case closeDelimited(resp):
+		out.InvalidReason = reasonUnframed
 	default:
-		t.Rate, _, _ = ParseRate(resp, header.RateLimit)
+		out.Rate, _, _ = ParseRate(resp, header.RateLimit)
 	}
-	return t
+	return out
 }
 
-// endsWithConnection reports whether an answer has no length of its own.
-func endsWithConnection(resp *http.Response) bool {
+// closeDelimited reports whether the end of the response body is marked only by the end of the
+// connection.
+func closeDelimited(resp *http.Response) bool {
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.Request.Method != http.MethodHead
 }
 
 // SetResponseHeaders implements Protocol.
-func (Native) SetResponseHeaders(h http.Header, ask *RequestInfo) {
-	dropOwn(h)
-	h.Set(header.RequestID, ask.ID)
+func (Native) SetResponseHeaders(h http.Header, info *RequestInfo) {
+	removeOwnHeaders(h)
+	h.Set(header.RequestID, info.ID)
 }
 
 // SetErrorHeaders implements Protocol.
@@ -140,6 +142,7 @@
 	}
 }
 
-// Matches implements Protocol. An upstream need not echo the id, so that a
-// surplus answer cannot be told; Read refuses one with another id.
+// Matches implements Protocol. It returns true for all responses: upstreams need not echo the
+// request ID, so that stale responses cannot be recognised. ParseResponse rejects a response
+// with a different ID.
 func (Native) Matches(*http.Response, *http.Request) bool { return true }
--- a/internal/forward/parserate.go
+++ b/internal/forward/parserate.go
@@ -9,10 +9,11 @@
 	"github.com/loomkeel/loomkeel/internal/ratelimit"
 )
 
-// ParseRate reads the limit that an upstream names for itself in a field of an answer: the lowest,
-// if it names several. A field that is no decimal number says nothing, neither that there is a
-// limit nor that there is none; then ok is false and value is the field's. One in the trailer says
-// nothing either.
+// ParseRate reads the rate limit of an upstream, in requests per second, from a header field of
+// its response. It returns the lowest of several values, and ratelimit.Unlimited if the field
+// is absent. If a value is not a decimal number, the response says nothing about a limit: ok is
+// false and value is the invalid field value. A field in the trailer says nothing either, but
+// ok is true.
 func ParseRate(resp *http.Response, field string) (rate balance.Rate, value string, ok bool) {
 	if _, inTrailer := resp.Trailer[field]; inTrailer {
 		return balance.Rate{}, "", true
@@ -30,10 +31,10 @@
 	return rate, value, true
 }
 
-// maxDecimal bounds the length of a decimal number in bytes.
+// maxDecimal is the largest length in bytes of a decimal number.
 const maxDecimal = 32
 
-// decimal reads a number from 0, with or without a fraction or an exponent.
+// decimal parses a number of at least 0, with or without a fraction or an exponent.
 func decimal(s string) (float64, bool) {
 	if len(s) > maxDecimal || strings.Trim(s, "0123456789.eE+-") != "" || strings.HasPrefix(s, "-") {
 		return 0, false
--- a/internal/forward/parserate_test.go
+++ b/internal/forward/parserate_test.go
@@ -10,9 +10,9 @@
 	"github.com/loomkeel/loomkeel/internal/ratelimit"
 )
 
-// TestNativeLimits reads what upstreams name in the project's own field: nothing but a decimal
-// number limits or opens anything, and only in an answer that is the upstream's to this request.
-func TestNativeLimits(t *testing.T) {
+// TestNativeRateLimitHeader checks that only a decimal number sets a rate limit, that only a
+// missing field means that there is none, and that responses to other requests are ignored.
+func TestNativeRateLimitHeader(t *testing.T) {
 	none, unknown := balance.Rate{Known: true, PerSecond: ratelimit.Unlimited}, balance.Rate{}
 	for _, tt := range []struct {
 		name   string
@@ -23,11 +23,11 @@
 	}{
 		{"absent", nil, http.StatusOK, "", none},
 		{"a number", []string{"2.5"}, http.StatusOK, "r1", balance.Rate{Known: true, PerSecond: 2.5}},
-		{"refused", []string{"2.5"}, http.StatusTooManyRequests, "", balance.Rate{Known: true, PerSecond: 2.5}},
+		{"shed", []string{"2.5"}, http.StatusTooManyRequests, "", balance.Rate{Known: true, PerSecond: 2.5}},
 		{"infinite", []string{"Inf"}, http.StatusOK, "", unknown},
 		{"hexadecimal", []string{"0x1p4"}, http.StatusOK, "", unknown},
-		{"to another request", []string{"2.5"}, http.StatusOK, "r2", unknown},
-		{"absent, to another request", nil, http.StatusOK, "r2", unknown},
+		{"response to another request", []string{"2.5"}, http.StatusOK, "r2", unknown},
+		{"absent, response to another request", nil, http.StatusOK, "r2", unknown},
 	} {
 		resp := &http.Response{StatusCode: tt.status, Header: http.Header{}, Request: &http.Request{Method: http.MethodGet}}
 		if tt.fields != nil {
--- a/internal/forward/poison.go
+++ b/internal/forward/poison.go
@@ -15,25 +15,26 @@
 )
 
 const (
-	// brokenLinesPerSecond and brokenLineBurst bound the lines about attempts that broke
-	// off: the loss of a failure domain breaks some hundred at a node at once.
-	brokenLinesPerSecond = 10
-	brokenLineBurst      = 50
-	// prefixWait is how long the beginning of a body is waited for after its attempt
-	// broke off. Its caller waits for the answer meanwhile.
+	// brokenLogsPerSecond and brokenLogBurst limit the log lines about broken attempts. The
+	// loss of a failure domain breaks about a hundred attempts at a node at once.
+	brokenLogsPerSecond = 10
+	brokenLogBurst      = 50
+	// prefixWait is how long recordBroken waits for the beginning of the request body. The
+	// caller waits for its response meanwhile.
 	prefixWait = 100 * time.Millisecond
 )
 
-// reasonPoison means that upstreams ended under the same request before.
+// reasonPoison means that upstreams crashed while they ran the same request before.
 const reasonPoison = "upstreams-ended"
 
-var brokenLines = logs.NewLimiter(brokenLinesPerSecond, brokenLineBurst)
+var brokenLog = logs.NewLimiter(brokenLogsPerSecond, brokenLogBurst)
 
-// begin decides whether a request may go to upstreams, by what ended under the same
-// request before, here or at other entries. Refused at once, it costs no upstream. The
-// body is looked at only if something is known of a request that is like it otherwise.
-func (c *Proxy) begin(ctx context.Context, cl *call) *verdict.Error {
-	if !c.poison.Known(cl.head) {
+// beginPoisonCheck returns an error if the request must not be sent because upstreams crashed
+// while they ran the same request, as seen by this or other entries. Otherwise the request
+// counts as in flight until endPoisonCheck. The body is read only if crashes are known for a
+// request with the same head.
+func (p *Proxy) beginPoisonCheck(ctx context.Context, cl *call) *verdict.Error {
+	if !p.poison.Known(cl.headKeys) {
 		return nil
 	}
 	keys, ok := cl.keys(ctx)
@@ -43,26 +44,27 @@
 	case !ok:
 		return verdict.New(verdict.NotRun, reasonCallerBody, cl.body.callerError())
 	}
-	d := c.poison.Begin(c.now(), keys)
+	d := p.poison.Begin(p.now(), keys)
 	if d.Held {
 		return verdict.New(verdict.NotRun, reasonPoison, nil).WithRetryAfter(d.RetryAfter)
 	}
-	cl.counted = &keys
+	cl.inFlightKeys = &keys
 	return nil
 }
 
-// end counts a request as under way no longer.
-func (c *Proxy) end(cl *call) {
-	if cl.counted != nil {
-		c.poison.End(*cl.counted)
+// endPoisonCheck ends the counting that beginPoisonCheck began.
+func (p *Proxy) endPoisonCheck(cl *call) {
+	if cl.inFlightKeys != nil {
+		p.poison.End(*cl.inFlightKeys)
 	}
 }
 
-// noteBroken records an attempt that broke off as if its upstream had ended. It reports
-// whether the request must not be sent on. After two ends it may be: behind a link that
-// cuts all answers of a region, the third upstream, of another region, serves it. The line
-// tells what the request is, by the keys, whatever id its tries have.
-func (c *Proxy) noteBroken(ctx context.Context, cl *call, to balance.Choice, err *verdict.Error) bool {
+// recordBroken records an attempt that broke off as if its upstream had crashed, and reports
+// whether the request must not be retried. After two crashes a retry is still allowed: if a
+// broken link cuts all responses of one region, the third upstream, in another region, can
+// serve the request. The log line identifies the request by its keys, which are the same for
+// all request IDs.
+func (p *Proxy) recordBroken(ctx context.Context, cl *call, to balance.Choice, err *verdict.Error) bool {
 	if err.Reason != reasonBroken || err.Verdict != verdict.MayHaveRun || !closedByPeer(err) {
 		return false
 	}
@@ -70,43 +72,44 @@
 	defer cancel()
 	keys, ok := cl.keys(ctx)
 	if !ok {
-		klog.V(1).InfoS("upstream broke off before the body's beginning was in", "request", cl.ID, "upstream", to.ID)
+		klog.V(1).InfoS("attempt broke off before the beginning of the request body was read", "request", cl.ID, "upstream", to.ID)
 		return false
 	}
-	now := c.now()
-	d := c.poison.Broke(now, cl.head, keys, balance.LifeKey(&to.Upstream))
-	if left, allowed := brokenLines.Allow(now, "broken"); allowed {
-		klog.InfoS("upstream broke off", "request", cl.ID, "key", uint64(keys.Anyone), "caller_key", uint64(keys.Caller),
+	now := p.now()
+	d := p.poison.Broke(now, cl.headKeys, keys, balance.LifeKey(&to.Upstream))
+	if left, allowed := brokenLog.Allow(now, "broken"); allowed {
+		klog.InfoS("attempt broke off, upstream may have crashed", "request", cl.ID, "key", uint64(keys.Anyone), "caller_key", uint64(keys.Caller),
 			"upstream", to.ID, "born", to.Born, "under_way", now.Sub(to.Picked), "suspect", d.Suspect, "held", d.Held, "err", err, "left_out", left)
 	}
 	return d.Held
 }
 
-// closedByPeer reports whether a connection broke because the upstream's end of it was
-// closed, as the kernel does when a process ends. A timeout says that the way there is
-// cut, or the machine without power.
+// closedByPeer reports whether the upstream's end of the connection was closed, as the kernel
+// does when a process exits. A timeout instead points to a cut network path or a machine
+// without power.
 func closedByPeer(err error) bool {
-	for _, sign := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
-		if errors.Is(err, sign) {
+	for _, cause := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
+		if errors.Is(err, cause) {
 			return true
 		}
 	}
 	return false
 }
 
-// noteAlive records that an upstream answered anything.
-func (c *Proxy) noteAlive(from balance.Choice, ans *answer) {
-	if ans == nil || ans.told.NotRunReason == ReasonReplaced {
+// recordAlive records that an upstream sent a response of any kind.
+func (p *Proxy) recordAlive(from balance.Choice, res *upstreamResponse) {
+	if res == nil || res.info.NotRunReason == ReasonReplaced {
 		return
 	}
-	c.poison.Alive(c.now(), balance.LifeKey(&from.Upstream), from.Picked)
+	p.poison.Alive(p.now(), balance.LifeKey(&from.Upstream), from.Picked)
 }
 
-// noteAnswered records that an upstream answered the request whole. An answer that came
-// before the body's beginning says nothing of the body.
-func (c *Proxy) noteAnswered(cl *call) {
-	prefix, whole := cl.body.begun()
-	if whole || cl.body.length < 0 && len(prefix) > 0 {
-		c.poison.Answered(c.now(), cl.head.WithBody(prefix))
+// recordAnswered records that an upstream answered the request completely. It ignores a
+// response that came before the beginning of the request body was read, because that response
+// says nothing about the body.
+func (p *Proxy) recordAnswered(cl *call) {
+	prefix, complete := cl.body.prefixRead()
+	if complete || cl.body.length < 0 && len(prefix) > 0 {
+		p.poison.Answered(p.now(), cl.headKeys.WithBody(prefix))
 	}
 }
--- a/internal/forward/pool.go
+++ b/internal/forward/pool.go
@@ -14,53 +14,52 @@
 )
 
 const (
-	// defaultDialTimeout bounds the wait for a connection to an upstream.
+	// defaultDialTimeout limits the wait for a connection to an upstream.
 	defaultDialTimeout = 2 * time.Second
-	// defaultIdle is how long an idle connection is kept if the upstream does not
-	// say how long it keeps it.
-	defaultIdle = 4 * time.Second
-	// idleMargin is how much earlier than the upstream an idle connection is
-	// given up, so that a request seldom meets the upstream's close.
+	// defaultIdleTimeout is how long an idle connection is kept if the upstream does not state
+	// its own idle timeout.
+	defaultIdleTimeout = 4 * time.Second
+	// idleMargin is how much earlier than the upstream the Pool closes an idle connection, so
+	// that a request seldom coincides with the upstream's close.
 	idleMargin = time.Second
-	// unackedTimeout is after what time a connection breaks on which the upstream
-	// does not even acknowledge what was sent: its instance is dead or cut off.
+	// unackedTimeout is how long sent data may stay unacknowledged before the kernel closes the
+	// connection. By then the upstream's instance is down or unreachable.
 	unackedTimeout = 1500 * time.Millisecond
-	// maxIdlePerUpstream bounds the idle connections kept to one upstream.
+	// maxIdlePerUpstream is the largest number of idle connections to one upstream.
 	maxIdlePerUpstream = 64
-	// sweepEvery is the time between looks for idle connections that have been
-	// kept for long enough.
-	sweepEvery = 5 * time.Second
-	// maxSurplus is how many answers of earlier requests are passed over in the
-	// place of the one that is due.
-	maxSurplus = 4
+	// sweepInterval is the time between searches for expired idle connections.
+	sweepInterval = 5 * time.Second
+	// maxStaleResponses is the largest number of response headers that are read in search of
+	// the response to one request.
+	maxStaleResponses = 4
 )
 
-// PoolOptions sets up a Pool.
+// PoolOptions configures a Pool.
 type PoolOptions struct {
-	// TLS is for upstreams; nil means plain TCP.
+	// TLS is the client configuration for upstreams; nil means plain TCP.
 	TLS *tls.Config
-	// DialTimeout bounds the wait for a connection; 0 means the usual bound.
+	// DialTimeout limits the wait for a connection; 0 means defaultDialTimeout.
 	DialTimeout time.Duration
-	// Now is the clock.
+	// Now returns the current time.
 	Now func() time.Time
-	// Matches reports whether an answer belongs to a request; nil means that all do.
+	// Matches reports whether a response belongs to a request; nil means that every response
+	// does.
 	Matches func(*http.Response, *http.Request) bool
 }
 
-// Pool holds the connections to upstreams, one request at a time on each. It is
-// an http.RoundTripper that is stricter than net/http's: it never sends a
-// request twice, it passes over answers that belong to an earlier request, and
-// it drops a connection on which anything is out of turn. It is safe for
-// concurrent use.
+// Pool holds connections to upstreams, with one request at a time on each connection. It is an
+// http.RoundTripper that is stricter than net/http's: it never sends a request twice, it
+// discards responses to earlier requests, and it closes a connection that delivers unexpected
+// data. It is safe for concurrent use.
 type Pool struct {
 	opt    PoolOptions
 	dialer net.Dialer
 
-	mu    sync.Mutex
-	idle  map[string][]*upstreamConn
-	swept time.Time
+	mu        sync.Mutex
+	idle      map[string][]*upstreamConn
+	lastSweep time.Time
 
-	rests rests
+	reuse reuseLimiter
 }
 
 // NewPool returns a Pool without connections.
@@ -76,34 +75,34 @@
 	return p
 }
 
-// setUnackedTimeout has the kernel break a connection whose peer is silent.
+// setUnackedTimeout sets unackedTimeout on a socket.
 func setUnackedTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
+	var sockErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockErr
 }
 
 // RoundTrip implements http.RoundTripper.
 func (p *Pool) RoundTrip(req *http.Request) (*http.Response, error) {
 	ctx := req.Context()
-	c, err := p.take(ctx, req.URL.Host)
+	c, err := p.get(ctx, req.URL.Host)
 	if err != nil {
 		return nil, err
 	}
 	if trace := httptrace.ContextClientTrace(ctx); trace != nil && trace.GotConn != nil {
-		trace.GotConn(httptrace.GotConnInfo{Conn: c.countedConn, Reused: c.requests > 0})
+		trace.GotConn(httptrace.GotConnInfo{Conn: c.trackedConn, Reused: c.requestCount > 0})
 	}
 	sent := p.opt.Now()
-	resp, err := c.exchange(req)
+	resp, err := c.roundTrip(req)
 	if err != nil {
 		c.close()
-		if now := p.opt.Now(); !c.restedSince.IsZero() && ctx.Err() == nil && promptly(now.Sub(sent), c.connect) {
-			p.rests.broke(sent.Sub(c.restedSince), now)
+		if now := p.opt.Now(); !c.idleSince.IsZero() && ctx.Err() == nil && resetPromptly(now.Sub(sent), c.connectTime) {
+			p.reuse.recordBreak(sent.Sub(c.idleSince), now)
 		}
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
@@ -113,37 +112,38 @@
 	return resp, nil
 }
 
-// take returns an idle connection that is still good, or makes a new one.
-func (p *Pool) take(ctx context.Context, addr string) (*upstreamConn, error) {
+// get returns a usable idle connection or opens a new one.
+func (p *Pool) get(ctx context.Context, addr string) (*upstreamConn, error) {
 	for {
-		c := p.pop(addr, p.trusted(ctx))
+		c := p.pop(addr, p.idleCutoff(ctx))
 		if c == nil {
 			return p.dial(ctx, addr)
 		}
-		if p.opt.Now().Before(c.keepUntil) && c.quiet() {
+		if p.opt.Now().Before(c.idleDeadline) && c.usable() {
 			return c, nil
 		}
 		c.close()
 	}
 }
 
-// trusted returns since when a connection may have rested at most to be used for a
-// request; the zero time if for any length.
-func (p *Pool) trusted(ctx context.Context) time.Time {
+// idleCutoff returns the time since which a connection must have been used to be eligible for
+// the request. The zero time means that every idle connection is eligible.
+func (p *Pool) idleCutoff(ctx context.Context) time.Time {
 	now := p.opt.Now()
-	d := p.rests.current(now)
-	if d.Until.IsZero() || !isOnce(ctx) {
+	limit := p.reuse.current(now)
+	if limit.Until.IsZero() || !isUnsafe(ctx) {
 		return time.Time{}
 	}
-	return now.Add(-d.MaxIdle)
+	return now.Add(-limit.MaxIdle)
 }
 
-// pop returns the idle connection that was used last, if it was after a time.
+// pop removes and returns the most recently used idle connection, or nil if it became idle
+// before the time after.
 func (p *Pool) pop(addr string, after time.Time) *upstreamConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[addr]
-	if len(list) == 0 || list[len(list)-1].restedSince.Before(after) {
+	if len(list) == 0 || list[len(list)-1].idleSince.Before(after) {
 		return nil
 	}
 	c := list[len(list)-1]
@@ -165,8 +165,8 @@
 			return nil, err
 		}
 	}
-	took := p.opt.Now().Sub(began)
-	return newUpstreamConn(p, addr, &countedConn{Conn: conn, connect: took}, raw), nil
+	connectTime := p.opt.Now().Sub(began)
+	return newUpstreamConn(p, addr, &trackedConn{Conn: conn, connectTime: connectTime}, raw), nil
 }
 
 func handshake(ctx context.Context, conn net.Conn, conf *tls.Config) (net.Conn, error) {
@@ -182,10 +182,11 @@
 	return t, nil
 }
 
-// put keeps a connection for the next request.
+// put adds a connection to the idle connections, or closes it if the upstream has
+// maxIdlePerUpstream already.
 func (p *Pool) put(c *upstreamConn) {
 	now := p.opt.Now()
-	c.keepUntil, c.restedSince = now.Add(c.keep), now
+	c.idleDeadline, c.idleSince = now.Add(c.idleTimeout), now
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sweep(now)
@@ -197,8 +198,8 @@
 	p.idle[c.addr] = append(list, c)
 }
 
-// CloseIdle closes the idle connections to an address. They lead to an earlier life of its
-// upstream, and would break under the next request.
+// CloseIdle closes the idle connections to an address. After a restart of the upstream they
+// lead to its previous process and would break under the next request.
 func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -208,24 +209,24 @@
 	delete(p.idle, addr)
 }
 
-// sweep closes the connections that were idle for too long.
+// sweep closes the idle connections that have expired. The caller holds p.mu.
 func (p *Pool) sweep(now time.Time) {
-	if now.Sub(p.swept) < sweepEvery {
+	if now.Sub(p.lastSweep) < sweepInterval {
 		return
 	}
-	p.swept = now
+	p.lastSweep = now
 	for addr, list := range p.idle {
-		kept := list[:0]
+		remaining := list[:0]
 		for _, c := range list {
-			if now.Before(c.keepUntil) {
-				kept = append(kept, c)
+			if now.Before(c.idleDeadline) {
+				remaining = append(remaining, c)
 				continue
 			}
 			c.close()
 		}
-		clear(list[len(kept):])
-		p.idle[addr] = kept
-		if len(kept) == 0 {
+		clear(list[len(remaining):])
+		p.idle[addr] = remaining
+		if len(remaining) == 0 {
 			delete(p.idle, addr)
 		}
 	}
--- a/internal/forward/pool_test.go
+++ b/internal/forward/pool_test.go
@@ -13,21 +13,21 @@
 	"time"
 )
 
-// script is an upstream whose connections each follow a script.
-type script struct {
+// scriptedUpstream is an upstream that handles each connection with a function.
+type scriptedUpstream struct {
 	lis net.Listener
-	// conns receives the number of each connection that is accepted.
+	// conns receives the number of each accepted connection.
 	conns chan int
 }
 
-// newScript serves each connection with play, which gets its number from 0.
-func newScript(t *testing.T, play func(n int, c net.Conn, r *bufio.Reader)) *script {
+// newScriptedUpstream calls play for each connection, with the connection's number from 0.
+func newScriptedUpstream(t *testing.T, play func(n int, c net.Conn, r *bufio.Reader)) *scriptedUpstream {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { lis.Close() })
-	s := &script{lis: lis, conns: make(chan int, 16)}
+	s := &scriptedUpstream{lis: lis, conns: make(chan int, 16)}
 	go func() {
 		for n := 0; ; n++ {
 			c, err := lis.Accept()
@@ -44,7 +44,7 @@
 	return s
 }
 
-// idHeader names requests and answers in these tests.
+// idHeader identifies requests and responses in these tests.
 const idHeader = "Test-Id"
 
 func newTestPool() *Pool {
@@ -53,8 +53,8 @@
 	}})
 }
 
-// send makes one request and returns the body of its answer.
-func (s *script) send(t *testing.T, p *Pool, id, target string, body io.Reader, length int64) (string, error) {
+// send sends one request and returns the body of the response.
+func (s *scriptedUpstream) send(t *testing.T, p *Pool, id, target string, body io.Reader, length int64) (string, error) {
 	t.Helper()
 	req := &http.Request{
 		Method: http.MethodPost, Host: "x", Header: http.Header{idHeader: {id}}, ContentLength: length,
@@ -76,7 +76,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", idHeader, id, len(id), id)
 }
 
-// readRequest reads one request and returns its id.
+// readRequest reads one request and returns its ID.
 func readRequest(r *bufio.Reader) (string, error) {
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -86,10 +86,10 @@
 	return req.Header.Get(idHeader), err
 }
 
-// TestSurplusAnswerIsPassedOver sends a second answer to the first request in the
-// place of the answer to the second.
-func TestSurplusAnswerIsPassedOver(t *testing.T) {
-	s := newScript(t, func(_ int, c net.Conn, r *bufio.Reader) {
+// TestStaleResponseIsDiscarded sends a second response to the first request before the response
+// to the second.
+func TestStaleResponseIsDiscarded(t *testing.T) {
+	s := newScriptedUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		first, err := readRequest(r)
 		if err != nil {
 			return
@@ -109,14 +109,14 @@
 		}
 	}
 	if n := len(s.conns); n != 2 {
-		t.Errorf("%d connections: one with a surplus answer must not be used again", n)
+		t.Errorf("%d connections, want 2: a connection with a stale response must not be reused", n)
 	}
 }
 
-// TestBytesOutOfTurnDropTheConnection has an upstream send more behind a whole
-// answer.
-func TestBytesOutOfTurnDropTheConnection(t *testing.T) {
-	s := newScript(t, func(_ int, c net.Conn, r *bufio.Reader) {
+// TestUnexpectedDataClosesConnection makes an upstream send more data after a complete
+// response.
+func TestUnexpectedDataClosesConnection(t *testing.T) {
+	s := newScriptedUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
 			id, err := readRequest(r)
 			if err != nil {
@@ -133,10 +133,10 @@
 	}
 }
 
-// TestEarlyAnswerEndsTheConnection answers before a long body was read: what is
-// left of the body must not be taken for the next request.
-func TestEarlyAnswerEndsTheConnection(t *testing.T) {
-	s := newScript(t, func(n int, c net.Conn, r *bufio.Reader) {
+// TestEarlyResponseClosesConnection responds before a long body was read. The rest of the body
+// must not be taken for the next request.
+func TestEarlyResponseClosesConnection(t *testing.T) {
+	s := newScriptedUpstream(t, func(n int, c net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
@@ -162,13 +162,13 @@
 		t.Fatalf("got %q, %v", got, err)
 	}
 	if n := len(s.conns); n != 2 {
-		t.Errorf("%d connections", n)
+		t.Errorf("%d connections, want 2", n)
 	}
 }
 
-func TestTargetToTheLetter(t *testing.T) {
+func TestTargetIsUnchanged(t *testing.T) {
 	targets := make(chan string, 1)
-	s := newScript(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	s := newScriptedUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		line, _ := r.ReadString('\n')
 		targets <- strings.Fields(line)[1]
 	})
@@ -179,7 +179,7 @@
 	}
 }
 
-func TestKeepAlive(t *testing.T) {
+func TestParseKeepAlive(t *testing.T) {
 	for _, tt := range []struct {
 		field string
 		want  time.Duration
@@ -192,20 +192,20 @@
 		{"timeout=-4", 0, false},
 		{"", 0, false},
 	} {
-		if got, ok := keepAlive(tt.field); got != tt.want || ok != tt.ok {
+		if got, ok := parseKeepAlive(tt.field); got != tt.want || ok != tt.ok {
 			t.Errorf("%q: %v, %v", tt.field, got, ok)
 		}
 	}
 }
 
-// TestUploadRefusedEarlyGoesOn has an upstream refuse an upload before it has read
-// it, while the caller still sends. The next one must get the whole body.
-func TestUploadRefusedEarlyGoesOn(t *testing.T) {
+// TestUploadShedEarlyIsRetried makes an upstream shed an upload before it has read the body,
+// while the caller is still sending. The next upstream must get the whole body.
+func TestUploadShedEarlyIsRetried(t *testing.T) {
 	const size = 100_000
 	got := make(chan int64, 4)
 	refused := make(chan struct{})
 	var requests atomic.Int32
-	s := newScript(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	s := newScriptedUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
 			req, err := http.ReadRequest(r)
 			if err != nil {
@@ -226,8 +226,8 @@
 			}
 		}
 	})
-	// Two upstreams at one address: whichever is picked first refuses.
-	e := newEntry(t, []*fake{{lis: s.lis}, {lis: s.lis}})
+	// Two upstreams share one address, so that whichever is picked first sheds the request.
+	e := newEntry(t, []*fakeUpstream{{lis: s.lis}, {lis: s.lis}})
 	body, sender := io.Pipe()
 	go func() {
 		half := strings.Repeat("x", size/2)
@@ -255,10 +255,10 @@
 	}
 }
 
-// TestForgottenAddress gives up the connections to an upstream that has started again
-// there: an unsafe request must not meet the end of an earlier life.
-func TestForgottenAddress(t *testing.T) {
-	s := newScript(t, func(_ int, c net.Conn, r *bufio.Reader) {
+// TestCloseIdle closes the idle connections to an upstream that has restarted, because an
+// unsafe request must not be sent on a connection to the previous process.
+func TestCloseIdle(t *testing.T) {
+	s := newScriptedUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
 			req, err := http.ReadRequest(r)
 			if err != nil {
--- a/internal/forward/protocol.go
+++ b/internal/forward/protocol.go
@@ -9,87 +9,90 @@
 	"github.com/loomkeel/loomkeel/internal/verdict"
 )
 
-// Protocol is how callers and upstreams say in HTTP headers what the Carrier
-// decides by. Native is the project's own; an adapter for a platform brings
-// another. Implementations are safe for concurrent use.
+// Protocol reads and writes the HTTP headers in which callers and upstreams exchange the
+// information that a Proxy needs. Native is the project's own protocol; an adapter for a
+// platform provides another. Implementations are safe for concurrent use.
 type Protocol interface {
-	// ParseRequest reads what a caller asks for.
+	// ParseRequest returns what a caller requests.
 	ParseRequest(r *http.Request, snap *model.Snapshot) (RequestInfo, *RequestError)
-	// SetRequestHeaders writes on a request what its upstream has to know. The header is a
-	// copy of the caller's.
-	SetRequestHeaders(h http.Header, ask *RequestInfo, to *model.Upstream, left time.Duration)
-	// ParseResponse tells what an answer says. It may not read the body.
-	ParseResponse(resp *http.Response, ask *RequestInfo, svc *model.Service) ResponseInfo
-	// SetResponseHeaders prepares the header of an upstream's answer for the caller.
-	SetResponseHeaders(h http.Header, ask *RequestInfo)
-	// SetErrorHeaders prepares the header of an answer that the Carrier itself makes.
+	// SetRequestHeaders sets the headers of a request to an upstream. h is a copy of the
+	// caller's headers, and left the time until the request's deadline.
+	SetRequestHeaders(h http.Header, info *RequestInfo, to *model.Upstream, left time.Duration)
+	// ParseResponse returns what an upstream's response says. It must not read the body.
+	ParseResponse(resp *http.Response, info *RequestInfo, svc *model.Service) ResponseInfo
+	// SetResponseHeaders prepares the headers of an upstream's response for the caller.
+	SetResponseHeaders(h http.Header, info *RequestInfo)
+	// SetErrorHeaders sets the headers of a response that the Proxy generates itself.
 	SetErrorHeaders(h http.Header, id string, v verdict.Verdict, retryAfter time.Duration)
-	// Matches reports whether an answer belongs to a request. One that does not is
-	// a surplus answer to an earlier request on the same connection.
+	// Matches reports whether a response belongs to a request. A response that does not is a
+	// late response to an earlier request on the same connection.
 	Matches(resp *http.Response, req *http.Request) bool
 }
 
-// RequestInfo is what a caller asks for.
+// RequestInfo is what a caller requests.
 type RequestInfo struct {
-	// ID is the request's id; empty if the caller gave none.
+	// ID is the request ID; empty if the caller sent none.
 	ID string
-	// Service is the service that the request names; unused if there is a Route.
+	// Service is the name of the requested service. It is not used if Route is set.
 	Service string
-	// Route is the request's route, or nil if the request names a service.
+	// Route is the request's route; nil if the request names a service.
 	Route *model.Route
 	// Safe is set if the request may run more than once.
 	Safe bool
-	// Timeout is how long the caller waits; 0 if it does not say.
+	// Timeout is how long the caller waits; 0 if the request does not state it.
 	Timeout time.Duration
-	// Object is what the request is about; empty if it does not say.
+	// Object identifies what the request acts on; empty if the request does not state it.
+	// Requests for the same object are sent to the same upstreams where possible.
 	Object string
-	// Organisation is whose request it is; nil if the configuration has no organisations.
+	// Organisation is the organisation that the request belongs to; nil if the configuration
+	// has no organisations.
 	Organisation *model.Organisation
 }
 
-// allows reports whether a region may serve the request: its route and its organisation
-// both have a say.
-func (a *RequestInfo) allows(region string) bool {
-	return a.Route.Allows(region) && a.Organisation.Allows(region)
+// allows reports whether both the route and the organisation allow a region to serve the
+// request.
+func (info *RequestInfo) allows(region string) bool {
+	return info.Route.Allows(region) && info.Organisation.Allows(region)
 }
 
-// RequestError is a request that cannot be understood or has no service. It has not
-// run.
+// RequestError describes a request that cannot be parsed or has no service, route or valid key.
+// No upstream has run it.
 type RequestError struct {
+	// Status is the HTTP status for the caller.
 	Status int
-	// Reason is a short stable word, Detail an explanation for a person.
+	// Reason is a short, stable identifier, and Detail an explanation for people.
 	Reason, Detail string
 }
 
-// ResponseInfo is what an answer says of the request and of its upstream.
+// ResponseInfo is what a response says about the request and about its upstream.
 type ResponseInfo struct {
-	// NotRunReason is empty, or the reason why the upstream did not run the request.
+	// NotRunReason is the reason why the upstream did not run the request; empty if it ran it.
 	NotRunReason string
-	// InvalidReason is empty, or the reason why the answer must not be passed on.
+	// InvalidReason is the reason why the response must not be passed on; empty if it is valid.
 	InvalidReason string
-	// Load is the number of requests at the upstream, Waiting how many of them
-	// wait; -1 if the answer does not say.
+	// Load is the number of requests at the upstream, and Waiting the number of those that wait
+	// there; -1 if the response does not state them.
 	Load, Waiting int
-	// Rate is the limit that the upstream names, or that it names none.
+	// Rate is the rate limit that the response states, or that it states none.
 	Rate balance.Rate
-	// Draining is set if the upstream wants no new work.
+	// Draining is set if the upstream wants no new requests.
 	Draining bool
 }
 
-// Reasons of a Fault for want of a key.
+// Values of RequestError.Reason for a missing or unknown key.
 const (
 	ReasonNoKey      = "no-key"
 	ReasonUnknownKey = "unknown-key"
 )
 
-// Reasons of Told.NotRun and Told.Broken.
+// Values of ResponseInfo.NotRunReason and ResponseInfo.InvalidReason.
 const (
-	// ReasonShed means that the upstream is full.
+	// ReasonShed means that the upstream is overloaded and rejected the request.
 	ReasonShed = "upstream-shed"
-	// ReasonReplaced means that another upstream has the address now.
+	// ReasonReplaced means that a different upstream now has the address.
 	ReasonReplaced = "upstream-replaced"
-	// ReasonMismatch means that an answer belongs to another request.
+	// ReasonMismatch means that the response belongs to another request.
 	ReasonMismatch = "answer-mismatch"
-	// ReasonUnsigned means that an answer lacks its upstream's signature.
+	// ReasonUnsigned means that the response lacks its upstream's signature.
 	ReasonUnsigned = "answer-unsigned"
 )
--- a/internal/forward/proxy.go
+++ b/internal/forward/proxy.go
@@ -1,9 +1,9 @@
-// Package forward carries requests from callers to upstreams.
+// Package forward proxies HTTP requests from callers to upstreams.
 //
-// A Carrier parses a request, has it admitted, picks an upstream, sends it, and
-// by the verdict of a failed attempt decides on another. It streams bodies both
-// ways in bounded memory. Every answer that it makes itself says whether the
-// request may have run.
+// A Proxy parses a request, admits or rejects it, picks an upstream and sends the request.
+// After a failed attempt the verdict of that attempt decides whether another upstream is tried.
+// Request and response bodies are streamed in bounded memory. Every response that the Proxy
+// generates itself states whether the request may have run.
 package forward
 
 import (
@@ -28,68 +28,76 @@
 	"github.com/loomkeel/loomkeel/internal/verdict"
 )
 
-// Options sets up a Carrier.
+// Options configures a Proxy.
 type Options struct {
-	// Self is the id of the entry's instance.
+	// Self is the ID of the entry's instance.
 	Self string
 	// Domain is the failure domain of the entry's instance.
 	Domain string
-	// Protocol is how callers and upstreams speak; nil means Native.
+	// Protocol reads and writes the headers of callers and upstreams; nil means Native.
 	Protocol Protocol
-	// MaxInFlight is how many requests may be in the entry at one time.
+	// MaxInFlight is the largest number of requests that the entry handles at one time.
 	MaxInFlight int
-	// MaxBody is the largest request body in bytes; 0 means no bound.
+	// MaxBody is the largest request body in bytes; 0 means no limit. A limit in the snapshot
+	// takes precedence.
 	MaxBody int64
-	// TLS is for upstreams; nil means plain HTTP.
+	// TLS is the client configuration for upstreams; nil means plain HTTP.
 	TLS *tls.Config
-	// Transport replaces the Pool that New makes; nil means that one.
-	// Without connections of its own kind the Carrier takes every attempt that
-	// got a connection for one that may have run.
+	// Transport sends requests to upstreams; nil means a new Pool. A transport whose
+	// connections are not of type *trackedConn cannot report what was written, so the Proxy
+	// treats every failed attempt that got a connection as one that may have run.
 	Transport http.RoundTripper
-	// DialTimeout bounds the wait for a connection to an upstream; 0 means the
-	// usual bound.
+	// DialTimeout limits the wait for a connection to an upstream; 0 means defaultDialTimeout.
 	DialTimeout time.Duration
-	// Now is the clock, SyncNow the same after it was looked whether the machine was
-	// suspended meanwhile; nil means Now.
+	// Now returns the current time. SyncNow first corrects the clock for a suspension of the
+	// machine and then returns the current time; nil means Now.
 	Now, SyncNow func() time.Time
-	// Rand returns the source for the random choices of one decision; nil means
-	// one seeded from the process's own.
+	// Rand returns the random source for one decision; nil means a source seeded by the global
+	// generator.
 	Rand func() *rand.Rand
-	// CapShares holds the own shares of the caps, by the clock BootClock.
+	// CapShares holds this entry's shares of the in-flight caps. Its times are read from
+	// BootClock, in nanoseconds.
 	CapShares *share.Book
 	BootClock func() int64
-	// NewID makes request ids.
+	// NewID returns a new request ID.
 	NewID func() string
-	// Observe is called at the end of each request; it must be quick.
+	// Observe is called at the end of each request and must not block.
 	Observe func(Outcome)
 }
 
-// Outcome is how a request ended, for metrics and logs.
+// Outcome describes a finished request, for metrics and logs.
 type Outcome struct {
+	// Service is the name of the requested service, and ID the request ID.
 	Service string
 	ID      string
-	// Organisation is the name of whose request it was; empty if it had no key.
+	// Organisation is the name of the organisation that the request belongs to; empty if the
+	// request had no key.
 	Organisation string
-	// Route is the name of the request's route, Objective the latency within which
-	// its answer has its full worth; empty if it has no route.
+	// Route is the name of the request's route, and Objective the response time up to which the
+	// response has its full value. Both are empty for a request without a route.
 	Route     string
 	Objective time.Duration
-	// Version is that of the configuration that the request was served by.
+	// Version is the revision of the configuration that the request was served with.
 	Version uint64
 	// Choice is the last upstream that was picked.
 	Choice balance.Choice
-	// Response is what its answer said.
+	// Response is what that upstream's response said.
 	Response ResponseInfo
-	Status   int
-	Verdict  verdict.Verdict
-	Reason   string
-	// Detail explains an answer that loomkeel itself made.
-	Detail   string
+	// Status is the HTTP status that was sent to the caller.
+	Status  int
+	Verdict verdict.Verdict
+	// Reason identifies the failure of a request; empty on success.
+	Reason string
+	// Detail explains a response that the Proxy generated itself.
+	Detail string
+	// Duration is the time from the arrival of the request to its end.
 	Duration time.Duration
+	// Attempts is the number of attempts. Sheds that were retried within the shed limit do not
+	// count.
 	Attempts int
 }
 
-// Proxy is an http.Handler. It is safe for concurrent use.
+// Proxy is an http.Handler that forwards requests to upstreams. It is safe for concurrent use.
 type Proxy struct {
 	opt       Options
 	now       func() time.Time
@@ -99,28 +107,29 @@
 	inFlight  atomic.Int64
 	stopping  atomic.Bool
 	mu        sync.RWMutex
-	lanes     map[string]*lane
+	services  map[string]*serviceState
 	splits    *splits
 	poison    *poison.Tracker
 	limits    *quota.Limiter
-	deadlines *deadlines
-	// rateNews has a value when other entries are to hear of the limits of upstreams at once.
-	rateNews chan struct{}
-	// rateLines bounds the lines about such limits.
-	rateLines *logs.Limiter
+	deadlines *deadlineSet
+	// ratesChanged receives a value when changed rate limits of upstreams should be sent to
+	// other entries without delay.
+	ratesChanged chan struct{}
+	// rateLog limits the log lines about changed rate limits.
+	rateLog *logs.Limiter
 }
 
-// lane is the state of one service.
-type lane struct {
+// serviceState is the state of one service.
+type serviceState struct {
 	group  *balance.Group
 	queue  admit.Queue
 	budget *balance.Budget
-	// sheds limits how often requests go on after a shed.
-	sheds *balance.Budget
-	shift *shift.Meter
+	// shedBudget limits how often a shed request is retried without waiting in the queue.
+	shedBudget *balance.Budget
+	shift      *shift.Meter
 }
 
-// New returns a Carrier that refuses everything until its first Update.
+// New returns a Proxy that rejects all requests until the first Update.
 func New(opt Options) *Proxy {
 	if opt.Protocol == nil {
 		opt.Protocol = Native{}
@@ -134,40 +143,40 @@
 	if opt.Rand == nil {
 		opt.Rand = newRand
 	}
-	c := &Proxy{opt: opt, now: opt.Now, scheme: "http", transport: opt.Transport, lanes: make(map[string]*lane), splits: newSplits(), poison: poison.NewTracker(opt.Self), limits: quota.NewLimiter(), deadlines: newDeadlines(), rateNews: make(chan struct{}, 1),
-		rateLines: logs.NewLimiter(rateLinesPerSecond, rateLineBurst)}
+	p := &Proxy{opt: opt, now: opt.Now, scheme: "http", transport: opt.Transport, services: make(map[string]*serviceState), splits: newSplits(), poison: poison.NewTracker(opt.Self), limits: quota.NewLimiter(), deadlines: newDeadlineSet(), ratesChanged: make(chan struct{}, 1),
+		rateLog: logs.NewLimiter(rateLogsPerSecond, rateLogBurst)}
 	if opt.TLS != nil {
-		c.scheme = "https"
+		p.scheme = "https"
 	}
-	return c
+	return p
 }
 
-// retryAfter is the advice to a refused caller whose request would have gone to
-// a region.
-func (l *lane) retryAfter(region string) time.Duration {
-	return admit.RetryAfter(l.queue.Len(), l.group.Latency(region))
+// retryAfter returns the Retry-After time for a rejected request that would have gone to
+// region.
+func (state *serviceState) retryAfter(region string) time.Duration {
+	return admit.RetryAfter(state.queue.Len(), state.group.Latency(region))
 }
 
-// Update installs a newer snapshot.
-func (c *Proxy) Update(s *model.Snapshot) {
-	now := c.now()
+// Update puts a newer snapshot into force.
+func (p *Proxy) Update(s *model.Snapshot) {
+	now := p.now()
 	for name, svc := range s.Services {
-		l := c.lane(name)
-		restarted := l.group.Update(balance.Input{
-			Service: svc, Draining: s.Draining, Owned: c.owned(s, svc),
-			Self: c.opt.Self, Home: s.Region, Domain: c.opt.Domain, Entries: entriesOf(s),
+		state := p.serviceState(name)
+		restarted := state.group.Update(balance.Input{
+			Service: svc, Draining: s.Draining, Owned: p.ownedUpstreams(s, svc),
+			Self: p.opt.Self, Home: s.Region, Domain: p.opt.Domain, Entries: entriesOf(s),
 		}, now)
-		c.forget(restarted)
+		p.closeIdle(restarted)
 		if svc.Routed {
-			l.budget.SetBurst(svc.RetryBurst)
+			state.budget.SetBurst(svc.RetryBurst)
 		}
-		l.queue.Wake()
+		state.queue.Wake()
 	}
-	c.limits.Update(s.Organisations, s.LimitSlack, now)
-	c.snap.Store(s)
+	p.limits.Update(s.Organisations, s.LimitSlack, now)
+	p.snap.Store(s)
 }
 
-// entriesOf returns the entries that carry requests to the upstreams.
+// entriesOf returns the entries that send requests to the upstreams.
 func entriesOf(s *model.Snapshot) []model.Member {
 	if s.Carriers != nil {
 		return s.Carriers
@@ -175,9 +184,9 @@
 	return s.HomeEntries()
 }
 
-// owned returns the upstreams of a service that this entry uses first. Requests of routes
-// go by their objects instead.
-func (c *Proxy) owned(s *model.Snapshot, svc *model.Service) map[string]bool {
+// ownedUpstreams returns the upstreams of a service that this entry prefers. It returns nil for
+// a service with routes, whose requests are placed by their objects.
+func (p *Proxy) ownedUpstreams(s *model.Snapshot, svc *model.Service) map[string]bool {
 	if svc.Routed {
 		return nil
 	}
@@ -185,158 +194,159 @@
 	for _, m := range s.HomeEntries() {
 		entries = append(entries, m.ID)
 	}
-	return balance.Owned(svc.Upstreams, s.Region, c.opt.Self, entries)
+	return balance.Owned(svc.Upstreams, s.Region, p.opt.Self, entries)
 }
 
-// forgetter is a transport that keeps connections which it can give up.
-type forgetter interface{ CloseIdle(addr string) }
+// idleCloser is a transport that can close its idle connections to one address.
+type idleCloser interface{ CloseIdle(addr string) }
 
-// forget gives up the kept connections to addresses whose upstreams have started again.
-func (c *Proxy) forget(addresses []string) {
-	f, ok := c.transport.(forgetter)
+// closeIdle closes the idle connections to upstreams that have restarted.
+func (p *Proxy) closeIdle(addresses []string) {
+	closer, ok := p.transport.(idleCloser)
 	if !ok {
 		return
 	}
 	for _, addr := range addresses {
-		klog.InfoS("upstream has started again, connections given up", "address", addr)
-		f.CloseIdle(addr)
+		klog.InfoS("upstream restarted, closing idle connections", "address", addr)
+		closer.CloseIdle(addr)
 	}
 }
 
-// Snapshot returns the snapshot in force, or nil before the first.
-func (c *Proxy) Snapshot() *model.Snapshot { return c.snap.Load() }
+// Snapshot returns the snapshot in force, or nil before the first Update.
+func (p *Proxy) Snapshot() *model.Snapshot { return p.snap.Load() }
 
-// Stop makes the Carrier refuse new requests. Those in flight go on.
-func (c *Proxy) Stop() { c.stopping.Store(true) }
+// Stop makes the Proxy reject new requests. Requests in flight continue.
+func (p *Proxy) Stop() { p.stopping.Store(true) }
 
-// InFlight returns the number of requests in the entry.
-func (c *Proxy) InFlight() int { return int(c.inFlight.Load()) }
+// InFlight returns the number of requests that the entry is handling.
+func (p *Proxy) InFlight() int { return int(p.inFlight.Load()) }
 
-func (c *Proxy) lane(service string) *lane {
-	c.mu.RLock()
-	l := c.lanes[service]
-	c.mu.RUnlock()
-	if l != nil {
-		return l
+func (p *Proxy) serviceState(service string) *serviceState {
+	p.mu.RLock()
+	state := p.services[service]
+	p.mu.RUnlock()
+	if state != nil {
+		return state
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if l = c.lanes[service]; l == nil {
-		l = &lane{group: balance.NewGroup(), budget: balance.NewBudget(retryBurst), sheds: balance.NewBudget(shedBurst), shift: shift.NewMeter()}
-		l.group.OnRateNews(c.notifyRates)
-		c.lanes[service] = l
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if state = p.services[service]; state == nil {
+		state = &serviceState{group: balance.NewGroup(), budget: balance.NewBudget(retryBurst), shedBudget: balance.NewBudget(shedBurst), shift: shift.NewMeter()}
+		state.group.OnRateNews(p.notifyRates)
+		p.services[service] = state
 	}
-	return l
+	return state
 }
 
 // ServeHTTP implements http.Handler.
-func (c *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c.inFlight.Add(1)
-	defer c.inFlight.Add(-1)
-	start := c.opt.SyncNow()
+func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	p.inFlight.Add(1)
+	defer p.inFlight.Add(-1)
+	start := p.opt.SyncNow()
 	out := Outcome{}
 	defer func() {
-		out.Duration = c.now().Sub(start)
-		c.opt.Observe(out)
+		out.Duration = p.now().Sub(start)
+		p.opt.Observe(out)
 	}()
-	snap := c.snap.Load()
+	snap := p.snap.Load()
 	if snap == nil {
-		c.refuse(w, &out, c.leaving(snap))
+		p.reply(w, &out, p.unavailable(snap))
 		return
 	}
-	ask, fault := c.opt.Protocol.ParseRequest(r, snap)
-	if ask.ID == "" {
-		ask.ID = c.opt.NewID()
+	info, reqErr := p.opt.Protocol.ParseRequest(r, snap)
+	if info.ID == "" {
+		info.ID = p.opt.NewID()
 	}
-	out.ID = ask.ID
+	out.ID = info.ID
 	switch {
-	case c.stopping.Load():
-		c.refuse(w, &out, c.leaving(snap))
-	case fault != nil:
-		c.refuse(w, &out, fault.refusal())
+	case p.stopping.Load():
+		p.reply(w, &out, p.unavailable(snap))
+	case reqErr != nil:
+		p.reply(w, &out, reqErr.localReply())
 	default:
-		c.carry(w, r, snap, ask, &out)
+		p.handle(w, r, snap, info, &out)
 	}
 }
 
-// carry serves a request that is understood.
-func (c *Proxy) carry(w http.ResponseWriter, r *http.Request, snap *model.Snapshot, ask RequestInfo, out *Outcome) {
-	svc := c.serviceOf(snap, &ask)
-	out.Service, out.Version = ask.Service, snap.Revision
-	if ask.Organisation != nil {
-		out.Organisation = ask.Organisation.Name
+// handle serves a request that was parsed without error.
+func (p *Proxy) handle(w http.ResponseWriter, r *http.Request, snap *model.Snapshot, info RequestInfo, out *Outcome) {
+	svc := p.selectService(snap, &info)
+	out.Service, out.Version = info.Service, snap.Revision
+	if info.Organisation != nil {
+		out.Organisation = info.Organisation.Name
 	}
-	if ask.Route != nil {
-		out.Route, out.Objective = ask.Route.Name, ask.Route.Objective
+	if info.Route != nil {
+		out.Route, out.Objective = info.Route.Name, info.Route.Objective
 	}
 	if svc == nil {
-		// A route may name a service that has no settings and no upstream yet.
-		c.refuse(w, out, refusalFor(verdict.New(verdict.NotRun, reasonNoUpstream, nil).WithRetryAfter(stopRetry), verdict.NotRun))
+		// A route may name a service that has no settings and no upstreams yet.
+		p.reply(w, out, replyFor(verdict.New(verdict.NotRun, reasonNoUpstream, nil).WithRetryAfter(unavailableRetryAfter), verdict.NotRun))
 		return
 	}
-	cl := newCall(r, ask, svc, c.now())
-	cl.version = snap.Revision
-	if limit := c.maxBody(snap); limit > 0 {
+	cl := newCall(r, info, svc, p.now())
+	cl.configVersion = snap.Revision
+	if limit := p.maxBody(snap); limit > 0 {
 		if r.ContentLength > limit {
-			c.refuse(w, out, &refusal{status: http.StatusRequestEntityTooLarge, reason: reasonTooLarge, verdict: verdict.NotRun})
+			p.reply(w, out, &localReply{status: http.StatusRequestEntityTooLarge, reason: reasonTooLarge, verdict: verdict.NotRun})
 			return
 		}
 		cl.body.src = http.MaxBytesReader(w, r.Body, limit)
 	}
-	if f := c.spendLimit(cl); f != nil {
-		c.refuse(w, out, f)
+	if reply := p.takeLimit(cl); reply != nil {
+		p.reply(w, out, reply)
 		return
 	}
-	defer c.refundLimit(cl)
+	defer p.refundLimit(cl)
 	ctx := r.Context()
-	if ask.Route != nil && !ask.Safe {
-		// An unsafe request that is under way goes on without its caller, so that
-		// it ends in a known state at its upstream.
+	if info.Route != nil && !info.Safe {
+		// A request that is not safe to repeat continues after its caller has left, so that its
+		// execution at the upstream is not cut off in an unknown state.
 		ctx = context.WithoutCancel(ctx)
 	}
-	ctx, release := c.deadlines.with(ctx, c.now(), cl.deadline)
+	ctx, release := p.deadlines.withDeadline(ctx, p.now(), cl.deadline)
 	defer release()
-	defer cl.body.interrupt(ctx, w)()
-	if refused := c.begin(ctx, cl); refused != nil {
-		c.refuse(w, out, refusalFor(refused, verdict.NotRun))
+	defer cl.body.interruptRead(ctx, w)()
+	if verr := p.beginPoisonCheck(ctx, cl); verr != nil {
+		p.reply(w, out, replyFor(verr, verdict.NotRun))
 		return
 	}
-	defer c.end(cl)
-	c.serve(ctx, w, r, snap, cl, out)
+	defer p.endPoisonCheck(cl)
+	p.serve(ctx, w, r, snap, cl, out)
 }
 
-// serviceOf returns the service that takes a request, or nil.
-func (c *Proxy) serviceOf(snap *model.Snapshot, ask *RequestInfo) *model.Service {
-	if ask.Route != nil {
-		ask.Service = c.splits.choose(ask.Route, ask.Object)
+// selectService returns the service for a request, or nil if the snapshot does not have it. For
+// a request with a route it picks one of the route's parts and sets info.Service.
+func (p *Proxy) selectService(snap *model.Snapshot, info *RequestInfo) *model.Service {
+	if info.Route != nil {
+		info.Service = p.splits.choose(info.Route, info.Object)
 	}
-	return snap.Services[ask.Service]
+	return snap.Services[info.Service]
 }
 
-func (c *Proxy) maxBody(snap *model.Snapshot) int64 {
+func (p *Proxy) maxBody(snap *model.Snapshot) int64 {
 	if snap.Limits.MaxBody > 0 {
 		return snap.Limits.MaxBody
 	}
-	return c.opt.MaxBody
+	return p.opt.MaxBody
 }
 
-func (c *Proxy) refuse(w http.ResponseWriter, out *Outcome, f *refusal) {
-	out.Status, out.Verdict, out.Reason, out.Detail = f.status, f.verdict, f.reason, f.detail
-	f.write(w, c.opt.Protocol, out.ID)
+func (p *Proxy) reply(w http.ResponseWriter, out *Outcome, reply *localReply) {
+	out.Status, out.Verdict, out.Reason, out.Detail = reply.status, reply.verdict, reply.reason, reply.detail
+	reply.write(w, p.opt.Protocol, out.ID)
 }
 
-// stopRetry is the advice to a caller of a stopping entry that knows no other.
-const stopRetry = time.Second
+// unavailableRetryAfter is the Retry-After time where no better estimate exists.
+const unavailableRetryAfter = time.Second
 
-// leaving is the answer of an entry that stops or has no snapshot yet.
-func (c *Proxy) leaving(snap *model.Snapshot) *refusal {
-	f := &refusal{status: http.StatusServiceUnavailable, reason: "entry-leaving", verdict: verdict.NotRun, retryAfter: stopRetry}
+// unavailable returns the response of an entry that is stopping or has no snapshot yet.
+func (p *Proxy) unavailable(snap *model.Snapshot) *localReply {
+	reply := &localReply{status: http.StatusServiceUnavailable, reason: "entry-leaving", verdict: verdict.NotRun, retryAfter: unavailableRetryAfter}
 	if snap == nil {
-		f.reason = "entry-starting"
-		return f
+		reply.reason = "entry-starting"
+		return reply
 	}
 	for _, m := range snap.HomeEntries() {
-		f.entries = append(f.entries, m.Entry)
+		reply.entries = append(reply.entries, m.Entry)
 	}
-	return f
+	return reply
 }
--- a/internal/forward/rates.go
+++ b/internal/forward/rates.go
@@ -7,80 +7,83 @@
 	"github.com/loomkeel/loomkeel/internal/ratelimit"
 )
 
-// rateLinesPerSecond and rateLineBurst bound the lines about limits that upstreams name.
+// rateLogsPerSecond and rateLogBurst limit the log lines about rate limits of upstreams.
 const (
-	rateLinesPerSecond = 5
-	rateLineBurst      = 40
+	rateLogsPerSecond = 5
+	rateLogBurst      = 40
 )
 
-// noteRate takes in what an answer says of the limit of its upstream.
-func (c *Proxy) noteRate(cl *call, from balance.Choice, r balance.Rate) {
-	now := c.now()
-	if !c.lane(cl.service.Name).group.NoteRate(now, from, r) {
+// recordRate records what a response says about the rate limit of its upstream.
+func (p *Proxy) recordRate(cl *call, from balance.Choice, r balance.Rate) {
+	now := p.now()
+	if !p.serviceState(cl.service.Name).group.NoteRate(now, from, r) {
 		return
 	}
-	kind := "upstream names a limit"
+	kind := "upstream set a rate limit"
 	if r.PerSecond == ratelimit.Unlimited {
-		kind = "upstream names no limit any more"
+		kind = "upstream removed its rate limit"
 	}
-	if left, ok := c.rateLines.Allow(now, kind); ok {
+	if left, ok := p.rateLog.Allow(now, kind); ok {
 		klog.InfoS(kind, "service", cl.service.Name, "upstream", from.ID, "per_s", r.PerSecond, "request", cl.ID, "left_out", left)
 	}
 }
 
-// notifyRates has other entries told of the limits of upstreams at once.
-func (c *Proxy) notifyRates() {
+// notifyRates signals that changed rate limits should be sent to other entries without delay.
+func (p *Proxy) notifyRates() {
 	select {
-	case c.rateNews <- struct{}{}:
+	case p.ratesChanged <- struct{}{}:
 	default:
 	}
 }
 
-// UrgentRates has a value when other entries are to hear of the limits of upstreams at once.
-func (c *Proxy) UrgentRates() <-chan struct{} { return c.rateNews }
+// UrgentRates returns a channel that receives a value when changed rate limits of upstreams
+// should be sent to other entries without delay.
+func (p *Proxy) UrgentRates() <-chan struct{} { return p.ratesChanged }
 
-// RateNews returns what to tell other entries of the limits of upstreams.
-func (c *Proxy) RateNews(scope balance.NewsScope) []balance.RateNews {
-	now := c.now()
+// RateNews returns the updates about rate limits of upstreams to send to other entries.
+func (p *Proxy) RateNews(scope balance.NewsScope) []balance.RateNews {
+	now := p.now()
 	var out []balance.RateNews
-	for _, l := range c.allLanes() {
-		l.group.RateNews(now, scope, func(n balance.RateNews) { out = append(out, n) })
+	for _, state := range p.allServices() {
+		state.group.RateNews(now, scope, func(n balance.RateNews) { out = append(out, n) })
 	}
 	return out
 }
 
-// RateSenders returns the ids of the entries that share the limit of an upstream with this one.
-func (c *Proxy) RateSenders() map[string]bool {
+// RateSenders returns the IDs of the entries that share a rate limit of an upstream with this
+// entry.
+func (p *Proxy) RateSenders() map[string]bool {
 	out := make(map[string]bool)
-	for _, l := range c.allLanes() {
-		l.group.RateSenders(func(id string) { out[id] = true })
+	for _, state := range p.allServices() {
+		state.group.RateSenders(func(id string) { out[id] = true })
 	}
 	return out
 }
 
-// HeardRates takes in what a peer told of the limits of upstreams in one of its lives.
-func (c *Proxy) HeardRates(peer string, life uint64, told []balance.RateNews) {
-	now := c.now()
-	for _, l := range c.allLanes() {
-		l.group.HeardRates(now, peer, life, told)
+// HeardRates merges the updates that a peer sent about rate limits of upstreams. life is the
+// incarnation of the peer.
+func (p *Proxy) HeardRates(peer string, life uint64, updates []balance.RateNews) {
+	now := p.now()
+	for _, state := range p.allServices() {
+		state.group.HeardRates(now, peer, life, updates)
 	}
 }
 
-// StopRateLimited has the entry send no more requests to upstreams with limits: it is about to leave,
-// and others will not hear of its requests.
-func (c *Proxy) StopRateLimited() {
-	now := c.now()
-	for _, l := range c.allLanes() {
-		l.group.Retire(now)
+// StopRateLimited stops sending requests to upstreams with rate limits. It is called before the
+// entry leaves, after which other entries would not learn of its requests.
+func (p *Proxy) StopRateLimited() {
+	now := p.now()
+	for _, state := range p.allServices() {
+		state.group.Retire(now)
 	}
 }
 
-// Rates returns the limits of upstreams, at most n of each service.
-func (c *Proxy) Rates(n int) []balance.RateStatus {
-	now := c.now()
+// Rates returns the state of the rate limits of upstreams, at most n for each service.
+func (p *Proxy) Rates(n int) []balance.RateStatus {
+	now := p.now()
 	var out []balance.RateStatus
-	for _, l := range c.allLanes() {
-		out = append(out, l.group.Rates(now, n)...)
+	for _, state := range p.allServices() {
+		out = append(out, state.group.Rates(now, n)...)
 	}
 	return out
 }
--- a/internal/forward/regions_test.go
+++ b/internal/forward/regions_test.go
@@ -15,15 +15,16 @@
 	"github.com/loomkeel/loomkeel/internal/verdict"
 )
 
-// Requests of routes that only some regions may serve reached upstreams of others. The
-// operators change these regions with most configurations, and a request was sent again, up
-// to ten seconds after it came, by the regions of the configuration that it came under.
+// The tests in this file guard against requests running in regions that may not serve their
+// route. Operators change these regions with most configurations, and a request may be retried
+// up to ten seconds after it arrived, so a retry must follow the configuration in force rather
+// than the one that the request arrived with.
 
-// byRoutes is the native protocol with the routes of the configuration.
-type byRoutes struct{ Native }
+// configRoutes is the native protocol with the routes of the configuration.
+type configRoutes struct{ Native }
 
 // ParseRequest implements Protocol.
-func (byRoutes) ParseRequest(r *http.Request, snap *model.Snapshot) (RequestInfo, *RequestError) {
+func (configRoutes) ParseRequest(r *http.Request, snap *model.Snapshot) (RequestInfo, *RequestError) {
 	route := snap.Routes.Match(r.Host, r.URL.Path)
 	if route == nil {
 		return RequestInfo{}, &RequestError{Status: http.StatusNotFound, Reason: "no-route"}
@@ -31,8 +32,8 @@
 	return RequestInfo{ID: r.Header.Get(header.RequestID), Route: route, Safe: route.Safe, Object: r.URL.Path}, nil
 }
 
-// homes is an entry in muscat with two upstreams in each of three regions.
-type homes struct {
+// regionFixture is an entry in muscat with two upstreams in each of three regions.
+type regionFixture struct {
 	t       *testing.T
 	carrier *Proxy
 	url     string
@@ -42,16 +43,17 @@
 	mu sync.Mutex
 	// ran are the regions in which requests ran, in order.
 	ran []string
-	// under is called while a request runs, with how many ran before.
-	under func(before int) (breaks bool)
+	// onRequest is called while a request runs, with the number of requests that ran before. It
+	// returns whether the upstream breaks off.
+	onRequest func(before int) (breaks bool)
 }
 
-var homeRegions = []string{"muscat", "sohar", "salalah"}
+var fixtureRegions = []string{"muscat", "sohar", "salalah"}
 
-func newHomes(t *testing.T, regions ...string) *homes {
-	h := &homes{t: t, under: func(int) bool { return false }}
+func newRegionFixture(t *testing.T, regions ...string) *regionFixture {
+	h := &regionFixture{t: t, onRequest: func(int) bool { return false }}
 	h.carrier = New(Options{
-		MaxInFlight: 100, Now: time.Now, Protocol: byRoutes{}, CapShares: share.NewBook(), Domain: "muscat-a",
+		MaxInFlight: 100, Now: time.Now, Protocol: configRoutes{}, CapShares: share.NewBook(), Domain: "muscat-a",
 		BootClock: func() int64 { return 0 }, NewID: func() string { return "own" }, Observe: func(Outcome) {},
 	})
 	srv := httptest.NewServer(h.carrier)
@@ -65,7 +67,7 @@
 		Region: "muscat", RetryBudget: 1, RetryBurst: 100,
 		Members: []model.Member{{ID: "n0", Region: "muscat", State: membership.Alive}},
 	}
-	for _, region := range homeRegions {
+	for _, region := range fixtureRegions {
 		for _, domain := range []string{"-a", "-b"} {
 			up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { h.serve(w, r, region) }))
 			t.Cleanup(up.Close)
@@ -78,33 +80,33 @@
 	return h
 }
 
-// serve runs a request at an upstream of a region.
-func (h *homes) serve(w http.ResponseWriter, r *http.Request, region string) {
+// serve handles a request at an upstream of a region.
+func (h *regionFixture) serve(w http.ResponseWriter, r *http.Request, region string) {
 	h.mu.Lock()
 	before := len(h.ran)
 	h.ran = append(h.ran, region)
 	h.mu.Unlock()
-	if h.under(before) {
+	if h.onRequest(before) {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set(header.RequestID, r.Header.Get(header.RequestID))
 }
 
-// configure puts a version in force under which some regions may serve the route.
-func (h *homes) configure(version uint64, regions ...string) {
+// configure puts a configuration into force in which the given regions may serve the route.
+func (h *regionFixture) configure(version uint64, regions ...string) {
 	route := h.route
 	route.Regions = regions
 	h.in.Config = &model.Config{Version: version, Routes: []*model.Route{&route}, Services: map[string]model.ServiceConfig{"orders": {}}}
 	h.carrier.Update(model.CompileRouted(h.in))
 }
 
-func (h *homes) send(id string) told {
+func (h *regionFixture) send(id string) result {
 	e := &entry{h.carrier, h.url}
 	return e.send(h.t, http.MethodGet, "/x", "", header.RequestID, id)
 }
 
-// only checks that requests ran in one region alone, once each.
-func (h *homes) only(t *testing.T, regions ...string) {
+// expectRuns checks the regions in which requests ran, in order.
+func (h *regionFixture) expectRuns(t *testing.T, regions ...string) {
 	t.Helper()
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -113,13 +115,13 @@
 	}
 }
 
-// TestSentAgainWhereTheNewestConfigurationAllows changes the regions that may serve a route
-// while a request of it is under way, which then breaks off.
-func TestSentAgainWhereTheNewestConfigurationAllows(t *testing.T) {
-	for _, region := range homeRegions {
-		for _, next := range homeRegions {
-			h := newHomes(t, region)
-			h.under = func(before int) bool {
+// TestRetryFollowsCurrentConfiguration changes the regions that may serve a route while a
+// request of the route is in flight, which then breaks off.
+func TestRetryFollowsCurrentConfiguration(t *testing.T) {
+	for _, region := range fixtureRegions {
+		for _, next := range fixtureRegions {
+			h := newRegionFixture(t, region)
+			h.onRequest = func(before int) bool {
 				if before == 0 {
 					h.configure(2, next)
 				}
@@ -128,21 +130,21 @@
 			if got := h.send("r1"); got.status != http.StatusOK {
 				t.Errorf("from %s to %s: status %d", region, next, got.status)
 			}
-			h.only(t, region, next)
+			h.expectRuns(t, region, next)
 		}
 	}
 }
 
-// TestOnlyServedAtHome takes all upstreams of the only region that may serve a route away, in
-// each way. Its requests run nowhere else and are refused at once.
-func TestOnlyServedAtHome(t *testing.T) {
+// TestNoUpstreamInAllowedRegion removes all upstreams of the only region that may serve a
+// route, in several ways. Its requests must run in no other region and be rejected at once.
+func TestNoUpstreamInAllowedRegion(t *testing.T) {
 	for name, lose := range map[string]func(u *model.Upstream){
 		"leaving": func(u *model.Upstream) { u.Leaving = true },
 		"gone":    func(u *model.Upstream) { u.Service = "" },
 		"moved":   func(u *model.Upstream) { u.Region = "elsewhere" },
 	} {
-		for _, region := range homeRegions {
-			h := newHomes(t, region)
+		for _, region := range fixtureRegions {
+			h := newRegionFixture(t, region)
 			for i := range h.in.Upstreams {
 				if h.in.Upstreams[i].Region == region {
 					lose(&h.in.Upstreams[i])
@@ -153,16 +155,16 @@
 			if got.status != http.StatusServiceUnavailable || got.verdict(t) != verdict.NotRun || got.header.Get("Retry-After") == "" {
 				t.Errorf("upstreams of %s %s: status %d, %v", region, name, got.status, got.header)
 			}
-			h.only(t)
+			h.expectRuns(t)
 		}
 	}
 }
 
-// TestBrokenAtHomeStaysAtHome breaks every attempt off.
-func TestBrokenAtHomeStaysAtHome(t *testing.T) {
-	for _, region := range homeRegions {
-		h := newHomes(t, region)
-		h.under = func(int) bool { return true }
+// TestRetriesStayInAllowedRegion breaks off every attempt.
+func TestRetriesStayInAllowedRegion(t *testing.T) {
+	for _, region := range fixtureRegions {
+		h := newRegionFixture(t, region)
+		h.onRequest = func(int) bool { return true }
 		h.send("r1")
 		h.mu.Lock()
 		elsewhere := slices.ContainsFunc(h.ran, func(ran string) bool { return ran != region })
--- a/internal/forward/reply.go
+++ b/internal/forward/reply.go
@@ -8,66 +8,68 @@
 	"github.com/loomkeel/loomkeel/internal/verdict"
 )
 
-// refusal is an answer that loomkeel itself makes.
-type refusal struct {
+// localReply is a response that the Proxy generates itself.
+type localReply struct {
 	status     int
 	reason     string
 	detail     string
 	verdict    verdict.Verdict
 	retryAfter time.Duration
-	// entries are others that the caller may turn to.
+	// entries are the addresses of other entries that the caller may use.
 	entries []string
 }
 
-// ErrorResponse is the JSON body of an answer that loomkeel itself makes.
+// ErrorResponse is the JSON body of a response that the Proxy generates itself.
 type ErrorResponse struct {
 	// Verdict is not-run, may-have-run or ran.
 	Verdict string `json:"verdict"`
-	// Reason is a short stable word.
+	// Reason is a short, stable identifier.
 	Reason string `json:"reason"`
-	// Detail explains the reason to a person.
+	// Detail explains the reason to people.
 	Detail string `json:"detail,omitempty"`
-	// RequestID is that of the request.
+	// RequestID is the ID of the request.
 	RequestID string `json:"request_id,omitempty"`
-	// RetryAfterMillis is when to come back; 0 means no advice.
+	// RetryAfterMillis is the time in milliseconds after which the caller should retry; 0 means
+	// no advice.
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
-	// Entries are entry instances to use instead.
+	// Entries are the addresses of other entries that the caller may use.
 	Entries []string `json:"entries,omitempty"`
 }
 
-func (f *RequestError) refusal() *refusal {
-	return &refusal{status: f.Status, reason: f.Reason, detail: f.Detail, verdict: verdict.NotRun}
+func (e *RequestError) localReply() *localReply {
+	return &localReply{status: e.Status, reason: e.Reason, detail: e.Detail, verdict: verdict.NotRun}
 }
 
-// write sends the refusal as the final answer.
-func (f *refusal) write(w http.ResponseWriter, p Protocol, id string) {
+// write sends the response.
+func (l *localReply) write(w http.ResponseWriter, protocol Protocol, id string) {
 	h := w.Header()
-	p.SetErrorHeaders(h, id, f.verdict, f.retryAfter)
+	protocol.SetErrorHeaders(h, id, l.verdict, l.retryAfter)
 	h.Set("Content-Type", "application/json")
 	h.Set("Cache-Control", "no-store")
-	w.WriteHeader(f.status)
+	w.WriteHeader(l.status)
 	_ = json.NewEncoder(w).Encode(ErrorResponse{
-		Verdict:          f.verdict.String(),
-		Reason:           f.reason,
-		Detail:           f.detail,
+		Verdict:          l.verdict.String(),
+		Reason:           l.reason,
+		Detail:           l.detail,
 		RequestID:        id,
-		RetryAfterMillis: f.retryAfter.Milliseconds(),
-		Entries:          f.entries,
+		RetryAfterMillis: l.retryAfter.Milliseconds(),
+		Entries:          l.entries,
 	})
 }
 
-// after returns the refusal of a request that had attempts before, the last of which ended
-// with an error. If one of them may have run, that is what the caller has to know.
-func (f *refusal) after(last *verdict.Error, outcome verdict.Verdict) *refusal {
+// withOutcome returns the response to a request that had attempts before, of which last is the
+// last error. If one of them may have run, the response reports that error and outcome instead
+// of l.
+func (l *localReply) withOutcome(last *verdict.Error, outcome verdict.Verdict) *localReply {
 	if last == nil || outcome == verdict.NotRun {
-		return f
+		return l
 	}
-	return refusalFor(last, outcome)
+	return replyFor(last, outcome)
 }
 
-// refusalFor turns the error that ended a call into its answer.
-func refusalFor(err *verdict.Error, outcome verdict.Verdict) *refusal {
-	return &refusal{
+// replyFor returns the response for the error that ended a call.
+func replyFor(err *verdict.Error, outcome verdict.Verdict) *localReply {
+	return &localReply{
 		status:     statusFor(err.Reason, outcome),
 		reason:     err.Reason,
 		detail:     detailOf(err),
--- a/internal/forward/reuse.go
+++ b/internal/forward/reuse.go
@@ -7,88 +7,91 @@
 )
 
 const (
-	// doubtFor is how long it is believed that upstreams forget connections which
-	// rested. The faults that were seen last some six seconds.
-	doubtFor = 8 * time.Second
-	// doubtShare is the part of a rest that broke up to which rests are trusted.
-	doubtShare = 0.5
-	// echoSlack is by how much longer a doubt that a peer tells must hold to make the
-	// own one hold longer. It is told with the time that it has left, so that the way
-	// lengthens it: without slack two entries would tell each other the same doubt for
-	// ever. Reports take a third of a second at most.
-	echoSlack = time.Second
-	// promptShare and promptSlack say within what time of the request an upstream
-	// resets a connection that it has forgotten: the way there and back, which is about
-	// what the connection took to be made, and a little. One that breaks later was
-	// lost with the work, which takes several times promptSlack.
-	promptShare = 1.5
-	promptSlack = 20 * time.Millisecond
+	// reuseLimitDuration is how long a ReuseLimit holds after a connection broke. The network
+	// faults that were observed last about six seconds.
+	reuseLimitDuration = 8 * time.Second
+	// maxIdleFraction is the part of a broken connection's idle time up to which idle
+	// connections are still reused.
+	maxIdleFraction = 0.5
+	// mergeSlack is by how much longer a peer's limit must hold to extend the own limit. A
+	// limit is sent with its remaining time, so transmission lengthens it: without the slack
+	// two entries would extend each other's limit forever. A report takes at most a third of a
+	// second.
+	mergeSlack = time.Second
+	// promptFactor and promptSlack define how soon after a request an upstream resets a
+	// connection whose state it has lost: one round trip, which takes about as long as opening
+	// the connection did, plus a margin. A connection that breaks later was lost while the
+	// request ran, which takes several times promptSlack.
+	promptFactor = 1.5
+	promptSlack  = 20 * time.Millisecond
 )
 
-// promptly reports whether a connection broke so soon after a request that its
-// upstream must have forgotten it.
-func promptly(took, connect time.Duration) bool {
-	return took < time.Duration(promptShare*float64(connect))+promptSlack
+// resetPromptly reports whether a connection broke so soon after the request that the upstream
+// must have lost the state of the connection before.
+func resetPromptly(took, connect time.Duration) bool {
+	return took < time.Duration(promptFactor*float64(connect))+promptSlack
 }
 
-// ReuseLimit says that connections which rested for longer than a time are not to be
-// trusted with a request that may run only once: the upstream may have forgotten
-// them silently, and after a reset nobody can tell whether the request ran.
+// ReuseLimit states that connections idle for longer than MaxIdle must not be used for a
+// request that may run only once. Upstreams may have lost the state of such connections without
+// closing them, and after a reset it is unknown whether the request ran.
 type ReuseLimit struct {
-	// MaxIdle is the longest rest that is trusted, Until when the doubt ends.
+	// MaxIdle is the longest idle time of a connection that may be reused, and Until the time
+	// at which the limit ends.
 	MaxIdle time.Duration
 	Until   time.Time
 }
 
-// rests holds what is known of how long connections may rest. It is safe for
-// concurrent use.
-type rests struct {
+// reuseLimiter holds the current ReuseLimit. It is safe for concurrent use.
+type reuseLimiter struct {
 	mu    sync.Mutex
-	doubt ReuseLimit
+	limit ReuseLimit
 }
 
-// broke records that a connection broke that had rested for a time.
-func (r *rests) broke(rest time.Duration, now time.Time) {
-	r.take(ReuseLimit{time.Duration(doubtShare * float64(rest)), now.Add(doubtFor)}, 0, now)
+// recordBreak records that a connection broke after it had been idle for a time.
+func (r *reuseLimiter) recordBreak(idle time.Duration, now time.Time) {
+	r.apply(ReuseLimit{time.Duration(maxIdleFraction * float64(idle)), now.Add(reuseLimitDuration)}, 0, now)
 }
 
-// heard takes in a doubt that a peer told.
-func (r *rests) heard(d ReuseLimit, now time.Time) { r.take(d, echoSlack, now) }
+// merge merges a limit from a peer.
+func (r *reuseLimiter) merge(limit ReuseLimit, now time.Time) { r.apply(limit, mergeSlack, now) }
 
-// take takes in a doubt. Of two that hold the shorter rest counts, for as long as the
-// later one holds, if that is later by more than a slack.
-func (r *rests) take(d ReuseLimit, slack time.Duration, now time.Time) {
+// apply merges a limit into the current one. If both hold, the shorter MaxIdle applies. The end
+// is extended only if the new limit ends later by more than slack.
+func (r *reuseLimiter) apply(limit ReuseLimit, slack time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !now.Before(d.Until) {
+	if !now.Before(limit.Until) {
 		return
 	}
-	longer := d.Until.Sub(r.doubt.Until) > slack
-	if ended := !now.Before(r.doubt.Until); ended {
-		if longer {
-			r.doubt = d
+	extends := limit.Until.Sub(r.limit.Until) > slack
+	if ended := !now.Before(r.limit.Until); ended {
+		if extends {
+			r.limit = limit
 		}
 		return
 	}
-	r.doubt.MaxIdle = min(r.doubt.MaxIdle, d.MaxIdle)
-	if longer {
-		r.doubt.Until = d.Until
+	r.limit.MaxIdle = min(r.limit.MaxIdle, limit.MaxIdle)
+	if extends {
+		r.limit.Until = limit.Until
 	}
 }
 
-// current returns the doubt that holds; zero if none does.
-func (r *rests) current(now time.Time) ReuseLimit {
+// current returns the limit that holds, or the zero value.
+func (r *reuseLimiter) current(now time.Time) ReuseLimit {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !now.Before(r.doubt.Until) {
+	if !now.Before(r.limit.Until) {
 		return ReuseLimit{}
 	}
-	return r.doubt
+	return r.limit
 }
 
-// onceKey marks the context of a request that may run only once.
-type onceKey struct{}
+// unsafeKey is the context key of requests that may run only once.
+type unsafeKey struct{}
 
-func withOnce(ctx context.Context) context.Context { return context.WithValue(ctx, onceKey{}, true) }
+func withUnsafe(ctx context.Context) context.Context {
+	return context.WithValue(ctx, unsafeKey{}, true)
+}
 
-func isOnce(ctx context.Context) bool { return ctx.Value(onceKey{}) != nil }
+func isUnsafe(ctx context.Context) bool { return ctx.Value(unsafeKey{}) != nil }
--- a/internal/forward/reuse_test.go
+++ b/internal/forward/reuse_test.go
@@ -11,56 +11,56 @@
 	"time"
 )
 
-func TestRests(t *testing.T) {
+func TestReuseLimiter(t *testing.T) {
 	t0 := time.Unix(1_800_000_000, 0)
-	var r rests
-	expect := func(after, rest, until time.Duration) {
+	var r reuseLimiter
+	expect := func(after, maxIdle, until time.Duration) {
 		t.Helper()
 		d := r.current(t0.Add(after))
-		if d.MaxIdle != rest || !d.Until.IsZero() && d.Until.Sub(t0) != until {
-			t.Errorf("after %v: %v until %v", after, d.MaxIdle, d.Until.Sub(t0))
+		if d.MaxIdle != maxIdle || !d.Until.IsZero() && d.Until.Sub(t0) != until {
+			t.Errorf("after %v: limit %v until %v", after, d.MaxIdle, d.Until.Sub(t0))
 		}
 	}
 	expect(0, 0, 0)
-	r.broke(400*time.Millisecond, t0)
-	expect(0, 200*time.Millisecond, doubtFor)
-	r.broke(2*time.Second, t0.Add(time.Second))
-	expect(time.Second, 200*time.Millisecond, time.Second+doubtFor)
-	r.heard(ReuseLimit{100 * time.Millisecond, t0.Add(2 * time.Second)}, t0.Add(time.Second))
-	expect(time.Second, 100*time.Millisecond, time.Second+doubtFor)
-	r.heard(ReuseLimit{time.Millisecond, t0}, t0.Add(time.Second))
-	expect(2*time.Second, 100*time.Millisecond, time.Second+doubtFor)
-	expect(time.Second+doubtFor, 0, 0)
+	r.recordBreak(400*time.Millisecond, t0)
+	expect(0, 200*time.Millisecond, reuseLimitDuration)
+	r.recordBreak(2*time.Second, t0.Add(time.Second))
+	expect(time.Second, 200*time.Millisecond, time.Second+reuseLimitDuration)
+	r.merge(ReuseLimit{100 * time.Millisecond, t0.Add(2 * time.Second)}, t0.Add(time.Second))
+	expect(time.Second, 100*time.Millisecond, time.Second+reuseLimitDuration)
+	r.merge(ReuseLimit{time.Millisecond, t0}, t0.Add(time.Second))
+	expect(2*time.Second, 100*time.Millisecond, time.Second+reuseLimitDuration)
+	expect(time.Second+reuseLimitDuration, 0, 0)
 }
 
-// TestDoubtEndsThoughItIsTold has two entries tell each other a doubt with a delay. It
-// must end at both soon after the time that it was to hold.
-func TestDoubtEndsThoughItIsTold(t *testing.T) {
+// TestReuseLimitEndsDespiteExchange makes two entries send each other a limit with a delay. The
+// limit must end at both soon after its original end.
+func TestReuseLimitEndsDespiteExchange(t *testing.T) {
 	const way, period = 120 * time.Millisecond, 200 * time.Millisecond
 	t0 := time.Unix(1_800_000_000, 0)
-	var a, b rests
-	a.broke(400*time.Millisecond, t0)
-	tell := func(from, to *rests, now time.Time) {
+	var a, b reuseLimiter
+	a.recordBreak(400*time.Millisecond, t0)
+	tell := func(from, to *reuseLimiter, now time.Time) {
 		if d := from.current(now); !d.Until.IsZero() {
 			left := d.Until.Sub(now)
-			to.heard(ReuseLimit{d.MaxIdle, now.Add(way + left)}, now.Add(way))
+			to.merge(ReuseLimit{d.MaxIdle, now.Add(way + left)}, now.Add(way))
 		}
 	}
-	end := t0.Add(doubtFor + 2*echoSlack)
+	end := t0.Add(reuseLimitDuration + 2*mergeSlack)
 	for now := t0; now.Before(end); now = now.Add(period) {
 		tell(&a, &b, now)
 		tell(&b, &a, now.Add(way))
 	}
-	for name, r := range map[string]*rests{"a": &a, "b": &b} {
+	for name, r := range map[string]*reuseLimiter{"a": &a, "b": &b} {
 		if d := r.current(end); !d.Until.IsZero() {
-			t.Errorf("%s still doubts rests over %v, until %v after the end", name, d.MaxIdle, d.Until.Sub(end))
+			t.Errorf("%s still has the limit %v, which holds until %v after the end", name, d.MaxIdle, d.Until.Sub(end))
 		}
 	}
 }
 
-// A warm upstream that loses an answer breaks its connection later than one that has
-// forgotten it, wherever it stands.
-func TestPromptly(t *testing.T) {
+// TestResetPromptly checks that a lost response of an upstream that still has the connection
+// does not count as a prompt reset, for near and distant upstreams.
+func TestResetPromptly(t *testing.T) {
 	for _, tt := range []struct {
 		took, connect time.Duration
 		want          bool
@@ -70,21 +70,21 @@
 		{111 * time.Millisecond, 110 * time.Millisecond, true},
 		{260 * time.Millisecond, 110 * time.Millisecond, false},
 	} {
-		if got := promptly(tt.took, tt.connect); got != tt.want {
-			t.Errorf("broke after %v, connected in %v: %v", tt.took, tt.connect, got)
+		if got := resetPromptly(tt.took, tt.connect); got != tt.want {
+			t.Errorf("broke after %v, connected in %v: prompt is %v", tt.took, tt.connect, got)
 		}
 	}
 }
 
-// forgetful is an upstream that forgets its first connection after one answer: it
-// resets whatever comes on it next.
-func forgetful(n int, c net.Conn, r *bufio.Reader) {
-	for answered := 0; ; answered++ {
+// dropConnState serves an upstream that loses the state of its first connection after one
+// response: it resets the connection at the next request.
+func dropConnState(n int, c net.Conn, r *bufio.Reader) {
+	for responses := 0; ; responses++ {
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
-		if n == 0 && answered > 0 {
+		if n == 0 && responses > 0 {
 			_ = c.(*net.TCPConn).SetLinger(0)
 			return
 		}
@@ -92,12 +92,11 @@
 	}
 }
 
-// TestForgottenConnections has an upstream forget a connection that rested. From
-// then on no request that may run only once goes on a connection that rested for
-// long. Before, a fifth of all photographs and redemptions were lost while such a
-// fault lasted.
-func TestForgottenConnections(t *testing.T) {
-	s := newScript(t, forgetful)
+// TestIdleConnectionsAfterReset makes an upstream reset a connection that was idle. From then
+// on a request that may run only once must not be sent on a connection that was idle for long.
+// Without this rule a fifth of such requests were lost while the fault lasted.
+func TestIdleConnectionsAfterReset(t *testing.T) {
+	s := newScriptedUpstream(t, dropConnState)
 	now := time.Unix(1_800_000_000, 0)
 	p := newTestPool()
 	p.opt.Now = func() time.Time { return now }
@@ -106,7 +105,7 @@
 		n++
 		ctx := t.Context()
 		if once {
-			ctx = withOnce(ctx)
+			ctx = withUnsafe(ctx)
 		}
 		return s.get(ctx, p, fmt.Sprint(n))
 	}
@@ -121,7 +120,7 @@
 	}
 	now = now.Add(400 * time.Millisecond)
 	if err := send(true); err == nil {
-		t.Fatal("a request on a forgotten connection was answered")
+		t.Fatal("a request on a reset connection got a response")
 	}
 	conns(1)
 	if err := send(true); err != nil {
@@ -145,7 +144,7 @@
 	conns(3)
 }
 
-func (s *script) get(ctx context.Context, p *Pool, id string) error {
+func (s *scriptedUpstream) get(ctx context.Context, p *Pool, id string) error {
 	req := &http.Request{
 		Method: http.MethodGet, Host: "x", Header: http.Header{idHeader: {id}},
 		URL: &url.URL{Scheme: "http", Host: s.lis.Addr().String(), Opaque: "/"},
--- a/internal/forward/serve.go
+++ b/internal/forward/serve.go
@@ -15,33 +15,34 @@
 )
 
 const (
-	// retryBurst is how many retries may be made before any success.
+	// retryBurst is the number of retries that are allowed before any request has succeeded.
 	retryBurst = 10
-	// maxSheds is how often a request may be shed and go on. A shed ran nothing
-	// and costs an upstream little, so it counts neither as an attempt nor
-	// against the retry budget. It has a budget of its own, shedShare of recent
-	// successes; beyond that a request waits in the queue before it goes on, or
-	// under overload requests would spend themselves on sheds.
-	maxSheds  = 12
-	shedShare = 1.0
-	shedBurst = 20
+	// maxSheds is how often one request may be shed and retried. An upstream does not run a
+	// request that it sheds, and shedding costs it little, so a shed counts neither as an
+	// attempt nor against the retry budget. Retries after sheds have their own budget of
+	// shedBudgetRatio per successful request. Without budget left the request waits in the
+	// queue first, so that under overload requests do not use up their retries on sheds.
+	maxSheds        = 12
+	shedBudgetRatio = 1.0
+	shedBurst       = 20
 )
 
-// serve runs attempts until one is answered or none may follow.
-func (c *Proxy) serve(ctx context.Context, w http.ResponseWriter, r *http.Request, snap *model.Snapshot, cl *call, out *Outcome) {
-	l := c.lane(cl.service.Name)
-	regions := c.regions(snap, cl, l)
+// serve makes attempts until one gets a response for the caller or no further attempt is
+// allowed.
+func (p *Proxy) serve(ctx context.Context, w http.ResponseWriter, r *http.Request, snap *model.Snapshot, cl *call, out *Outcome) {
+	state := p.serviceState(cl.service.Name)
+	regions := p.candidateRegions(snap, cl, state)
 	if cl.service.Routed {
-		l.budget.Earn(cl.service.RetryBudget)
+		state.budget.Earn(cl.service.RetryBudget)
 	}
 	var last *verdict.Error
-	sheds, patient := 0, false
+	sheds, mustWait := 0, false
 	for {
-		if f := c.rebind(r, cl); f != nil {
-			c.refuse(w, out, f.after(last, cl.outcome))
+		if reply := p.refreshConfig(r, cl); reply != nil {
+			p.reply(w, out, reply.withOutcome(last, cl.outcome))
 			return
 		}
-		choice, err := c.take(ctx, cl, l, regions, patient)
+		choice, err := p.acquire(ctx, cl, state, regions, mustWait)
 		if err != nil {
 			if last == nil || err.Verdict == verdict.MayHaveRun {
 				last = err
@@ -49,131 +50,134 @@
 			break
 		}
 		out.Choice = choice
-		ans, err := c.send(ctx, r, cl, choice)
-		c.noteAlive(choice, ans)
+		res, err := p.send(ctx, r, cl, choice)
+		p.recordAlive(choice, res)
 		if err != nil && err.Reason == ReasonShed && !cl.service.Routed && sheds < maxSheds {
 			sheds++
 			last = err
-			patient = !l.sheds.Take()
-			c.done(l, choice, reportFor(ans, err))
+			mustWait = !state.shedBudget.Take()
+			p.release(state, choice, reportFor(res, err))
 			continue
 		}
 		out.Attempts++
-		if err == nil && !retryableAnswer(cl, ans, out.Attempts) {
-			c.deliver(w, l, cl, choice, ans, out)
+		if err == nil && !retryableResponse(cl, res, out.Attempts) {
+			p.deliver(w, state, cl, choice, res, out)
 			return
 		}
 		if err == nil {
-			err = brokenAnswer(ans)
+			err = retryableError(res)
 		}
-		// One that refused although it is idle is asked again, as the object is cold
-		// elsewhere; the last attempt goes elsewhere.
-		ends := c.noteBroken(ctx, cl, choice, err)
-		result := c.done(l, choice, reportFor(ans, err))
-		if lastLeft := out.Attempts == cl.attempts-1; result != balance.ShedIdle || lastLeft {
+		// An idle upstream that shed the request is tried again, because the object is cold
+		// at the other upstreams. Only the last attempt goes to another upstream.
+		held := p.recordBroken(ctx, cl, choice, err)
+		result := p.release(state, choice, reportFor(res, err))
+		if lastAttempt := out.Attempts == cl.attempts-1; result != balance.ShedIdle || lastAttempt {
 			cl.tried = append(cl.tried, choice.ID)
 		}
-		regions = cl.after(err, choice.Region, regions)
+		regions = cl.reorderRegions(err, choice.Region, regions)
 		cl.outcome = verdict.Join(cl.outcome, err.Verdict)
 		last = err
-		if ends || !c.mayRetry(ctx, cl, l, err, out.Attempts) {
+		if held || !p.mayRetry(ctx, cl, state, err, out.Attempts) {
 			break
 		}
 	}
-	f := refusalFor(last, cl.outcome)
-	f.retryAfter = max(f.retryAfter, l.retryAfter(regions[0]))
-	c.refuse(w, out, f)
+	reply := replyFor(last, cl.outcome)
+	reply.retryAfter = max(reply.retryAfter, state.retryAfter(regions[0]))
+	p.reply(w, out, reply)
 }
 
-// mayRetry decides whether a failed attempt is followed by another: only by its
-// verdict, within the attempts, the deadline and the budget.
-func (c *Proxy) mayRetry(ctx context.Context, cl *call, l *lane, err *verdict.Error, attempts int) bool {
+// mayRetry reports whether a failed attempt may be followed by another. That depends on its
+// verdict, the number of attempts, the deadline and the retry budget.
+func (p *Proxy) mayRetry(ctx context.Context, cl *call, state *serviceState, err *verdict.Error, attempts int) bool {
 	if ctx.Err() != nil || attempts >= cl.attempts {
 		return false
 	}
 	if err.Verdict != verdict.NotRun && !cl.Safe {
 		return false
 	}
-	return l.budget.Take()
+	return state.budget.Take()
 }
 
-// retryableAnswer reports whether an answer to a safe request should be tried
-// elsewhere rather than delivered.
-func retryableAnswer(cl *call, a *answer, attempts int) bool {
+// retryableResponse reports whether a response to a safe request should be replaced by a retry
+// rather than delivered.
+func retryableResponse(cl *call, res *upstreamResponse, attempts int) bool {
 	if !cl.Safe || attempts >= cl.attempts {
 		return false
 	}
-	switch a.resp.StatusCode {
+	switch res.resp.StatusCode {
 	case http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		return true
 	}
 	return false
 }
 
-func brokenAnswer(a *answer) *verdict.Error {
-	discard(a.resp)
-	return verdict.New(verdict.Ran, reasonBroken, errors.New("upstream answered "+a.resp.Status))
+func retryableError(res *upstreamResponse) *verdict.Error {
+	discard(res.resp)
+	return verdict.New(verdict.Ran, reasonBroken, errors.New("upstream responded "+res.resp.Status))
 }
 
-// reportFor tells the balancer how a failed attempt reflects on its upstream. The
-// answer is that of the attempt, or nil.
-func reportFor(ans *answer, err *verdict.Error) balance.Report {
+// reportFor returns the balancer's report about a failed attempt. res is the response of the
+// attempt, or nil.
+func reportFor(res *upstreamResponse, err *verdict.Error) balance.Report {
 	r := balance.Report{Result: balance.Failed, Load: -1, Waiting: -1}
-	if ans != nil {
-		r.Load, r.Waiting = ans.told.Load, ans.told.Waiting
+	if res != nil {
+		r.Load, r.Waiting = res.info.Load, res.info.Waiting
 	}
 	switch err.Reason {
 	case ReasonShed:
 		r.Result = balance.Shed
 	case reasonUnreachable, ReasonReplaced:
 		r.Result = balance.Unreachable
-	case reasonCallerGone, reasonBodyUsed, reasonCallerBody, reasonTooLarge:
+	case reasonCallerGone, reasonNotRepeatable, reasonCallerBody, reasonTooLarge:
 		r.Result = balance.Abandoned
 	}
 	return r
 }
 
-// done frees an upstream's slot and gives the next in the queue a turn. It returns the
-// result as it counts.
-func (c *Proxy) done(l *lane, choice balance.Choice, r balance.Report) balance.Result {
-	result := l.group.Done(c.now(), choice, r)
-	l.queue.Wake()
+// release reports an attempt to the balancer, which frees the upstream's slot, and wakes the
+// queue. It returns the result as the balancer counts it.
+func (p *Proxy) release(state *serviceState, choice balance.Choice, r balance.Report) balance.Result {
+	result := state.group.Done(p.now(), choice, r)
+	state.queue.Wake()
 	return result
 }
 
-// deliver sends the answer and frees the slot when it has gone out whole.
-func (c *Proxy) deliver(w http.ResponseWriter, l *lane, cl *call, choice balance.Choice, a *answer, out *Outcome) {
-	report := balance.Report{Result: balance.OK, Load: a.told.Load, Waiting: a.told.Waiting, Draining: a.told.Draining, Connect: a.connect}
-	report.Errored = a.resp.StatusCode >= http.StatusInternalServerError
-	report.Bytes = max(0, cl.body.length) + max(int64(len(a.whole)), a.resp.ContentLength)
-	if a.read {
-		c.done(l, choice, report)
-	}
-	_, err := a.deliver(w, c.opt.Protocol, &cl.RequestInfo)
+// deliver sends the response to the caller. The upstream's slot is freed before that for a
+// buffered response, and after the last byte for a streamed one. If the body breaks off,
+// deliver aborts the caller's connection, so that the caller does not take the part for the
+// whole body.
+func (p *Proxy) deliver(w http.ResponseWriter, state *serviceState, cl *call, choice balance.Choice, res *upstreamResponse, out *Outcome) {
+	report := balance.Report{Result: balance.OK, Load: res.info.Load, Waiting: res.info.Waiting, Draining: res.info.Draining, Connect: res.connectTime}
+	report.Errored = res.resp.StatusCode >= http.StatusInternalServerError
+	report.Bytes = max(0, cl.body.length) + max(int64(len(res.body)), res.resp.ContentLength)
+	if res.buffered {
+		p.release(state, choice, report)
+	}
+	_, err := res.writeTo(w, p.opt.Protocol, &cl.RequestInfo)
 	if err != nil {
 		report.Result = balance.Abandoned
 	}
-	if !a.read {
-		c.done(l, choice, report)
+	if !res.buffered {
+		p.release(state, choice, report)
 	}
 	if err == nil {
-		c.noteAnswered(cl)
+		p.recordAnswered(cl)
 	}
-	out.Status, out.Verdict, out.Response = a.resp.StatusCode, verdict.Ran, a.told
+	out.Status, out.Verdict, out.Response = res.resp.StatusCode, verdict.Ran, res.info
 	if err != nil {
 		out.Reason = reasonBroken
-		klog.InfoS("answer broke off", "request", cl.ID, "upstream", choice.ID, "err", err)
+		klog.InfoS("response body broke off", "request", cl.ID, "upstream", choice.ID, "err", err)
 		panic(http.ErrAbortHandler)
 	}
 	if !cl.service.Routed {
-		l.budget.Earn(cl.service.RetryBudget)
+		state.budget.Earn(cl.service.RetryBudget)
 	}
-	l.sheds.Earn(shedShare)
+	state.shedBudget.Earn(shedBudgetRatio)
 }
 
-// regions returns the regions to try, in order: the one that a move names, the
-// own, then those for overflow.
-func (c *Proxy) regions(snap *model.Snapshot, cl *call, l *lane) []string {
+// candidateRegions returns the regions to try, in order: the target of a move, the own region,
+// then the regions for overflow.
+func (p *Proxy) candidateRegions(snap *model.Snapshot, cl *call, state *serviceState) []string {
 	var moves []tree.Move
 	for _, m := range snap.Moves {
 		if m.Service == cl.service.Name && m.From == snap.Region {
@@ -184,12 +188,12 @@
 	if len(moves) == 0 {
 		return order
 	}
-	to := l.shift.Decide(shift.Input{
-		Now:   c.now(),
+	to := state.shift.Decide(shift.Input{
+		Now:   p.now(),
 		Moves: moves,
 		Cap:   cl.service.ShiftCap,
 		Rate:  cl.service.ShiftRate,
-		Seen:  l.group.Seen,
+		Seen:  state.group.Seen,
 	})
 	if to == "" {
 		return order
--- a/internal/forward/shed_test.go
+++ b/internal/forward/shed_test.go
@@ -9,36 +9,37 @@
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
-// ParseResponse implements Protocol: 429 is a shed, by an upstream that does not tell its load.
-func (p routed) ParseResponse(resp *http.Response, ask *RequestInfo, svc *model.Service) ResponseInfo {
+// ParseResponse implements Protocol. A response with status 429 is a shed by an upstream that
+// does not state its load.
+func (p routedProtocol) ParseResponse(resp *http.Response, info *RequestInfo, svc *model.Service) ResponseInfo {
 	if resp.StatusCode == http.StatusTooManyRequests {
 		return ResponseInfo{NotRunReason: ReasonShed, Load: -1, Waiting: -1}
 	}
-	return p.Native.ParseResponse(resp, ask, svc)
+	return p.Native.ParseResponse(resp, info, svc)
 }
 
-// TestIdleShedIsAskedAgain has the upstream of an object refuse requests although it
-// is idle. It is asked again, since the object is cold elsewhere; only the last attempt
-// goes to another.
-func TestIdleShedIsAskedAgain(t *testing.T) {
+// TestIdleShedIsRetried makes the upstream of an object shed requests although it is idle. It
+// must be tried again, since the object is cold at other upstreams; only the last attempt goes
+// to another upstream.
+func TestIdleShedIsRetried(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
 		attempts int
 		first    []behaviour
 		other    int
 	}{
-		{"again at the same", 3, []behaviour{sheds}, 0},
-		{"the last elsewhere", 3, []behaviour{sheds, sheds}, 1},
-		{"the only other elsewhere", 2, []behaviour{sheds}, 1},
+		{"retried at the same upstream", 3, []behaviour{sheds}, 0},
+		{"last attempt at the other upstream", 3, []behaviour{sheds, sheds}, 1},
+		{"only retry at the other upstream", 2, []behaviour{sheds}, 1},
 	} {
-		a, b := newFake(t), newFake(t)
+		a, b := newFakeUpstream(t), newFakeUpstream(t)
 		route := &model.Route{
 			Name: "r", Attempts: tt.attempts, Timeout: time.Minute, Affinity: true,
 			Parts: []model.Part{{Service: "orders", Weight: 1}},
 		}
-		e := newRouted(t, 1, route, []*fake{a, b})
+		e := newRoutedEntry(t, 1, route, []*fakeUpstream{a, b})
 		e.send(t, http.MethodPost, "/x", "", header.RequestID, "r0")
-		if len(a.receipts()) == 0 {
+		if len(a.received()) == 0 {
 			a, b = b, a
 		}
 		a.mu.Lock()
@@ -47,8 +48,8 @@
 		if got := e.send(t, http.MethodPost, "/x", "", header.RequestID, "r1"); got.status != http.StatusOK {
 			t.Errorf("%s: status %d", tt.name, got.status)
 		}
-		if n := len(b.receipts()); n != tt.other {
-			t.Errorf("%s: the other ran %d, want %d", tt.name, n, tt.other)
+		if n := len(b.received()); n != tt.other {
+			t.Errorf("%s: the other upstream ran %d requests, want %d", tt.name, n, tt.other)
 		}
 	}
 }
--- a/internal/forward/split.go
+++ b/internal/forward/split.go
@@ -7,28 +7,28 @@
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
-// maxCredit is how many requests a part may be ahead of its weight so that an
-// object stays with it. It bounds the error of the parts' shares at each entry.
+// maxCredit is by how many requests a part may deviate from its weight so that the requests for
+// an object stay with one part. It limits the error of the parts' shares at each entry.
 const maxCredit = 2.0
 
-// splits divides the requests of routes among their parts by weight. It is safe
-// for concurrent use.
+// splits distributes the requests of routes over their parts by weight. It is safe for
+// concurrent use.
 type splits struct {
 	mu      sync.Mutex
 	byRoute map[string]*split
 }
 
-// split is the state of one route with several parts.
+// split is the state of a route with several parts.
 type split struct {
 	route *model.Route
-	// credit is how many requests each part is behind its weight.
+	// credit is the number of requests by which each part is behind its weight.
 	credit []float64
 }
 
 func newSplits() *splits { return &splits{byRoute: make(map[string]*split)} }
 
-// choose returns the service that takes a request. Requests for one object go to
-// one part as long as the shares of all parts keep to their weights.
+// choose returns the name of the service for a request. Requests for one object go to the same
+// part as long as the shares of all parts stay close to their weights.
 func (s *splits) choose(r *model.Route, object string) string {
 	if len(r.Parts) == 1 {
 		return r.Parts[0].Service
@@ -43,7 +43,7 @@
 	return r.Parts[sp.next(object)].Service
 }
 
-// next counts one request and returns the part that takes it.
+// next counts one request and returns the index of the part that takes it.
 func (sp *split) next(object string) int {
 	total := 0.0
 	for _, p := range sp.route.Parts {
@@ -52,23 +52,24 @@
 	if total <= 0 {
 		return 0
 	}
-	most := 0
+	behind := 0
 	for i, p := range sp.route.Parts {
 		sp.credit[i] += p.Weight / total
-		if sp.credit[i] > sp.credit[most] {
-			most = i
+		if sp.credit[i] > sp.credit[behind] {
+			behind = i
 		}
 	}
-	chosen := most
-	if home := sp.home(object, total); home >= 0 && sp.credit[home] > -maxCredit && sp.credit[most] < maxCredit {
-		chosen = home
+	chosen := behind
+	if preferred := sp.preferredPart(object, total); preferred >= 0 && sp.credit[preferred] > -maxCredit && sp.credit[behind] < maxCredit {
+		chosen = preferred
 	}
 	sp.credit[chosen]--
 	return chosen
 }
 
-// home returns the part that an object belongs to, or -1 if there is no object.
-func (sp *split) home(object string, total float64) int {
+// preferredPart returns the index of the part that an object belongs to, or -1 if there is no
+// object.
+func (sp *split) preferredPart(object string, total float64) int {
 	if object == "" {
 		return -1
 	}
--- a/internal/forward/split_test.go
+++ b/internal/forward/split_test.go
@@ -12,12 +12,12 @@
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
-// TestSplitKeepsToWeights sends requests for few or many objects through a split:
-// no part is ever more than a few requests off its weight.
+// TestSplitKeepsToWeights sends requests for few or many objects through a split. No part may
+// deviate from its weight by more than a few requests.
 func TestSplitKeepsToWeights(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(5)
 	props := gopter.NewProperties(params)
-	props.Property("shares", prop.ForAll(func(a, b, objects int) string {
+	props.Property("parts keep to their weights", prop.ForAll(func(a, b, objects int) string {
 		r := &model.Route{Name: "r", Parts: []model.Part{{Service: "x", Weight: float64(a)}, {Service: "y", Weight: float64(b)}}}
 		s := newSplits()
 		got := make(map[string]int)
@@ -25,7 +25,7 @@
 			got[s.choose(r, fmt.Sprint("o", i*7919%objects))]++
 			want := float64(i) * float64(a) / float64(a+b)
 			if off := math.Abs(float64(got["x"]) - want); off > maxCredit+1 {
-				return fmt.Sprintf("after %d requests x is %.1f off", i, off)
+				return fmt.Sprintf("after %d requests part x is %.1f requests off its weight", i, off)
 			}
 		}
 		return ""
@@ -49,6 +49,6 @@
 		home[o] = got
 	}
 	if moved > requests/3 {
-		t.Errorf("%d of %d requests found their object at the other part", moved, requests)
+		t.Errorf("%d of %d requests went to another part than the previous request for their object", moved, requests)
 	}
 }
