--- a/internal/forward/status.go
+++ b/internal/forward/status.go
@@ -10,14 +10,14 @@
 	"github.com/loomkeel/loomkeel/internal/share"
 )
 
-// CapUsage returns what the entry uses of the caps, with the refusals since the
-// last call.
-func (c *Proxy) CapUsage() []share.Reported {
+// CapUsage returns the entry's use of the in-flight caps. The numbers of refusals are those
+// since the last call.
+func (p *Proxy) CapUsage() []share.Reported {
 	limits := make(map[[2]string]share.Use)
-	for _, u := range c.opt.CapShares.Uses(c.opt.BootClock()) {
-		limits[[2]string{u.Service, u.Region}] = u
+	for _, use := range p.opt.CapShares.Uses(p.opt.BootClock()) {
+		limits[[2]string{use.Service, use.Region}] = use
 	}
-	snap := c.snap.Load()
+	snap := p.snap.Load()
 	if snap == nil {
 		return nil
 	}
@@ -27,106 +27,110 @@
 			if !svc.Capped(region) {
 				continue
 			}
-			u := limits[[2]string{name, region}]
+			use := limits[[2]string{name, region}]
 			out = append(out, share.Reported{Service: name, Region: region, Usage: share.Usage{
-				InFlight: c.lane(name).group.InFlight(region), Refused: u.Refused, Limit: u.Limit,
+				InFlight: p.serviceState(name).group.InFlight(region), Refused: use.Refused, Limit: use.Limit,
 			}})
 		}
 	}
 	return out
 }
 
-// VisitLoads calls visit with what the entries that are asked for have at each upstream.
-func (c *Proxy) VisitLoads(whose balance.Counted, visit func(upstream uint32, l balance.Load)) {
-	now := c.now()
-	for _, l := range c.allLanes() {
-		l.group.LoadAt(now, whose, visit)
+// VisitLoads calls visit with each upstream and the load that the entries selected by whose
+// have there.
+func (p *Proxy) VisitLoads(whose balance.Counted, visit func(upstream uint32, load balance.Load)) {
+	now := p.now()
+	for _, state := range p.allServices() {
+		state.group.LoadAt(now, whose, visit)
 	}
 }
 
-// MergePeerLoad takes in what a peer told.
-func (c *Proxy) MergePeerLoad(p balance.PeerLoad) {
-	now := c.now()
-	for _, l := range c.allLanes() {
-		l.group.Heard(now, p)
+// MergePeerLoad merges the load that a peer reported.
+func (p *Proxy) MergePeerLoad(load balance.PeerLoad) {
+	now := p.now()
+	for _, state := range p.allServices() {
+		state.group.Heard(now, load)
 	}
 }
 
-// ReuseLimit returns what this entry knows of upstreams that forget connections.
-func (c *Proxy) ReuseLimit() ReuseLimit {
-	if p, ok := c.transport.(*Pool); ok {
-		return p.rests.current(c.now())
+// ReuseLimit returns the limit on the reuse of idle connections that holds at this entry.
+func (p *Proxy) ReuseLimit() ReuseLimit {
+	if pool, ok := p.transport.(*Pool); ok {
+		return pool.reuse.current(p.now())
 	}
 	return ReuseLimit{}
 }
 
-// MergeReuseLimit takes in what a peer knows of upstreams that forget connections.
-func (c *Proxy) MergeReuseLimit(d ReuseLimit) {
-	if p, ok := c.transport.(*Pool); ok {
-		p.rests.heard(d, c.now())
+// MergeReuseLimit merges the limit on the reuse of idle connections that a peer reported.
+func (p *Proxy) MergeReuseLimit(d ReuseLimit) {
+	if pool, ok := p.transport.(*Pool); ok {
+		pool.reuse.merge(d, p.now())
 	}
 }
 
-// PoisonClaims returns what to tell other entries of requests under which upstreams ended.
-func (c *Proxy) PoisonClaims(n int, relay bool) []poison.Claim {
-	return c.poison.Claims(c.now(), n, relay)
+// PoisonClaims returns at most n claims to send to other entries about requests that crashed
+// upstreams. If relay is set, they include claims of other entries.
+func (p *Proxy) PoisonClaims(n int, relay bool) []poison.Claim {
+	return p.poison.Claims(p.now(), n, relay)
 }
 
-// MergePoisonClaims takes in what other entries told of such requests.
-func (c *Proxy) MergePoisonClaims(words []poison.Claim) {
-	now := c.now()
-	for _, w := range words {
-		c.poison.Heard(now, w)
+// MergePoisonClaims merges claims of other entries about requests that crashed upstreams.
+func (p *Proxy) MergePoisonClaims(claims []poison.Claim) {
+	now := p.now()
+	for _, claim := range claims {
+		p.poison.Heard(now, claim)
 	}
 }
 
-// OrganisationLimits returns the limits of the organisations.
-func (c *Proxy) OrganisationLimits() *quota.Limiter { return c.limits }
+// OrganisationLimits returns the limiter of the organisations' requests.
+func (p *Proxy) OrganisationLimits() *quota.Limiter { return p.limits }
 
-// Tick drops what is known of such requests and holds no more, and ends requests whose
-// deadline has passed while the machine was suspended. It is called every now and then.
-func (c *Proxy) Tick() {
-	now := c.opt.SyncNow()
-	c.deadlines.expire(now)
-	c.poison.Forget(now)
+// Tick ends requests whose deadline passed while the machine was suspended, and drops expired
+// records of requests that crashed upstreams. It is called periodically.
+func (p *Proxy) Tick() {
+	now := p.opt.SyncNow()
+	p.deadlines.expire(now)
+	p.poison.Forget(now)
 }
 
-// PoisonStatus returns how many such requests are known.
-func (c *Proxy) PoisonStatus() poison.Status { return c.poison.Status(c.now()) }
+// PoisonStatus returns the state of the records of requests that crashed upstreams.
+func (p *Proxy) PoisonStatus() poison.Status { return p.poison.Status(p.now()) }
 
-func (c *Proxy) allLanes() []*lane {
-	c.mu.RLock()
-	defer c.mu.RUnlock()
-	return slices.Collect(maps.Values(c.lanes))
+func (p *Proxy) allServices() []*serviceState {
+	p.mu.RLock()
+	defer p.mu.RUnlock()
+	return slices.Collect(maps.Values(p.services))
 }
 
-// DrainingUpstreams returns the ids of the upstreams that said that they drain.
-func (c *Proxy) DrainingUpstreams() []string {
-	now := c.now()
-	c.mu.RLock()
-	defer c.mu.RUnlock()
+// DrainingUpstreams returns the IDs of the upstreams that reported that they are draining.
+func (p *Proxy) DrainingUpstreams() []string {
+	now := p.now()
+	p.mu.RLock()
+	defer p.mu.RUnlock()
 	var ids []string
-	for _, l := range c.lanes {
-		ids = append(ids, l.group.SelfDraining(now)...)
+	for _, state := range p.services {
+		ids = append(ids, state.group.SelfDraining(now)...)
 	}
 	return ids
 }
 
 // ServiceStatus is the state of one service, for dumps.
 type ServiceStatus struct {
+	// Waiting is the number of requests in the queue, and Shares the part of the requests that
+	// each move currently sends to its target region, by the path of the move.
 	Waiting   int                `json:"waiting"`
 	Shares    map[string]float64 `json:"move_shares,omitempty"`
 	Upstreams []balance.Status   `json:"upstreams"`
 }
 
-// Dump returns the state of all services.
-func (c *Proxy) Dump() map[string]ServiceStatus {
-	now := c.now()
-	c.mu.RLock()
-	defer c.mu.RUnlock()
-	out := make(map[string]ServiceStatus, len(c.lanes))
-	for name, l := range c.lanes {
-		out[name] = ServiceStatus{l.queue.Len(), l.shift.Shares(), l.group.Dump(now)}
+// Dump returns the state of each service by name.
+func (p *Proxy) Dump() map[string]ServiceStatus {
+	now := p.now()
+	p.mu.RLock()
+	defer p.mu.RUnlock()
+	out := make(map[string]ServiceStatus, len(p.services))
+	for name, state := range p.services {
+		out[name] = ServiceStatus{state.queue.Len(), state.shift.Shares(), state.group.Dump(now)}
 	}
 	return out
 }
--- a/internal/forward/suspended_test.go
+++ b/internal/forward/suspended_test.go
@@ -16,26 +16,26 @@
 	"github.com/loomkeel/loomkeel/internal/tree"
 )
 
-// sleeper is the clock of a machine that can be suspended: the boot clock goes on, the
-// steady one does not.
-type sleeper struct {
+// suspendableClock is the clock of a machine that can be suspended. During a suspension the
+// boot clock advances and the monotonic clock does not.
+type suspendableClock struct {
 	*bootclock.Clock
-	slept atomic.Int64
+	suspended atomic.Int64
 }
 
-func newSleeper() *sleeper {
-	s := &sleeper{}
+func newSuspendableClock() *suspendableClock {
+	s := &suspendableClock{}
 	start := time.Now()
-	steady := func() time.Duration { return time.Since(start) }
-	s.Clock = bootclock.NewClockOf(start, steady, func() time.Duration { return steady() + time.Duration(s.slept.Load()) })
+	monotonic := func() time.Duration { return time.Since(start) }
+	s.Clock = bootclock.NewClockOf(start, monotonic, func() time.Duration { return monotonic() + time.Duration(s.suspended.Load()) })
 	return s
 }
 
-// sleep suspends the machine.
-func (s *sleeper) sleep(d time.Duration) { s.slept.Add(int64(d)) }
+// suspend simulates a suspension of the machine for d.
+func (s *suspendableClock) suspend(d time.Duration) { s.suspended.Add(int64(d)) }
 
-// newSleepingEntry is an entry on such a machine in front of one upstream.
-func newSleepingEntry(t *testing.T, clock *sleeper, f *fake) *entry {
+// newEntryWithClock returns an entry with the given clock in front of one upstream.
+func newEntryWithClock(t *testing.T, clock *suspendableClock, f *fakeUpstream) *entry {
 	c := New(Options{
 		MaxInFlight: 100, Now: clock.Now, SyncNow: clock.Check, CapShares: share.NewBook(), BootClock: func() int64 { return 0 },
 		NewID: func() string { return "own" }, Observe: func(Outcome) {},
@@ -50,74 +50,74 @@
 	return &entry{c, srv.URL}
 }
 
-// TestDeadlinePassesWhileSuspended suspends the machine while an upstream holds a request
-// whose deadline the suspension passes.
+// TestDeadlinePassesWhileSuspended suspends the machine past the deadline of a request that is
+// at an upstream.
 func TestDeadlinePassesWhileSuspended(t *testing.T) {
-	clock, f := newSleeper(), newFake(t, hangs)
-	e := newSleepingEntry(t, clock, f)
-	answered := make(chan told, 1)
-	go func() { answered <- e.send(t, "POST", "/x", "", header.Deadline, "20000") }()
-	for len(f.receipts()) == 0 {
+	clock, f := newSuspendableClock(), newFakeUpstream(t, hangs)
+	e := newEntryWithClock(t, clock, f)
+	responses := make(chan result, 1)
+	go func() { responses <- e.send(t, "POST", "/x", "", header.Deadline, "20000") }()
+	for len(f.received()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	e.Tick()
 	select {
-	case a := <-answered:
-		t.Fatalf("answered with %d before", a.status)
+	case a := <-responses:
+		t.Fatalf("status %d before the suspension", a.status)
 	case <-time.After(50 * time.Millisecond):
 	}
-	clock.sleep(2 * time.Minute)
+	clock.suspend(2 * time.Minute)
 	e.Tick()
 	select {
-	case a := <-answered:
+	case a := <-responses:
 		if a.status != http.StatusGatewayTimeout {
 			t.Errorf("status %d", a.status)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("not answered before the steady clock reaches the deadline")
+		t.Error("no response before the monotonic clock reaches the deadline")
 	}
 }
 
-// TestRestedConnectionsAreOldAfterSuspension rests a connection over a suspension that is
-// longer than upstreams keep idle ones.
-func TestRestedConnectionsAreOldAfterSuspension(t *testing.T) {
-	clock, f := newSleeper(), newFake(t)
-	e := newSleepingEntry(t, clock, f)
+// TestIdleConnectionsExpireDuringSuspension leaves a connection idle during a suspension that
+// is longer than upstreams keep idle connections.
+func TestIdleConnectionsExpireDuringSuspension(t *testing.T) {
+	clock, f := newSuspendableClock(), newFakeUpstream(t)
+	e := newEntryWithClock(t, clock, f)
 	pool := e.transport.(*Pool)
 	addr := f.lis.Addr().String()
 	e.send(t, "GET", "/x", "")
-	for pool.resting(addr) == 0 {
+	for pool.idleCount(addr) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	clock.sleep(2 * defaultIdle)
+	clock.suspend(2 * defaultIdleTimeout)
 	clock.Check()
-	if c := pool.pop(addr, time.Time{}); c == nil || clock.Now().Before(c.keepUntil) {
-		t.Error("a connection that rested over the suspension counts as fresh")
+	if c := pool.pop(addr, time.Time{}); c == nil || clock.Now().Before(c.idleDeadline) {
+		t.Error("a connection that was idle during the suspension has not expired")
 	}
 }
 
-// resting returns how many connections to an address rest.
-func (p *Pool) resting(addr string) int {
+// idleCount returns the number of idle connections to an address.
+func (p *Pool) idleCount(addr string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle[addr])
 }
 
-// TestHoldsRunOutWhileSuspended holds a request, and suspends the machine for longer than
-// holds last.
-func TestHoldsRunOutWhileSuspended(t *testing.T) {
-	clock, f := newSleeper(), newFake(t)
-	e := newSleepingEntry(t, clock, f)
+// TestHoldsExpireWhileSuspended holds a request and suspends the machine for longer than holds
+// last.
+func TestHoldsExpireWhileSuspended(t *testing.T) {
+	clock, f := newSuspendableClock(), newFakeUpstream(t)
+	e := newEntryWithClock(t, clock, f)
 	req := poison.Request{Method: "GET", Host: "a", Target: "/x"}
 	keys := req.Head()
 	for i := range 3 {
 		e.poison.Broke(clock.Now(), keys, keys, uint32(i))
 	}
 	if d := e.poison.Begin(clock.Check(), keys); !d.Held {
-		t.Fatal("not held")
+		t.Fatal("the request is not held")
 	}
-	clock.sleep(time.Hour)
+	clock.suspend(time.Hour)
 	if d := e.poison.Begin(clock.Check(), keys); d.Held {
-		t.Error("held after the suspension")
+		t.Error("the request is still held after the suspension")
 	}
 }
--- a/internal/forward/writetracker.go
+++ b/internal/forward/writetracker.go
@@ -9,21 +9,22 @@
 	"time"
 )
 
-// errSealed is what a write to a sealed connection returns.
-var errSealed = errors.New("forward: request given up before it was written")
+// errSealed is returned by writes to a sealed connection.
+var errSealed = errors.New("forward: write to a connection whose request was abandoned")
 
-// countedConn knows whether anything was written to it since a request took it.
-type countedConn struct {
+// trackedConn records whether anything was written since the connection was taken for a
+// request.
+type trackedConn struct {
 	net.Conn
 	mu      sync.Mutex
 	written bool
 	sealed  bool
-	// connect is how long the connection took to be made.
-	connect time.Duration
+	// connectTime is the time it took to open the connection.
+	connectTime time.Duration
 }
 
 // Write implements net.Conn.
-func (c *countedConn) Write(p []byte) (int, error) {
+func (c *trackedConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	if c.sealed {
 		c.mu.Unlock()
@@ -34,16 +35,15 @@
 	return c.Conn.Write(p)
 }
 
-// begin is called when a request takes the connection.
-func (c *countedConn) begin() {
+// reset marks the connection as unwritten when a request takes it.
+func (c *trackedConn) reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.written = false
 }
 
-// seal reports whether nothing was written since begin, and sees to it that
-// nothing will be.
-func (c *countedConn) seal() bool {
+// seal reports whether nothing was written since reset. If so, it makes all later writes fail.
+func (c *trackedConn) seal() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.written {
@@ -53,51 +53,50 @@
 	return true
 }
 
-// sendWatch follows one attempt to tell whether any of it was written.
-type sendWatch struct {
+// writeTracker records whether an attempt wrote anything to its connection.
+type writeTracker struct {
 	mu   sync.Mutex
-	conn *countedConn
-	// blind is set if the connection cannot tell what was written.
-	blind bool
-	// reused is set if the connection had served a request before.
+	conn *trackedConn
+	// untracked is set if the connection is not a trackedConn.
+	untracked bool
+	// reused is set if the connection served a request before.
 	reused bool
 }
 
-func (s *sendWatch) context(ctx context.Context) context.Context {
-	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: s.gotConn})
+func (w *writeTracker) withTrace(ctx context.Context) context.Context {
+	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: w.gotConn})
 }
 
-func (s *sendWatch) gotConn(info httptrace.GotConnInfo) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	c, ok := info.Conn.(*countedConn)
+func (w *writeTracker) gotConn(info httptrace.GotConnInfo) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	c, ok := info.Conn.(*trackedConn)
 	if !ok {
-		s.blind = true
+		w.untracked = true
 		return
 	}
-	c.begin()
-	s.conn = c
-	s.reused = info.Reused
+	c.reset()
+	w.conn = c
+	w.reused = info.Reused
 }
 
-// connectTime returns how long the connection took to be made, or 0 if it was
-// there before.
-func (s *sendWatch) connectTime() time.Duration {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.conn == nil || s.reused {
+// connectTime returns the time it took to open the connection, or 0 for a reused one.
+func (w *writeTracker) connectTime() time.Duration {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.conn == nil || w.reused {
 		return 0
 	}
-	return s.conn.connect
+	return w.conn.connectTime
 }
 
-// nothingSent reports whether the attempt wrote nothing, and sees to it that it
-// will not. It is called after RoundTrip has returned an error.
-func (s *sendWatch) nothingSent() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.blind {
+// nothingWritten reports whether the attempt wrote nothing. If so, it makes later writes fail.
+// It is called after RoundTrip returned an error.
+func (w *writeTracker) nothingWritten() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.untracked {
 		return false
 	}
-	return s.conn == nil || s.conn.seal()
+	return w.conn == nil || w.conn.seal()
 }
--- a/internal/header/header.go
+++ b/internal/header/header.go
@@ -1,26 +1,30 @@
-// Package header names the HTTP headers between callers, entries and upstreams.
+// Package header defines the names of the HTTP headers that callers, entries and upstreams
+// exchange.
 package header
 
 const (
-	// Service names the service of a request; without it the host does.
+	// Service is the name of the requested service. Without it the service is found by the
+	// host.
 	Service = "Loomkeel-Service"
-	// Repeat marks a request as safe or unsafe to repeat.
+	// Repeat states whether the request is safe to repeat.
 	Repeat = "Loomkeel-Repeat"
-	// Deadline is the time that the request may still take, in milliseconds.
+	// Deadline is the remaining time for the request in milliseconds.
 	Deadline = "Loomkeel-Deadline"
-	// RequestID names a request in logs; an upstream may echo it.
+	// RequestID identifies the request, for example in logs. An upstream may return it in its
+	// response.
 	RequestID = "X-Request-Id"
-	// Load is the number of requests in flight that an upstream reports.
+	// Load is the number of requests in flight at the upstream.
 	Load = "Upstream-Load"
-	// RateLimit is the requests a second that an upstream takes from all entries together.
+	// RateLimit is the number of requests per second that the upstream accepts from all entries
+	// together.
 	RateLimit = "Upstream-Limit"
-	// State is StateDraining on answers of an upstream that wants no new work.
+	// State is set to StateDraining by an upstream that wants no new requests.
 	State = "Upstream-State"
 )
 
-// StateDraining is the value of State by which an upstream leaves.
+// StateDraining is the value of State for an upstream that is draining.
 const StateDraining = "draining"
 
-// Prefix starts the names of loomkeel's own headers. Those from a caller that
-// loomkeel has no use for are dropped.
+// Prefix starts the names of loomkeel's own headers. Headers with this prefix are not passed on
+// from callers to upstreams or from upstreams to callers.
 const Prefix = "Loomkeel-"
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,8 +1,7 @@
-// Package verdict says whether a request may have run at an upstream.
+// Package verdict defines what is known about whether an upstream has run a request.
 //
-// Every error path of the carrier and of the configuration log ends in one
-// verdict. The zero value is MayHaveRun, so a path that forgets to decide errs
-// on the cautious side.
+// Every error of the proxy (package forward) and of the configuration log carries a verdict.
+// The zero value is MayHaveRun, so code that sets no verdict gives the cautious one.
 package verdict
 
 import (
@@ -11,25 +10,27 @@
 	"time"
 )
 
-// Header carries the verdict on every answer that loomkeel itself makes.
+// Header is the HTTP header in which the native protocol (package forward) reports the verdict
+// of a response that loomkeel generated itself.
 const Header = "Loomkeel-Verdict"
 
-// Verdict is what is known about the execution of a request.
+// Verdict states whether an upstream has run a request.
 type Verdict uint8
 
-// The verdicts, from the least to the most that is known.
+// The verdicts, from the least to the most certain knowledge of a run.
 const (
-	// MayHaveRun means that the request, or a part of it, may have been executed.
+	// MayHaveRun means that an upstream may have run the request or a part of it.
 	MayHaveRun Verdict = iota
-	// NotRun means that no upstream executed any part of the request, nor will.
+	// NotRun means that no upstream has run any part of the request or will run it.
 	NotRun
-	// Ran means that an upstream answered.
+	// Ran means that an upstream responded to the request.
 	Ran
 )
 
 var names = [...]string{MayHaveRun: "may-have-run", NotRun: "not-run", Ran: "ran"}
 
-// String returns the wire name.
+// String returns the verdict as it is written in HTTP headers. An invalid Verdict is written as
+// MayHaveRun.
 func (v Verdict) String() string {
 	if int(v) < len(names) {
 		return names[v]
@@ -37,18 +38,19 @@
 	return names[MayHaveRun]
 }
 
-// Parse reads a wire name.
+// Parse returns the verdict for a string that String returned. For any other string it returns
+// MayHaveRun and an error.
 func Parse(s string) (Verdict, error) {
 	for v, n := range names {
 		if n == s {
 			return Verdict(v), nil
 		}
 	}
-	return MayHaveRun, fmt.Errorf("verdict: %q is none of %v", s, names)
+	return MayHaveRun, fmt.Errorf("verdict: parsing %q: not one of %v", s, names)
 }
 
-// Join returns the verdict of a request that had two attempts. It is NotRun
-// only if both attempts are.
+// Join returns the verdict of a request that had two attempts: NotRun if both attempts have
+// NotRun, else Ran if one of them has Ran, else MayHaveRun.
 func Join(a, b Verdict) Verdict {
 	if a == NotRun && b == NotRun {
 		return NotRun
@@ -59,30 +61,31 @@
 	return MayHaveRun
 }
 
-// Error is a failure with its verdict.
+// Error is a failed request or change, with its verdict.
 type Error struct {
+	// Verdict is the verdict of the request or change.
 	Verdict Verdict
-	// Reason is a short stable word for callers and counters.
+	// Reason is a short, stable identifier of the failure for callers and metrics.
 	Reason string
-	// RetryAfter is how long the caller should wait; zero means no advice.
+	// RetryAfter is how long the caller should wait before a retry; 0 means no advice.
 	RetryAfter time.Duration
-	// Err is the cause; it may be nil.
+	// Err is the cause, or nil.
 	Err error
 }
 
-// New returns an Error.
+// New returns an Error without a RetryAfter.
 func New(v Verdict, reason string, err error) *Error {
 	return &Error{Verdict: v, Reason: reason, Err: err}
 }
 
-// WithRetryAfter returns a copy of e that advises the caller to come back after d.
+// WithRetryAfter returns a copy of e with its RetryAfter set to d.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
-// Error implements error.
+// Error implements error. It returns the reason, the verdict and the cause.
 func (e *Error) Error() string {
 	if e.Err == nil {
 		return e.Reason + " (" + e.Verdict.String() + ")"
@@ -90,11 +93,11 @@
 	return e.Reason + " (" + e.Verdict.String() + "): " + e.Err.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause, or nil.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Of returns the verdict of err: that of the outermost Error in its chain, and
-// MayHaveRun for any other error.
+// Of returns the verdict of the outermost Error in err's chain, or MayHaveRun if the chain has
+// none.
 func Of(err error) Verdict {
 	var e *Error
 	if errors.As(err, &e) {
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -17,7 +17,7 @@
 		}
 	}
 	if _, err := Parse("maybe"); err == nil {
-		t.Error("Parse accepted an unknown word")
+		t.Error("Parse accepted an unknown string")
 	}
 }
 
@@ -31,9 +31,9 @@
 	}
 }
 
-// TestJoinNeverForgets checks over sequences of attempts that one attempt that
-// may have run is never turned into not-run.
-func TestJoinNeverForgets(t *testing.T) {
+// TestJoinKeepsPossibleRuns checks for sequences of attempts that the joined verdict is NotRun
+// only if all attempts have NotRun.
+func TestJoinKeepsPossibleRuns(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(1)
 	props := gopter.NewProperties(params)
 	verdicts := gen.SliceOf(gen.UInt8Range(0, 2))
