--- a/test/ablate/table.go
+++ b/test/ablate/table.go
@@ -60,7 +60,7 @@
 	{"sheds by upstreams with slots to spare are no sign of load", "internal/balance/group.go",
 		"r.Result = ShedIdle", "r.Result = Shed", pkgBalance, "IdleSheds", nil},
 	{"asking an idle upstream again that refused", "internal/forward/serve.go",
-		"result != balance.ShedIdle || lastAttempt {", "true || lastAttempt {", pkgForward, "IdleShed", nil},
+		"result != balance.ShedIdle || lastAttempt {", "true || result != balance.ShedIdle || lastAttempt {", pkgForward, "IdleShed", nil},
 	{"lost answers are no failures of their upstream", "internal/balance/group.go",
 		"m.countOutcome(now, r.Errored || r.Result == Unreachable)", "m.countOutcome(now, r.Errored || r.Result == Unreachable)\n\t}\n\tif r.Result == Failed {\n\t\tm.countOutcome(now, true)", pkgBalance, "LostAnswers", nil},
 	{"a doubt does not grow by being told", "internal/forward/reuse.go",
