--- /dev/null
+++ b/internal/balance/balancer.go
@@ -0,0 +1,451 @@
+// Package balance decides which upstream carries a request.
+//
+// A Balancer holds what one entry has measured and received about the upstreams of one service: its
+// own requests in flight, the load that the upstreams and the other entries report, and failures.
+// The package does no I/O; callers pass in time and randomness.
+package balance
+
+import (
+	"errors"
+	"math/rand/v2"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"github.com/loomkeel/loomkeel/internal/model"
+	"github.com/loomkeel/loomkeel/internal/ratelimit"
+)
+
+const (
+	// reportDecay is the time constant with which the weight of a load report decays exponentially.
+	reportDecay = 2 * time.Second
+	// ejectionThreshold is the number of consecutive failures that ejects an upstream.
+	ejectionThreshold = 3
+	// baseEjectionTime is the length of the first ejection. Each further ejection without a success
+	// in between lasts twice as long, up to maxEjectionTime.
+	baseEjectionTime = time.Second
+	maxEjectionTime  = 30 * time.Second
+	// maxEjectionShare is the largest share of a region's upstreams that may be ejected. When most
+	// upstreams seem to fail, the measurement is more likely wrong than the upstreams.
+	maxEjectionShare = 0.5
+	// latencyWeight is the weight of a new sample in the moving average of the latency.
+	latencyWeight = 0.1
+	// probeInterval is the time between requests that probe whether a region whose upstreams mostly
+	// fail has recovered.
+	probeInterval = 100 * time.Millisecond
+	// unresponsiveTimeout is the time without any answer, in addition to the expected wait for a
+	// slot, after which an upstream with requests in flight is treated as unresponsive. It allows
+	// for one second of work on a cold object: giving up an upstream too early moves its objects to
+	// upstreams that are cold for them.
+	unresponsiveTimeout = 1200 * time.Millisecond
+	// shedBackoff is how long an upstream is treated as full after it shed a request. Other
+	// upstreams are not affected.
+	shedBackoff = 50 * time.Millisecond
+	// peerReportTTL is the time without a report after which the reports of a peer are dropped.
+	peerReportTTL = time.Second
+	// drainTTL is how long an upstream counts as draining after an answer in which it announced
+	// this.
+	drainTTL = 5 * time.Minute
+)
+
+// Errors of Pick and PickObject.
+var (
+	// ErrNoSlot reports that every allowed upstream is full.
+	ErrNoSlot = errors.New("balance: no usable upstream has a free slot")
+	// ErrNoUpstream reports that no upstream may be used at all.
+	ErrNoUpstream = errors.New("balance: no usable upstream")
+)
+
+// upstreamState is the state of one upstream. The lock of the Balancer guards it.
+type upstreamState struct {
+	model.Upstream
+	inFlight int
+	// sent counts the requests that this entry has sent.
+	sent int64
+	// otherLoad is the number of requests of other entries as of the last load report, which came
+	// at reportedAt.
+	otherLoad  float64
+	reportedAt time.Time
+	latency    time.Duration
+	failures   int
+	// ejections counts the ejections since the last success.
+	ejections    int
+	ejectedUntil time.Time
+	drainUntil   time.Time
+	// lastAnswer is the time of the last answer, or the time at which the oldest request in flight
+	// was sent if that is later.
+	lastAnswer time.Time
+	// shedUntil is the end of the time for which the upstream is treated as full after it shed
+	// load.
+	shedUntil time.Time
+	// coldSince is when the upstream was added; zero for upstreams of the first update.
+	coldSince time.Time
+	// inSubset is set if the upstream is in this entry's subset, which the entry uses first.
+	inSubset bool
+	removed  bool
+	// restarted is set if the upstream has restarted since. The new incarnation has an
+	// upstreamState of its own.
+	restarted bool
+
+	// idHash is the hash of the upstream's id. Together with weight it determines the upstream's
+	// position in the order of each object; see score.
+	idHash uint64
+	weight float64
+	// incarnationKey identifies the upstream's incarnation in reports of entries.
+	incarnationKey uint32
+	// lastServed holds the last time at which the upstream served an object for this entry, by hash
+	// of the object.
+	lastServed map[uint64]time.Time
+	// peerRequests holds the number of requests that each peer has in flight at the upstream,
+	// peerTotal their sum.
+	peerRequests map[string]int
+	peerTotal    int
+	// outcomes counts the outcomes of this entry's requests, peerOutcomes those that peers
+	// reported.
+	outcomes     decayedOutcomes
+	peerOutcomes map[string]Outcomes
+	// outlierUntil is the end of the time for which the upstream is skipped because of its
+	// failures.
+	outlierUntil time.Time
+	// coldTokens is the number of requests that may be sent while the upstream is cold, as of
+	// coldAt.
+	coldTokens float64
+	coldAt     time.Time
+	// coldSender says whether this entry may send to the upstream while the upstream is cold; nil
+	// until computed for the current entries.
+	coldSender *bool
+	// limit is the rate limit that the upstream announced, and bucket enforces it; bucket is nil if
+	// there is no limit. lastBucket is the bucket of the previous limit: entries do not observe
+	// every end of a limit and continue with the counts of their earlier requests.
+	limit              ratelimit.Register
+	bucket, lastBucket *ratelimit.Bucket
+	// unsent is set while a change has not been sent to other entries, limitUnsent if that change
+	// is one of the limit. lastSpent is when a request was last counted against the limit. The
+	// limit is sent to all entries until announceUntil.
+	unsent        bool
+	limitUnsent   bool
+	lastSpent     time.Time
+	announceUntil time.Time
+}
+
+// Balancer balances the requests of one service at one entry. It is safe for concurrent use.
+type Balancer struct {
+	mu        sync.Mutex
+	warmup    time.Duration
+	byID      map[string]*upstreamState
+	upstreams []*upstreamState
+	byRegion  map[string][]*upstreamState
+	draining  func(u *model.Upstream, now time.Time) bool
+	// meanOtherLoad is the mean load by other entries per slot. It stands in for upstreams without
+	// a recent report.
+	meanOtherLoad float64
+	// inFlight counts this entry's requests in flight per region.
+	inFlight map[string]int
+	// nextProbe is the earliest time of the next probe of a region whose upstreams mostly fail.
+	nextProbe map[string]time.Time
+
+	// self, region and domain are the id, region and failure domain of this entry. entries are the
+	// entries that carry requests.
+	self    string
+	region  string
+	domain  string
+	entries []model.Member
+	// coldRate is the limit on the requests per second that all entries together send to a cold
+	// upstream.
+	coldRate float64
+	// classes holds the statistics of each class of requests. meanServiceTime is the mean service
+	// time over all classes.
+	classes         map[string]*classStats
+	meanServiceTime time.Duration
+	// roundTrip is the shortest measured network round trip to each region.
+	roundTrip map[string]time.Duration
+	// lastPeerReport is the time of the last report of each peer.
+	lastPeerReport map[string]time.Time
+
+	// limitedCount counts the upstreams with a limit. Until announceUntil there is a new or ended
+	// limit to send to all entries. notify is called when other entries must be sent an update at
+	// once.
+	limitedCount  atomic.Int32
+	announceUntil time.Time
+	notify        func()
+	// retired is set once the entry is about to leave.
+	retired bool
+
+	scratch scratch
+}
+
+// NewBalancer returns a Balancer without upstreams.
+func NewBalancer() *Balancer {
+	return &Balancer{
+		byID:           make(map[string]*upstreamState),
+		inFlight:       make(map[string]int),
+		nextProbe:      make(map[string]time.Time),
+		classes:        make(map[string]*classStats),
+		roundTrip:      make(map[string]time.Duration),
+		lastPeerReport: make(map[string]time.Time),
+	}
+}
+
+// ServiceState is the configuration of a service and its entries, as passed to Balancer.Update.
+type ServiceState struct {
+	Service *model.Service
+	// Draining reports whether an upstream must get no new requests.
+	Draining func(*model.Upstream, time.Time) bool
+	// Subset holds the ids of the upstreams that this entry uses first; see the function Subset.
+	Subset map[string]bool
+	// Self, Region and Domain are the id, region and failure domain of this entry. Entries are the
+	// entries that carry requests.
+	Self    string
+	Region  string
+	Domain  string
+	Entries []model.Member
+}
+
+// Update applies a new snapshot of the service. Upstreams that the previous snapshot did not hold
+// are cold, except in the first update. Restarted upstreams are cold as well, and their earlier
+// state is dropped. Update returns the addresses of the restarted upstreams.
+func (b *Balancer) Update(in ServiceState, now time.Time) (restarted []string) {
+	svc := in.Service
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	first := len(b.byID) == 0
+	b.warmup, b.coldRate, b.draining = svc.Warmup, svc.ColdRate, in.Draining
+	b.self, b.region, b.domain, b.entries = in.Self, in.Region, in.Domain, in.Entries
+	b.byRegion, b.upstreams = make(map[string][]*upstreamState), nil
+	seen := make(map[string]bool)
+	for _, up := range svc.Upstreams {
+		seen[up.ID] = true
+		u := b.byID[up.ID]
+		if u != nil && up.RestartOf(&u.Upstream) {
+			u.restarted = true
+			restarted = append(restarted, u.Address)
+			b.dropLimit(u)
+			u = nil
+		}
+		if u == nil {
+			u = &upstreamState{idHash: xxhash.Sum64String(up.ID), incarnationKey: IncarnationKey(&up)}
+			if !first {
+				u.coldSince = now
+			}
+			b.byID[up.ID] = u
+		}
+		u.Upstream, u.removed, u.inSubset = up, false, in.Subset[up.ID]
+		u.coldSender = nil
+		b.upstreams = append(b.upstreams, u)
+		b.byRegion[up.Region] = append(b.byRegion[up.Region], u)
+	}
+	for id, u := range b.byID {
+		if !seen[id] {
+			u.removed = true
+			b.dropLimit(u)
+			b.removeIfIdle(id, u)
+		}
+	}
+	b.updateLimitSenders(now)
+	b.updateWeights(now, in.Region, demandByRegion(in.Entries))
+	return restarted
+}
+
+// removeIfIdle deletes an upstream that has left the service once its last request has ended.
+func (b *Balancer) removeIfIdle(id string, u *upstreamState) {
+	if u.removed && u.inFlight == 0 {
+		delete(b.byID, id)
+	}
+}
+
+// Request holds the constraints of a Pick.
+type Request struct {
+	// Regions are tried in order; the first is this entry's own region.
+	Regions []string
+	// Allowed reports whether one more request may go to a region at which this entry has inFlight
+	// requests; nil allows all. It is called with the Balancer locked.
+	Allowed func(region string, inFlight int) bool
+	// Tried holds the ids of upstreams that must not be picked again.
+	Tried []string
+}
+
+// Choice is a picked upstream. Every Choice must be passed to Done exactly once.
+type Choice struct {
+	model.Upstream
+	PickedAt time.Time
+	// Warm is set if the upstream has recently served the object for this entry.
+	Warm bool
+
+	// Rank is the upstream's position among the replicas of the object, from 0.
+	Rank int
+	// Outstanding is the estimated number of requests at the upstream when it was picked, and
+	// ExpectedLatency the expected time until its answer.
+	Outstanding     float64
+	ExpectedLatency time.Duration
+
+	// class and object are those of the ObjectRequest; empty after Pick.
+	class  string
+	object uint64
+	// immediate is set if the request was expected to get a slot without waiting.
+	immediate bool
+	// state is the upstream's state when it was picked. If the upstream has restarted since, this
+	// is the state of the earlier incarnation.
+	state *upstreamState
+}
+
+// Pick chooses an upstream and takes one of its slots. It returns ErrNoSlot if all usable upstreams
+// are full, and ErrNoUpstream if there is none.
+func (b *Balancer) Pick(now time.Time, rnd *rand.Rand, req Request) (Choice, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	usable := false
+	for _, region := range b.orderRegions(req.Regions, now) {
+		candidates := b.availableInRegion(region, req.Tried, now)
+		usable = usable || len(candidates) > 0
+		if len(candidates) == 0 || req.Allowed != nil && !req.Allowed(region, b.inFlight[region]) {
+			continue
+		}
+		if u := b.pickPreferred(candidates, now, rnd); u != nil {
+			u.inFlight++
+			u.sent++
+			b.spendLimit(u, now)
+			b.inFlight[region]++
+			return Choice{Upstream: u.Upstream, PickedAt: now, state: u}, nil
+		}
+	}
+	if usable {
+		return Choice{}, ErrNoSlot
+	}
+	return Choice{}, ErrNoUpstream
+}
+
+// availableInRegion returns the upstreams of a region that may get new requests, without those that
+// were tried.
+func (b *Balancer) availableInRegion(region string, tried []string, now time.Time) []*upstreamState {
+	all := b.byRegion[region]
+	out := make([]*upstreamState, 0, len(all))
+	for _, u := range all {
+		if !u.ejected(now) && !slices.Contains(tried, u.ID) && !b.isDraining(u, now) {
+			out = append(out, u)
+		}
+	}
+	return out
+}
+
+// isDraining reports whether an upstream drains, by its own announcement or by the configuration.
+func (b *Balancer) isDraining(u *upstreamState, now time.Time) bool {
+	return now.Before(u.drainUntil) || b.draining(&u.Upstream, now)
+}
+
+// pickPreferred returns an upstream of this entry's subset that has a free slot, else another one;
+// nil if all are full. Entries with different subsets seldom compete for the last slot of an
+// upstream.
+func (b *Balancer) pickPreferred(ms []*upstreamState, now time.Time, rnd *rand.Rand) *upstreamState {
+	others := ms[:0:0]
+	preferred := ms[:0:0]
+	for _, u := range ms {
+		if u.inSubset {
+			preferred = append(preferred, u)
+		} else {
+			others = append(others, u)
+		}
+	}
+	if u := b.pickLeastLoaded(preferred, now, rnd); u != nil {
+		return u
+	}
+	return b.pickLeastLoaded(others, now, rnd)
+}
+
+// pickLeastLoaded returns the less loaded of two random upstreams (power of two choices). If that
+// one is full, it returns the least loaded upstream with a free slot; nil if there is none.
+func (b *Balancer) pickLeastLoaded(ms []*upstreamState, now time.Time, rnd *rand.Rand) *upstreamState {
+	if len(ms) == 0 {
+		return nil
+	}
+	x, y := ms[rnd.IntN(len(ms))], ms[rnd.IntN(len(ms))]
+	if b.load(y, now) < b.load(x, now) {
+		x = y
+	}
+	if b.hasSlot(x, now) {
+		return x
+	}
+	var best *upstreamState
+	for _, u := range ms {
+		if b.hasSlot(u, now) && (best == nil || b.load(u, now) < b.load(best, now)) {
+			best = u
+		}
+	}
+	return best
+}
+
+// Result is the way in which a request at an upstream ended.
+type Result uint8
+
+// The results.
+const (
+	// OK means that an answer arrived.
+	OK Result = iota
+	// Shed means that the upstream refused the request because of load. It is healthy, but full.
+	Shed
+	// ShedIdle means that the upstream refused the request as if because of load, although it had
+	// free slots. Done determines this result; the request may be sent to the upstream again.
+	ShedIdle
+	// Failed means that no answer arrived, or an incomplete one.
+	Failed
+	// Unreachable means that no connection could be made. A single such result ejects the upstream.
+	Unreachable
+	// Abandoned means that the caller disconnected or its deadline passed, without an observed
+	// failure of the upstream.
+	Abandoned
+)
+
+// DoneInfo is what one request has shown about its upstream.
+type DoneInfo struct {
+	Result Result
+	// Load is the number of requests in flight that the upstream reported, or -1.
+	Load int
+	// Waiting is the number of requests that wait for a slot at the upstream, or -1.
+	Waiting int
+	// Draining is set if the upstream announced that it drains.
+	Draining bool
+	// ServerError is set if the answer is a failure of the upstream itself.
+	ServerError bool
+	// Bytes is the total size of the bodies of the request and the answer, 0 if unknown.
+	Bytes int64
+	// ConnectTime is the time that it took to establish the connection; 0 if an existing one was
+	// used.
+	ConnectTime time.Duration
+}
+
+// Done releases the slot of a Choice and records how the request ended. It returns r.Result, or
+// ShedIdle in place of Shed if the upstream had free slots.
+func (b *Balancer) Done(now time.Time, c Choice, r DoneInfo) Result {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	u := c.state
+	if u.restarted {
+		b.inFlight[c.Region]--
+		return r.Result
+	}
+	if r.Load >= 0 {
+		u.otherLoad = float64(max(0, r.Load-u.inFlight))
+		u.reportedAt = now
+	}
+	u.inFlight--
+	b.inFlight[c.Region]--
+	if r.Draining {
+		u.drainUntil = now.Add(drainTTL)
+	}
+	if best := b.roundTrip[c.Region]; r.ConnectTime > 0 && (best == 0 || r.ConnectTime < best) {
+		b.roundTrip[c.Region] = r.ConnectTime
+	}
+	if r.Result == Shed && b.shedWithSpareSlots(u, now, c, r) {
+		r.Result = ShedIdle
+	}
+	if r.Result == OK || r.Result == Unreachable {
+		u.recordOutcome(now, r.ServerError || r.Result == Unreachable)
+	}
+	b.recordServiceTime(u, now, c, r)
+	b.recordResult(u, now, now.Sub(c.PickedAt), r.Result)
+	b.updateMeanLoad(now)
+	b.removeIfIdle(c.ID, u)
+	return r.Result
+}
--- a/internal/balance/outlier.go
+++ b/internal/balance/outlier.go
@@ -6,91 +6,93 @@
 )
 
 const (
-	// outcomeDecay is the time constant by which outcomes are forgotten.
+	// outcomeDecay is the time constant with which the weight of outcomes decays exponentially.
 	outcomeDecay = 2 * time.Second
-	// outlierFailures is how many recent failures, as counted by all entries together,
-	// and outlierShare what share of the outcomes they must be, for an upstream to be
-	// passed over. Healthy ones fail a request in a thousand.
-	outlierFailures = 2.5
-	outlierShare    = 0.2
-	// outlierFor is how long it is passed over before requests try it again.
-	outlierFor = 3 * time.Second
+	// outlierMinFailures is the number of recent failures over all entries, and outlierFailureShare
+	// the share of failures in all outcomes, from which an upstream is an outlier. Healthy
+	// upstreams fail one request in a thousand.
+	outlierMinFailures  = 2.5
+	outlierFailureShare = 0.2
+	// outlierDuration is how long an outlier is skipped before requests try it again.
+	outlierDuration = 3 * time.Second
 )
 
-// Outcomes counts how recent requests to an upstream ended. Answers that broke off or
-// never came do not count: they may be lost on the way, at an upstream that is well,
-// and its objects would be cold elsewhere.
+// Outcomes counts how recent requests to an upstream ended; the counts decay over time. Missing or
+// incomplete answers do not count: they may be lost on the way from a healthy upstream, and
+// skipping it would move its objects to upstreams that are cold for them.
 type Outcomes struct {
-	// Failed are those that got the upstream's own failure or no connection, Answered
-	// all.
-	Failed, Answered float64
+	// Failed counts answers with a failure of the upstream itself and failed connections, Total all
+	// outcomes.
+	Failed, Total float64
 }
 
+// plus returns the sum of two counts.
 func (o Outcomes) plus(p Outcomes) Outcomes {
-	return Outcomes{o.Failed + p.Failed, o.Answered + p.Answered}
+	return Outcomes{o.Failed + p.Failed, o.Total + p.Total}
 }
 
-// recent are outcomes as of a time.
-type recent struct {
+// decayedOutcomes holds outcomes as of a point in time.
+type decayedOutcomes struct {
 	Outcomes
 	at time.Time
 }
 
-// now returns the outcomes as they count at a later time.
-func (r recent) now(now time.Time) Outcomes {
+// decayedTo returns the outcomes weighted for a later time.
+func (r decayedOutcomes) decayedTo(now time.Time) Outcomes {
 	w := math.Exp(-float64(now.Sub(r.at)) / float64(outcomeDecay))
-	return Outcomes{w * r.Failed, w * r.Answered}
+	return Outcomes{w * r.Failed, w * r.Total}
 }
 
-// countOutcome adds one outcome of the own requests.
-func (m *member) countOutcome(now time.Time, failed bool) {
-	sum := m.outcomes.now(now).plus(Outcomes{Answered: 1})
+// recordOutcome adds the outcome of one of this entry's requests.
+func (u *upstreamState) recordOutcome(now time.Time, failed bool) {
+	sum := u.outcomes.decayedTo(now).plus(Outcomes{Total: 1})
 	if failed {
 		sum.Failed++
 	}
-	m.outcomes = recent{sum, now}
-	m.judgeOutcomes(now)
+	u.outcomes = decayedOutcomes{sum, now}
+	u.detectOutlier(now)
 }
 
-// judgeOutcomes passes an upstream over for a while if too many requests of all
-// entries failed there. An entry of a large fleet sends so few to each upstream that
-// its own would not show it, and a health check may be good all the while.
-func (m *member) judgeOutcomes(now time.Time) {
-	sum := m.outcomes.now(now)
-	for _, o := range m.peerOutcomes {
+// detectOutlier marks an upstream as an outlier for outlierDuration if too many requests of all
+// entries failed at it. An entry of a large fleet sends too few requests to each upstream to detect
+// this from its own outcomes, and health checks may succeed all the while.
+func (u *upstreamState) detectOutlier(now time.Time) {
+	sum := u.outcomes.decayedTo(now)
+	for _, o := range u.peerOutcomes {
 		sum = sum.plus(o)
 	}
-	if sum.Failed >= outlierFailures && sum.Failed >= outlierShare*sum.Answered {
-		m.outlierUntil = now.Add(outlierFor)
+	if sum.Failed >= outlierMinFailures && sum.Failed >= outlierFailureShare*sum.Total {
+		u.outlierUntil = now.Add(outlierDuration)
 	}
 }
 
-func (m *member) outlying(now time.Time) bool { return now.Before(m.outlierUntil) }
+// isOutlier reports whether the upstream is skipped for its failures.
+func (u *upstreamState) isOutlier(now time.Time) bool { return now.Before(u.outlierUntil) }
 
-// hearOutcomes takes in what a peer told of its outcomes.
-func (m *member) hearOutcomes(now time.Time, peer string, o Outcomes) {
+// setPeerOutcomes applies the outcomes that a peer reported.
+func (u *upstreamState) setPeerOutcomes(now time.Time, peer string, o Outcomes) {
 	if o.Failed == 0 {
-		delete(m.peerOutcomes, peer)
+		delete(u.peerOutcomes, peer)
 		return
 	}
-	if m.peerOutcomes == nil {
-		m.peerOutcomes = make(map[string]Outcomes)
+	if u.peerOutcomes == nil {
+		u.peerOutcomes = make(map[string]Outcomes)
 	}
-	m.peerOutcomes[peer] = o
-	m.judgeOutcomes(now)
+	u.peerOutcomes[peer] = o
+	u.detectOutlier(now)
 }
 
-// countedOutcomes sums up the outcomes of the entries that are asked for.
-func (m *member) countedOutcomes(whose Counted, now time.Time) Outcomes {
+// filteredOutcomes returns the sum of the outcomes of the selected entries.
+func (u *upstreamState) filteredOutcomes(filter EntryFilter, now time.Time) Outcomes {
 	var sum Outcomes
-	if whose.Own {
-		sum = m.outcomes.now(now)
+	if filter.Own {
+		sum = u.outcomes.decayedTo(now)
 	}
-	if whose.Peers == nil {
+	if filter.Peers == nil {
 		return sum
 	}
-	for peer, o := range m.peerOutcomes {
-		if whose.Peers(peer) {
+	for peer, o := range u.peerOutcomes {
+		if filter.Peers(peer) {
 			sum = sum.plus(o)
 		}
 	}
--- a/internal/balance/peers.go
+++ b/internal/balance/peers.go
@@ -8,110 +8,112 @@
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
-// LifeKey names a life of an upstream in reports, so that what peers tell of an earlier
-// one is not taken for news of it.
-func LifeKey(u *model.Upstream) uint32 {
+// IncarnationKey returns the hash that identifies an incarnation of an upstream in reports between
+// entries. Reports about an earlier incarnation are thereby not applied to the current one.
+func IncarnationKey(u *model.Upstream) uint32 {
 	id := xxhash.Sum64String(u.ID)
-	if u.Born == 0 {
+	if u.StartedAt == 0 {
 		return uint32(id)
 	}
-	return uint32(mix(id ^ uint64(u.Born)))
+	return uint32(mix(id ^ uint64(u.StartedAt)))
 }
 
-// Counted says whose requests are asked for.
-type Counted struct {
-	// Own is set for those of this entry.
+// EntryFilter selects the entries whose requests and outcomes are counted.
+type EntryFilter struct {
+	// Own is set to include this entry.
 	Own bool
-	// Peers reports whether those that a peer told of are meant; nil means none.
+	// Peers reports whether a peer's reports are included; nil includes none.
 	Peers func(peer string) bool
 }
 
-// Load is what is known of the use of an upstream.
+// Load is the load of an upstream by the selected entries.
 type Load struct {
-	// Requests are under way.
+	// Requests is the number of requests in flight.
 	Requests int
 	Outcomes
 }
 
-// LoadAt calls visit with what the entries that are asked for have at each upstream
-// at which they have requests or had failures.
-func (g *Group) LoadAt(now time.Time, whose Counted, visit func(upstream uint32, l Load)) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for _, m := range g.all {
-		l := Load{Requests: m.count(whose), Outcomes: m.countedOutcomes(whose, now)}
+// VisitLoads calls visit with the load of each upstream at which the selected entries have requests
+// in flight or had failures. The upstream is identified by its IncarnationKey.
+func (b *Balancer) VisitLoads(now time.Time, filter EntryFilter, visit func(upstream uint32, l Load)) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, u := range b.upstreams {
+		l := Load{Requests: u.filteredRequests(filter), Outcomes: u.filteredOutcomes(filter, now)}
 		if l.Requests > 0 || l.Failed > 0 {
-			visit(m.key, l)
+			visit(u.incarnationKey, l)
 		}
 	}
 }
 
-func (m *member) count(whose Counted) int {
+// filteredRequests returns the number of requests in flight of the selected entries.
+func (u *upstreamState) filteredRequests(filter EntryFilter) int {
 	n := 0
-	if whose.Own {
-		n = m.inFlight
+	if filter.Own {
+		n = u.inFlight
 	}
-	if whose.Peers == nil {
+	if filter.Peers == nil {
 		return n
 	}
-	for peer, at := range m.byPeer {
-		if whose.Peers(peer) {
-			n += at
+	for peer, requests := range u.peerRequests {
+		if filter.Peers(peer) {
+			n += requests
 		}
 	}
 	return n
 }
 
-// PeerLoad is what a peer told of upstreams whose hashes lie from First to Last; at
-// one that is not named it has nothing.
+// PeerLoad is a peer's report of its load at the upstreams whose IncarnationKey lies from First to
+// Last. The peer has no load at upstreams of this range that are missing from Loads.
 type PeerLoad struct {
 	Peer        string
 	First, Last uint32
-	At          map[uint32]Load
+	Loads       map[uint32]Load
 }
 
-// Heard takes in what a peer told.
-func (g *Group) Heard(now time.Time, p PeerLoad) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.heard[p.Peer] = now
-	for _, m := range g.all {
-		h := m.key
+// ApplyPeerLoad replaces what a peer has reported earlier for the same range of upstreams, and
+// drops the reports of peers that have sent none for peerReportTTL.
+func (b *Balancer) ApplyPeerLoad(now time.Time, p PeerLoad) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.lastPeerReport[p.Peer] = now
+	for _, u := range b.upstreams {
+		h := u.incarnationKey
 		if h < p.First || h > p.Last {
 			continue
 		}
-		l := p.At[h]
-		if was := m.byPeer[p.Peer]; was != l.Requests {
-			m.setPeer(p.Peer, l.Requests)
+		l := p.Loads[h]
+		if was := u.peerRequests[p.Peer]; was != l.Requests {
+			u.setPeerRequests(p.Peer, l.Requests)
 		}
-		m.hearOutcomes(now, p.Peer, l.Outcomes)
+		u.setPeerOutcomes(now, p.Peer, l.Outcomes)
 	}
-	g.forgetSilent(now)
+	b.expirePeers(now)
 }
 
-// forgetSilent drops what peers said that have been silent for too long.
-func (g *Group) forgetSilent(now time.Time) {
-	for peer, at := range g.heard {
-		if now.Sub(at) < peerFresh {
+// expirePeers drops the reports of peers that have sent none for peerReportTTL.
+func (b *Balancer) expirePeers(now time.Time) {
+	for peer, at := range b.lastPeerReport {
+		if now.Sub(at) < peerReportTTL {
 			continue
 		}
-		delete(g.heard, peer)
-		for _, m := range g.all {
-			m.setPeer(peer, 0)
-			delete(m.peerOutcomes, peer)
+		delete(b.lastPeerReport, peer)
+		for _, u := range b.upstreams {
+			u.setPeerRequests(peer, 0)
+			delete(u.peerOutcomes, peer)
 		}
 	}
 }
 
-// setPeer changes how many requests a peer has at an upstream.
-func (m *member) setPeer(peer string, n int) {
-	if m.byPeer == nil {
-		m.byPeer = make(map[string]int)
+// setPeerRequests sets the number of requests that a peer has in flight at the upstream.
+func (u *upstreamState) setPeerRequests(peer string, n int) {
+	if u.peerRequests == nil {
+		u.peerRequests = make(map[string]int)
 	}
-	m.atPeers += n - m.byPeer[peer]
+	u.peerTotal += n - u.peerRequests[peer]
 	if n == 0 {
-		delete(m.byPeer, peer)
+		delete(u.peerRequests, peer)
 		return
 	}
-	m.byPeer[peer] = n
+	u.peerRequests[peer] = n
 }
--- a/internal/balance/ratelimit.go
+++ b/internal/balance/ratelimit.go
@@ -9,24 +9,26 @@
 )
 
 const (
-	// maxSenders is how many entries at most share the limit of an upstream. Each tells each
-	// other one of its requests.
-	maxSenders = 16
-	// rateNewsFor is how long a change is told again and again.
-	rateNewsFor = time.Second
+	// maxLimitSenders is the largest number of entries that share the limit of an upstream. Each of
+	// these sends an update to every other one for each of its requests.
+	maxLimitSenders = 16
+	// announcePeriod is how long a change is sent repeatedly.
+	announcePeriod = time.Second
 )
 
-// Rate is what an answer says of the requests that its upstream takes.
-type Rate struct {
-	// Known is set if the answer tells, by naming a limit or by naming none.
+// RateLimit is what an answer says about the rate limit of its upstream.
+type RateLimit struct {
+	// Known is set if the answer says whether there is a limit.
 	Known bool
-	// PerSecond is the limit over all entries, or ratelimit.Unlimited.
+	// PerSecond is the limit in requests per second over all entries, or ratelimit.Unlimited.
 	PerSecond float64
 }
 
-// LimitError reports that upstreams might take the request but for the limits that they name.
+// LimitError reports that only the rate limits of the upstreams prevent the request from being
+// sent.
 type LimitError struct {
-	// Upstream is the one that may take a request first, PerSecond its limit.
+	// Upstream is the id of the upstream that may take a request first, PerSecond its limit in
+	// requests per second, RetryAfter the time until then.
 	Upstream   string
 	PerSecond  float64
 	RetryAfter time.Duration
@@ -34,290 +36,303 @@
 
 // Error implements error.
 func (e *LimitError) Error() string {
-	return fmt.Sprintf("balance: limit of %v requests a second at %s, the next in %v", e.PerSecond, e.Upstream, e.RetryAfter.Round(time.Millisecond))
+	return fmt.Sprintf("balance: rate limit of %v requests per second at upstream %s, next request allowed in %v", e.PerSecond, e.Upstream, e.RetryAfter.Round(time.Millisecond))
 }
 
-// Unwrap returns ErrNoSlot, of which a LimitError is a kind.
+// Unwrap returns ErrNoSlot; a LimitError is a special case of it.
 func (e *LimitError) Unwrap() error { return ErrNoSlot }
 
-// RateNews is what an entry knows of the limit of an upstream.
-type RateNews struct {
-	// Upstream is as LifeKey gives it.
+// LimitUpdate is what one entry reports to others about the limit of an upstream.
+type LimitUpdate struct {
+	// Upstream identifies the upstream by its IncarnationKey.
 	Upstream uint32
-	// PerSecond is the limit, or ratelimit.Unlimited, and Version that of the value.
+	// PerSecond is the limit in requests per second, or ratelimit.Unlimited, and Version the
+	// version of this value.
 	PerSecond float64
 	Version   uint32
-	// Sent is how many requests the entry has sent there since it has known a limit.
+	// Sent is the number of requests that the entry has sent to the upstream since it first
+	// received a limit.
 	Sent uint32
-	// Senders are the ids of the other entries that may send, and Changed is set if nobody was
-	// told of the limit yet. They are not told to others.
+	// Senders are the ids of the other entries that may send to the upstream. Changed is set if the
+	// limit has not been sent to any entry yet. Neither is part of the message to other entries.
 	Senders []string
 	Changed bool
 }
 
-// OnRateNews has a function called when others are to hear at once of a request to an upstream
-// with a limit, or of a limit that has changed. It must be quick.
-func (g *Group) OnRateNews(notify func()) { g.notify = notify }
+// OnLimitUpdate sets the function that is called when other entries must be sent an update at once:
+// after a request to an upstream with a limit, or a change of a limit. The function is called with
+// the Balancer locked and must return quickly. OnLimitUpdate must be called before the Balancer is
+// used.
+func (b *Balancer) OnLimitUpdate(notify func()) { b.notify = notify }
 
-// NoteRate takes in what the answer to a Choice says of its upstream's limit. It reports whether
-// that has changed.
-func (g *Group) NoteRate(now time.Time, c Choice, r Rate) bool {
-	if !r.Known || r.PerSecond == ratelimit.Unlimited && g.limited.Load() == 0 {
+// ObserveLimit applies what the answer to a Choice says about its upstream's limit. It reports
+// whether the limit has changed.
+func (b *Balancer) ObserveLimit(now time.Time, c Choice, r RateLimit) bool {
+	if !r.Known || r.PerSecond == ratelimit.Unlimited && b.limitedCount.Load() == 0 {
 		return false
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	m := c.to
-	if m.restarted || m.gone || !m.rate.Answered(ratelimit.Round(r.PerSecond), c.Picked, now) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	u := c.state
+	if u.restarted || u.removed || !u.limit.Observe(ratelimit.Round(r.PerSecond), c.PickedAt, now) {
 		return false
 	}
-	g.limitChanged(m, now)
+	b.applyLimit(u, now)
 	return true
 }
 
-// limitChanged brings the bucket of an upstream up to its limit.
-func (g *Group) limitChanged(m *member, now time.Time) {
-	limited := m.rate.Limited()
+// applyLimit adapts the bucket of an upstream to its current limit and announces the limit.
+func (b *Balancer) applyLimit(u *upstreamState, now time.Time) {
+	limited := u.limit.Limited()
 	switch {
-	case !limited && m.bucket != nil:
-		m.bucket, m.lastBucket = nil, m.bucket
-		g.limited.Add(-1)
-	case limited && m.bucket == nil:
-		m.bucket = m.lastBucket
-		if m.bucket == nil {
-			m.bucket = ratelimit.NewBucket(now)
+	case !limited && u.bucket != nil:
+		u.bucket, u.lastBucket = nil, u.bucket
+		b.limitedCount.Add(-1)
+	case limited && u.bucket == nil:
+		u.bucket = u.lastBucket
+		if u.bucket == nil {
+			u.bucket = ratelimit.NewBucket(now)
 		}
-		m.bucket.SetRate(m.rate.PerSecond(), now)
-		m.bucket.SetSenders(g.self, g.senders(m), now)
-		m.bucket.Empty(now)
-		g.limited.Add(1)
+		u.bucket.SetRate(u.limit.PerSecond(), now)
+		u.bucket.SetSenders(b.self, b.limitSenders(u), now)
+		u.bucket.DiscardTokens(now)
+		b.limitedCount.Add(1)
 	case limited:
-		m.bucket.SetRate(m.rate.PerSecond(), now)
+		u.bucket.SetRate(u.limit.PerSecond(), now)
 	}
-	g.tellLimit(m, now)
-	m.limitUntold = true
-	g.hasRateNews(m)
+	b.announceLimit(u, now)
+	u.limitUnsent = true
+	b.notifyUpdate(u)
 }
 
-// tellLimit has all others told of a limit for a while.
-func (g *Group) tellLimit(m *member, now time.Time) {
-	m.limitNewsUntil = now.Add(rateNewsFor)
-	g.limitNewsUntil = m.limitNewsUntil
+// announceLimit marks an upstream's limit to be sent to all other entries for announcePeriod.
+func (b *Balancer) announceLimit(u *upstreamState, now time.Time) {
+	u.announceUntil = now.Add(announcePeriod)
+	b.announceUntil = u.announceUntil
 }
 
-// hasRateNews has others told of an upstream at once.
-func (g *Group) hasRateNews(m *member) {
-	m.rateUntold = true
-	if g.notify != nil {
-		g.notify()
+// notifyUpdate marks an upstream as having unsent changes and calls the notify function.
+func (b *Balancer) notifyUpdate(u *upstreamState) {
+	u.unsent = true
+	if b.notify != nil {
+		b.notify()
 	}
 }
 
-// dropLimit forgets the limit of a life that is over.
-func (g *Group) dropLimit(m *member) {
-	if m.bucket != nil {
-		m.bucket = nil
-		g.limited.Add(-1)
+// dropLimit removes the bucket of an incarnation that has ended.
+func (b *Balancer) dropLimit(u *upstreamState) {
+	if u.bucket != nil {
+		u.bucket = nil
+		b.limitedCount.Add(-1)
 	}
 }
 
-// setSenders brings the senders of the upstreams with limits up to date.
-func (g *Group) setSenders(now time.Time) {
-	if g.limited.Load() == 0 {
+// updateLimitSenders recomputes which entries share the limit of each upstream that has one.
+func (b *Balancer) updateLimitSenders(now time.Time) {
+	if b.limitedCount.Load() == 0 {
 		return
 	}
-	for _, m := range g.all {
-		if m.bucket != nil {
-			m.bucket.SetSenders(g.self, g.senders(m), now)
+	for _, u := range b.upstreams {
+		if u.bucket != nil {
+			u.bucket.SetSenders(b.self, b.limitSenders(u), now)
 		}
 	}
 }
 
-// senders returns the ids of the entries that share the limit of an upstream, the nearest. All
-// entries work out the same.
-func (g *Group) senders(m *member) []string {
-	if g.retired {
+// limitSenders returns the ids of the entries that share the limit of an upstream: the nearest
+// ones, at most maxLimitSenders. All entries compute the same result. An entry that has retired
+// gets no senders.
+func (b *Balancer) limitSenders(u *upstreamState) []string {
+	if b.retired {
 		return nil
 	}
-	order := g.nearest(m)
+	order := b.nearestEntries(u)
 	var ids []string
-	for _, e := range order[:min(len(order), maxSenders)] {
+	for _, e := range order[:min(len(order), maxLimitSenders)] {
 		ids = append(ids, e.ID)
 	}
 	return ids
 }
 
-// Retire takes this entry from the senders of all upstreams with limits, as it is about to
-// leave and others do not hear of its requests any more.
-func (g *Group) Retire(now time.Time) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.retired = true
-	g.setSenders(now)
+// Retire removes this entry from the senders of all upstreams with limits. It is called when the
+// entry is about to leave, because others then no longer receive updates about its requests.
+func (b *Balancer) Retire(now time.Time) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.retired = true
+	b.updateLimitSenders(now)
 }
 
-// withinRate reports whether the limit of an upstream leaves room for one more request of this
+// withinLimit reports whether the limit of an upstream leaves room for one more request of this
 // entry.
-func (m *member) withinRate(now time.Time) bool { return m.bucket == nil || m.bucket.Wait(now) == 0 }
+func (u *upstreamState) withinLimit(now time.Time) bool {
+	return u.bucket == nil || u.bucket.Wait(now) == 0
+}
 
-// markHome marks which of the candidates of an object, in its order, is its home: the first, if it
-// is in the region of this entry. A request without an object is at home in the whole region.
-func (g *Group) markHome(cs []candidate, spread bool) []candidate {
+// markSpillover marks the candidates for which a request is spillover: all but the first one in the
+// object's order, and all in other regions than this entry's. A request without affinity is
+// spillover only in other regions.
+func (b *Balancer) markSpillover(cs []candidate, spread bool) []candidate {
 	for i := range cs {
-		cs[i].spills = i > 0 && !spread || cs[i].m.Region != g.home
+		cs[i].spills = i > 0 && !spread || cs[i].state.Region != b.region
 	}
 	return cs
 }
 
-// rateWait returns after what time the limit of a candidate leaves room for a request of this
-// entry; 0 if it does now. A request that belongs elsewhere gets only what the upstream's own
-// objects leave: it would take the place of one of these, and its object would be at hand at
-// neither.
-func (c candidate) rateWait(now time.Time) time.Duration {
+// limitWait returns the time until the limit of a candidate leaves room for a request of this
+// entry; 0 if it does now. A spillover request gets only the part of the limit that the upstream's
+// own objects leave unused: otherwise it would take the place of a request for one of these
+// objects, and neither request would reach an upstream that is warm for its object.
+func (c candidate) limitWait(now time.Time) time.Duration {
 	switch {
-	case c.m.bucket == nil:
+	case c.state.bucket == nil:
 		return 0
 	case c.spills:
-		return c.m.bucket.WaitSpare(now)
+		return c.state.bucket.WaitFull(now)
 	}
-	return c.m.bucket.Wait(now)
+	return c.state.bucket.Wait(now)
 }
 
-// spendRate counts a request against the limit of its upstream.
-func (g *Group) spendRate(m *member, now time.Time) {
-	if m.bucket == nil {
+// spendLimit counts a request against the limit of its upstream.
+func (b *Balancer) spendLimit(u *upstreamState, now time.Time) {
+	if u.bucket == nil {
 		return
 	}
-	m.bucket.Spend(now)
-	m.spentAt = now
-	g.hasRateNews(m)
+	u.bucket.Spend(now)
+	u.lastSpent = now
+	b.notifyUpdate(u)
 }
 
-// limitError returns the error for a request that the limits of all candidates leave no room
-// for.
-func (g *Group) limitError(now time.Time, ranked []candidate) error {
-	var first *member
+// limitError returns the error for a request for which the limits of all candidates leave no room:
+// a LimitError, or ErrNoSlot if no candidate will have room for this entry.
+func (b *Balancer) limitError(now time.Time, ranked []candidate) error {
+	var first *upstreamState
 	least := time.Duration(math.MaxInt64)
 	for _, c := range ranked {
-		if w := c.rateWait(now); w < least {
-			first, least = c.m, w
+		if w := c.limitWait(now); w < least {
+			first, least = c.state, w
 		}
 	}
 	if first == nil {
-		// Others have the room that there is.
+		// This entry is no sender of any candidate; other entries use the limits.
 		return ErrNoSlot
 	}
-	return &LimitError{Upstream: first.ID, PerSecond: first.rate.PerSecond(), RetryAfter: first.bucket.Reserve(least, now)}
+	return &LimitError{Upstream: first.ID, PerSecond: first.limit.PerSecond(), RetryAfter: first.bucket.RetryAfter(least, now)}
 }
 
-// NewsScope says of which limits others are told.
-type NewsScope int
+// UpdateScope selects the limits for which updates are sent.
+type UpdateScope int
 
 // The scopes.
 const (
-	// NewsUntold is what has not been told to anyone.
-	NewsUntold NewsScope = iota
-	// NewsRecent is what has changed of late.
-	NewsRecent
-	// NewsAll is all limits, and what has changed of late.
-	NewsAll
+	// UnsentUpdates selects changes that have not been sent to any entry.
+	UnsentUpdates UpdateScope = iota
+	// RecentUpdates selects changes of limits, and requests counted against them, of the last
+	// announcePeriod.
+	RecentUpdates
+	// AllUpdates selects all limits, and changes of the last announcePeriod.
+	AllUpdates
 )
 
-// RateNews calls visit with what others are to be told.
-func (g *Group) RateNews(now time.Time, scope NewsScope, visit func(RateNews)) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.limited.Load() == 0 && !now.Before(g.limitNewsUntil) {
+// VisitLimitUpdates calls visit with the updates of a scope, and marks these as sent.
+func (b *Balancer) VisitLimitUpdates(now time.Time, scope UpdateScope, visit func(LimitUpdate)) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.limitedCount.Load() == 0 && !now.Before(b.announceUntil) {
 		return
 	}
-	for _, m := range g.all {
-		if !g.isNews(m, now, scope) {
+	for _, u := range b.upstreams {
+		if !b.needsUpdate(u, now, scope) {
 			continue
 		}
-		n := RateNews{Upstream: m.key, PerSecond: m.rate.PerSecond(), Version: m.rate.Version(), Changed: m.limitUntold}
-		m.rateUntold, m.limitUntold = false, false
-		if m.bucket != nil && m.bucket.Sender() {
-			n.Sent = m.bucket.Sent()
-			m.bucket.Peers(func(id string) { n.Senders = append(n.Senders, id) })
+		n := LimitUpdate{Upstream: u.incarnationKey, PerSecond: u.limit.PerSecond(), Version: u.limit.Version(), Changed: u.limitUnsent}
+		u.unsent, u.limitUnsent = false, false
+		if u.bucket != nil && u.bucket.IsSender() {
+			n.Sent = u.bucket.Sent()
+			u.bucket.VisitPeers(func(id string) { n.Senders = append(n.Senders, id) })
 		}
 		visit(n)
 	}
 }
 
-func (g *Group) isNews(m *member, now time.Time, scope NewsScope) bool {
-	if scope == NewsUntold {
-		return m.rateUntold
+// needsUpdate reports whether a scope includes an update for an upstream.
+func (b *Balancer) needsUpdate(u *upstreamState, now time.Time, scope UpdateScope) bool {
+	if scope == UnsentUpdates {
+		return u.unsent
 	}
-	return m.rateUntold || now.Before(m.limitNewsUntil) || m.bucket != nil && (scope == NewsAll || now.Sub(m.spentAt) < rateNewsFor)
+	return u.unsent || now.Before(u.announceUntil) || u.bucket != nil && (scope == AllUpdates || now.Sub(u.lastSpent) < announcePeriod)
 }
 
-// RateSenders calls visit with the ids of the other senders of upstreams to which this entry
-// may send.
-func (g *Group) RateSenders(visit func(id string)) {
-	if g.limited.Load() == 0 {
+// VisitLimitSenders calls visit with the ids of the entries that share an upstream's limit with
+// this entry, once for each such upstream.
+func (b *Balancer) VisitLimitSenders(visit func(id string)) {
+	if b.limitedCount.Load() == 0 {
 		return
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for _, m := range g.all {
-		if m.bucket != nil && m.bucket.Sender() {
-			m.bucket.Peers(visit)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, u := range b.upstreams {
+		if u.bucket != nil && u.bucket.IsSender() {
+			u.bucket.VisitPeers(visit)
 		}
 	}
 }
 
-// HeardRates takes in what a peer told of limits, in one of its lives.
-func (g *Group) HeardRates(now time.Time, peer string, life uint64, told []RateNews) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	byKey := make(map[uint32]RateNews, len(told))
-	for _, n := range told {
+// ApplyPeerLimits applies the updates that a peer has sent. incarnation identifies the peer's
+// process.
+func (b *Balancer) ApplyPeerLimits(now time.Time, peer string, incarnation uint64, updates []LimitUpdate) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	byKey := make(map[uint32]LimitUpdate, len(updates))
+	for _, n := range updates {
 		byKey[n.Upstream] = n
 	}
-	for _, m := range g.all {
-		if n, ok := byKey[m.key]; ok {
-			g.heardRate(m, now, peer, life, n)
-		} else if m.bucket != nil {
-			m.bucket.Alive(peer, now)
+	for _, u := range b.upstreams {
+		if n, ok := byKey[u.incarnationKey]; ok {
+			b.applyPeerLimit(u, now, peer, incarnation, n)
+		} else if u.bucket != nil {
+			u.bucket.MarkPeerAlive(peer, now)
 		}
 	}
 }
 
-func (g *Group) heardRate(m *member, now time.Time, peer string, life uint64, n RateNews) {
-	switch m.rate.Merge(n.PerSecond, n.Version, now) {
-	case ratelimit.Newer:
-		g.limitChanged(m, now)
-	case ratelimit.Older:
-		// Told again, as the peer does not know it.
-		g.tellLimit(m, now)
+// applyPeerLimit applies a peer's update for one upstream.
+func (b *Balancer) applyPeerLimit(u *upstreamState, now time.Time, peer string, incarnation uint64, n LimitUpdate) {
+	switch u.limit.Merge(n.PerSecond, n.Version, now) {
+	case ratelimit.MergeAdopted:
+		b.applyLimit(u, now)
+	case ratelimit.MergeStale:
+		// The peer lacks the newer value, so it is sent again.
+		b.announceLimit(u, now)
 	}
-	if m.bucket != nil {
-		m.bucket.Heard(peer, life, n.Sent, now)
+	if u.bucket != nil {
+		u.bucket.RecordPeerSent(peer, incarnation, n.Sent, now)
 	}
 }
 
-// RateStatus is the limit of one upstream as this entry sees it, for metrics and dumps.
-type RateStatus struct {
+// LimitStatus is the limit of one upstream as known to this entry, for metrics and dumps.
+type LimitStatus struct {
 	Upstream  string  `json:"upstream"`
 	PerSecond float64 `json:"per_s"`
 	Version   uint32  `json:"version"`
 	// Level is how many requests all senders together may send now.
 	Level float64 `json:"level"`
-	// Sender is set if this entry may send, Sent counts what it has sent.
+	// Sender is set if this entry may send requests to the upstream. Sent counts the requests that
+	// it has sent.
 	Sender bool   `json:"sender"`
 	Sent   uint32 `json:"sent"`
 }
 
-// Rates returns the limits of upstreams, at most n.
-func (g *Group) Rates(now time.Time, n int) []RateStatus {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	var out []RateStatus
-	for _, m := range g.all {
-		if m.bucket == nil || len(out) == n {
+// LimitStatuses returns the status of at most n limits of upstreams.
+func (b *Balancer) LimitStatuses(now time.Time, n int) []LimitStatus {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	var out []LimitStatus
+	for _, u := range b.upstreams {
+		if u.bucket == nil || len(out) == n {
 			continue
 		}
-		out = append(out, RateStatus{m.ID, m.rate.PerSecond(), m.rate.Version(), m.bucket.Level(now), m.bucket.Sender(), m.bucket.Sent()})
+		out = append(out, LimitStatus{u.ID, u.limit.PerSecond(), u.limit.Version(), u.bucket.Level(now), u.bucket.IsSender(), u.bucket.Sent()})
 	}
 	return out
 }
--- a/internal/forward/admission.go
+++ b/internal/forward/admission.go
@@ -22,15 +22,15 @@
 	svc := cl.service
 	now := p.now()
 	d := admit.Decide(admit.Input{
-		Now:      now,
-		Deadline: cl.deadline,
-		Expected: minLatency(cl, state.group, regions[0]),
-		Waiting:  state.queue.Len(),
-		Limit:    svc.Queue,
-		Wait:     max(0, svc.QueueWait-now.Sub(cl.start)),
-		InFlight: int(p.inFlight.Load()),
-		Room:     p.opt.MaxInFlight,
-		Priority: cl.priority,
+		Now:             now,
+		Deadline:        cl.deadline,
+		ExpectedLatency: minLatency(cl, state.group, regions[0]),
+		Queued:          state.queue.Len(),
+		QueueLimit:      svc.Queue,
+		MaxWait:         max(0, svc.QueueWait-now.Sub(cl.start)),
+		InFlight:        int(p.inFlight.Load()),
+		Capacity:        p.opt.MaxInFlight,
+		Priority:        cl.priority,
 	})
 	if d.Reason != "" {
 		return balance.Choice{}, verdict.New(verdict.NotRun, string(d.Reason), nil).WithRetryAfter(d.RetryAfter)
@@ -48,16 +48,16 @@
 			return balance.Choice{}, verdict.New(verdict.NotRun, reasonNoUpstream, err).WithRetryAfter(unavailableRetryAfter)
 		}
 	}
-	return p.waitForSlot(ctx, state, req, svc.Queue, d.GiveUp, mustWait)
+	return p.waitForSlot(ctx, state, req, svc.Queue, d.WaitUntil, mustWait)
 }
 
 // minLatency returns the shortest time that a response is expected to take, which is half the
 // usual time; 0 if unknown. For a request with a route the usual time is that of its own route.
 // With the latency of the whole service, a route of short requests in a service of long ones
 // would always be rejected, and its own latency would never be measured.
-func minLatency(cl *call, group *balance.Group, region string) time.Duration {
+func minLatency(cl *call, group *balance.Balancer, region string) time.Duration {
 	if cl.Route != nil {
-		return group.Work(cl.Route.Name) / 2
+		return group.ServiceTime(cl.Route.Name) / 2
 	}
 	return group.Latency(region) / 2
 }
@@ -108,13 +108,13 @@
 
 // waitForSlot waits in the queue until a slot is free, giveUp is reached or ctx ends.
 func (p *Proxy) waitForSlot(ctx context.Context, state *serviceState, req balance.Request, limit int, giveUp time.Time, mustWait bool) (balance.Choice, *verdict.Error) {
-	ticket, ok := state.queue.Join(limit)
+	ticket, ok := state.queue.Enqueue(limit)
 	if !ok {
 		return balance.Choice{}, verdict.New(verdict.NotRun, string(admit.ReasonQueueFull), nil).WithRetryAfter(state.retryAfter(req.Regions[0]))
 	}
-	defer state.queue.Leave(ticket)
+	defer state.queue.Remove(ticket)
 	if mustWait {
-		ticket.Pass()
+		ticket.DiscardTurn()
 	}
 	timer := time.NewTimer(giveUp.Sub(p.now()))
 	defer timer.Stop()
--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -105,7 +105,7 @@
 	b.prefixMu.Lock()
 	defer b.prefixMu.Unlock()
 	n := int64(len(b.prefix))
-	return b.prefix, n == poison.BodyPrefix || n == b.length
+	return b.prefix, n == poison.MaxBodyPrefix || n == b.length
 }
 
 // peekPrefix returns the prefix and reads missing bytes from the caller. It returns false if
@@ -129,13 +129,13 @@
 func (b *replayBody) readPrefix() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	buf := make([]byte, poison.BodyPrefix)
+	buf := make([]byte, poison.MaxBodyPrefix)
 	for b.err == nil {
 		prefix, complete := b.prefixRead()
 		if complete {
 			return nil
 		}
-		n, err := b.src.Read(buf[:poison.BodyPrefix-len(prefix)])
+		n, err := b.src.Read(buf[:poison.MaxBodyPrefix-len(prefix)])
 		b.err = err
 		b.appendPrefix(buf[:n])
 		b.appendBuffered(buf[:n])
@@ -184,7 +184,7 @@
 func (b *replayBody) appendPrefix(p []byte) {
 	b.prefixMu.Lock()
 	defer b.prefixMu.Unlock()
-	if missing := poison.BodyPrefix - len(b.prefix); missing > 0 {
+	if missing := poison.MaxBodyPrefix - len(b.prefix); missing > 0 {
 		b.prefix = append(b.prefix, p[:min(len(p), missing)]...)
 	}
 }
--- a/internal/forward/budget_test.go
+++ b/internal/forward/budget_test.go
@@ -21,7 +21,7 @@
 
 // ParseRequest implements Protocol.
 func (p routedProtocol) ParseRequest(r *http.Request, _ *model.Snapshot) (RequestInfo, *RequestError) {
-	return RequestInfo{ID: r.Header.Get(header.RequestID), Route: p.route, Safe: p.route.Safe, Object: r.URL.Path}, nil
+	return RequestInfo{ID: r.Header.Get(header.RequestID), Route: p.route, Safe: p.route.Idempotent, Object: r.URL.Path}, nil
 }
 
 // newRoutedEntry returns one of several entries that have one route to the fakes.
@@ -65,8 +65,8 @@
 				f.always = truncates
 			}
 			route := &model.Route{
-				Name: "r", Safe: true, Attempts: 3, Timeout: time.Minute, Affinity: true,
-				Parts: []model.Part{{Service: "orders", Weight: 1}},
+				Name: "r", Idempotent: true, Attempts: 3, Timeout: time.Minute, Affinity: true,
+				Services: []model.WeightedService{{Service: "orders", Weight: 1}},
 			}
 			var all []*entry
 			for range entries {
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -70,7 +70,7 @@
 
 // priorityOf returns the priority of a request with a route; 0 is the most urgent.
 func priorityOf(info *RequestInfo) int {
-	if o := info.Organisation; o != nil && o.Priority != model.RoutePriority {
+	if o := info.Organisation; o != nil && o.Priority != model.PriorityFromRoute {
 		return o.Priority
 	}
 	return info.Route.Priority
@@ -86,7 +86,7 @@
 	req := poison.Request{
 		Method: r.Method, Host: r.Host, Target: r.RequestURI, Object: info.Object, Caller: caller, Length: r.ContentLength,
 	}
-	return req.Head()
+	return req.HeadKeys()
 }
 
 // keys returns the poison keys of the request. It returns false if the beginning of the body
@@ -120,7 +120,7 @@
 		req.Object = balance.HashObject(c.Route.Name, c.Object)
 	} else {
 		req.Object = balance.HashObject(c.Route.Name, c.ID)
-		req.Spread = true
+		req.NoAffinity = true
 	}
 	return req
 }
--- a/internal/forward/limit.go
+++ b/internal/forward/limit.go
@@ -29,7 +29,7 @@
 // refundLimit undoes the counting of a request that has not run.
 func (p *Proxy) refundLimit(cl *call) {
 	if cl.charged {
-		p.limits.Return(cl.Organisation.Name, p.now())
+		p.limits.Refund(cl.Organisation.Name, p.now())
 	}
 }
 
--- a/internal/forward/parserate.go
+++ b/internal/forward/parserate.go
@@ -14,16 +14,16 @@
 // is absent. If a value is not a decimal number, the response says nothing about a limit: ok is
 // false and value is the invalid field value. A field in the trailer says nothing either, but
 // ok is true.
-func ParseRate(resp *http.Response, field string) (rate balance.Rate, value string, ok bool) {
+func ParseRate(resp *http.Response, field string) (rate balance.RateLimit, value string, ok bool) {
 	if _, inTrailer := resp.Trailer[field]; inTrailer {
-		return balance.Rate{}, "", true
+		return balance.RateLimit{}, "", true
 	}
-	rate = balance.Rate{Known: true, PerSecond: ratelimit.Unlimited}
+	rate = balance.RateLimit{Known: true, PerSecond: ratelimit.Unlimited}
 	for _, value = range resp.Header[field] {
 		for text := range strings.SplitSeq(value, ",") {
 			v, ok := decimal(strings.TrimSpace(text))
 			if !ok {
-				return balance.Rate{}, value, false
+				return balance.RateLimit{}, value, false
 			}
 			rate.PerSecond = min(rate.PerSecond, v)
 		}
--- a/internal/forward/poison.go
+++ b/internal/forward/poison.go
@@ -34,7 +34,7 @@
 // counts as in flight until endPoisonCheck. The body is read only if crashes are known for a
 // request with the same head.
 func (p *Proxy) beginPoisonCheck(ctx context.Context, cl *call) *verdict.Error {
-	if !p.poison.Known(cl.headKeys) {
+	if !p.poison.HasRecord(cl.headKeys) {
 		return nil
 	}
 	keys, ok := cl.keys(ctx)
@@ -76,10 +76,10 @@
 		return false
 	}
 	now := p.now()
-	d := p.poison.Broke(now, cl.headKeys, keys, balance.LifeKey(&to.Upstream))
+	d := p.poison.RecordCrash(now, cl.headKeys, keys, balance.IncarnationKey(&to.Upstream))
 	if left, allowed := brokenLog.Allow(now, "broken"); allowed {
-		klog.InfoS("attempt broke off, upstream may have crashed", "request", cl.ID, "key", uint64(keys.Anyone), "caller_key", uint64(keys.Caller),
-			"upstream", to.ID, "born", to.Born, "under_way", now.Sub(to.Picked), "suspect", d.Suspect, "held", d.Held, "err", err, "left_out", left)
+		klog.InfoS("attempt broke off, upstream may have crashed", "request", cl.ID, "key", uint64(keys.AnyCaller), "caller_key", uint64(keys.Caller),
+			"upstream", to.ID, "born", to.StartedAt, "under_way", now.Sub(to.PickedAt), "suspect", d.Suspect, "held", d.Held, "err", err, "left_out", left)
 	}
 	return d.Held
 }
@@ -101,7 +101,7 @@
 	if res == nil || res.info.NotRunReason == ReasonReplaced {
 		return
 	}
-	p.poison.Alive(p.now(), balance.LifeKey(&from.Upstream), from.Picked)
+	p.poison.RecordAlive(p.now(), balance.IncarnationKey(&from.Upstream), from.PickedAt)
 }
 
 // recordAnswered records that an upstream answered the request completely. It ignores a
@@ -110,6 +110,6 @@
 func (p *Proxy) recordAnswered(cl *call) {
 	prefix, complete := cl.body.prefixRead()
 	if complete || cl.body.length < 0 && len(prefix) > 0 {
-		p.poison.Answered(p.now(), cl.headKeys.WithBody(prefix))
+		p.poison.RecordResponse(p.now(), cl.headKeys.WithBody(prefix))
 	}
 }
--- a/internal/forward/protocol.go
+++ b/internal/forward/protocol.go
@@ -74,7 +74,7 @@
 	// there; -1 if the response does not state them.
 	Load, Waiting int
 	// Rate is the rate limit that the response states, or that it states none.
-	Rate balance.Rate
+	Rate balance.RateLimit
 	// Draining is set if the upstream wants no new requests.
 	Draining bool
 }
--- a/internal/forward/proxy.go
+++ b/internal/forward/proxy.go
@@ -121,11 +121,11 @@
 
 // serviceState is the state of one service.
 type serviceState struct {
-	group  *balance.Group
+	group  *balance.Balancer
 	queue  admit.Queue
-	budget *balance.Budget
+	budget *balance.RetryBudget
 	// shedBudget limits how often a shed request is retried without waiting in the queue.
-	shedBudget *balance.Budget
+	shedBudget *balance.RetryBudget
 	shift      *shift.Meter
 }
 
@@ -162,9 +162,9 @@
 	now := p.now()
 	for name, svc := range s.Services {
 		state := p.serviceState(name)
-		restarted := state.group.Update(balance.Input{
-			Service: svc, Draining: s.Draining, Owned: p.ownedUpstreams(s, svc),
-			Self: p.opt.Self, Home: s.Region, Domain: p.opt.Domain, Entries: entriesOf(s),
+		restarted := state.group.Update(balance.ServiceState{
+			Service: svc, Draining: s.Draining, Subset: p.ownedUpstreams(s, svc),
+			Self: p.opt.Self, Region: s.Region, Domain: p.opt.Domain, Entries: entriesOf(s),
 		}, now)
 		p.closeIdle(restarted)
 		if svc.Routed {
@@ -178,10 +178,10 @@
 
 // entriesOf returns the entries that send requests to the upstreams.
 func entriesOf(s *model.Snapshot) []model.Member {
-	if s.Carriers != nil {
-		return s.Carriers
+	if s.Advertised != nil {
+		return s.Advertised
 	}
-	return s.HomeEntries()
+	return s.LocalEntries()
 }
 
 // ownedUpstreams returns the upstreams of a service that this entry prefers. It returns nil for
@@ -191,10 +191,10 @@
 		return nil
 	}
 	var entries []string
-	for _, m := range s.HomeEntries() {
+	for _, m := range s.LocalEntries() {
 		entries = append(entries, m.ID)
 	}
-	return balance.Owned(svc.Upstreams, s.Region, p.opt.Self, entries)
+	return balance.Subset(svc.Upstreams, s.Region, p.opt.Self, entries)
 }
 
 // idleCloser is a transport that can close its idle connections to one address.
@@ -231,8 +231,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if state = p.services[service]; state == nil {
-		state = &serviceState{group: balance.NewGroup(), budget: balance.NewBudget(retryBurst), shedBudget: balance.NewBudget(shedBurst), shift: shift.NewMeter()}
-		state.group.OnRateNews(p.notifyRates)
+		state = &serviceState{group: balance.NewBalancer(), budget: balance.NewRetryBudget(retryBurst), shedBudget: balance.NewRetryBudget(shedBurst), shift: shift.NewMeter()}
+		state.group.OnLimitUpdate(p.notifyRates)
 		p.services[service] = state
 	}
 	return state
@@ -345,7 +345,7 @@
 		reply.reason = "entry-starting"
 		return reply
 	}
-	for _, m := range snap.HomeEntries() {
+	for _, m := range snap.LocalEntries() {
 		reply.entries = append(reply.entries, m.Entry)
 	}
 	return reply
--- a/internal/forward/rates.go
+++ b/internal/forward/rates.go
@@ -14,9 +14,9 @@
 )
 
 // recordRate records what a response says about the rate limit of its upstream.
-func (p *Proxy) recordRate(cl *call, from balance.Choice, r balance.Rate) {
+func (p *Proxy) recordRate(cl *call, from balance.Choice, r balance.RateLimit) {
 	now := p.now()
-	if !p.serviceState(cl.service.Name).group.NoteRate(now, from, r) {
+	if !p.serviceState(cl.service.Name).group.ObserveLimit(now, from, r) {
 		return
 	}
 	kind := "upstream set a rate limit"
@@ -41,11 +41,11 @@
 func (p *Proxy) UrgentRates() <-chan struct{} { return p.ratesChanged }
 
 // RateNews returns the updates about rate limits of upstreams to send to other entries.
-func (p *Proxy) RateNews(scope balance.NewsScope) []balance.RateNews {
+func (p *Proxy) RateNews(scope balance.UpdateScope) []balance.LimitUpdate {
 	now := p.now()
-	var out []balance.RateNews
+	var out []balance.LimitUpdate
 	for _, state := range p.allServices() {
-		state.group.RateNews(now, scope, func(n balance.RateNews) { out = append(out, n) })
+		state.group.VisitLimitUpdates(now, scope, func(n balance.LimitUpdate) { out = append(out, n) })
 	}
 	return out
 }
@@ -55,17 +55,17 @@
 func (p *Proxy) RateSenders() map[string]bool {
 	out := make(map[string]bool)
 	for _, state := range p.allServices() {
-		state.group.RateSenders(func(id string) { out[id] = true })
+		state.group.VisitLimitSenders(func(id string) { out[id] = true })
 	}
 	return out
 }
 
 // HeardRates merges the updates that a peer sent about rate limits of upstreams. life is the
 // incarnation of the peer.
-func (p *Proxy) HeardRates(peer string, life uint64, updates []balance.RateNews) {
+func (p *Proxy) HeardRates(peer string, life uint64, updates []balance.LimitUpdate) {
 	now := p.now()
 	for _, state := range p.allServices() {
-		state.group.HeardRates(now, peer, life, updates)
+		state.group.ApplyPeerLimits(now, peer, life, updates)
 	}
 }
 
@@ -79,11 +79,11 @@
 }
 
 // Rates returns the state of the rate limits of upstreams, at most n for each service.
-func (p *Proxy) Rates(n int) []balance.RateStatus {
+func (p *Proxy) Rates(n int) []balance.LimitStatus {
 	now := p.now()
-	var out []balance.RateStatus
+	var out []balance.LimitStatus
 	for _, state := range p.allServices() {
-		out = append(out, state.group.Rates(now, n)...)
+		out = append(out, state.group.LimitStatuses(now, n)...)
 	}
 	return out
 }
--- a/internal/forward/regions_test.go
+++ b/internal/forward/regions_test.go
@@ -29,7 +29,7 @@
 	if route == nil {
 		return RequestInfo{}, &RequestError{Status: http.StatusNotFound, Reason: "no-route"}
 	}
-	return RequestInfo{ID: r.Header.Get(header.RequestID), Route: route, Safe: route.Safe, Object: r.URL.Path}, nil
+	return RequestInfo{ID: r.Header.Get(header.RequestID), Route: route, Safe: route.Idempotent, Object: r.URL.Path}, nil
 }
 
 // regionFixture is an entry in muscat with two upstreams in each of three regions.
@@ -60,8 +60,8 @@
 	t.Cleanup(srv.Close)
 	h.url = srv.URL
 	h.route = model.Route{
-		Name: "r", Host: "127.0.0.1", Prefix: "/", Attempts: 3, Timeout: time.Minute, Safe: true, Affinity: true,
-		Parts: []model.Part{{Service: "orders", Weight: 1}}, Regions: regions,
+		Name: "r", Host: "127.0.0.1", Prefix: "/", Attempts: 3, Timeout: time.Minute, Idempotent: true, Affinity: true,
+		Services: []model.WeightedService{{Service: "orders", Weight: 1}}, Regions: regions,
 	}
 	h.in = model.RoutedInput{
 		Region: "muscat", RetryBudget: 1, RetryBurst: 100,
--- a/internal/forward/serve.go
+++ b/internal/forward/serve.go
@@ -33,7 +33,7 @@
 	state := p.serviceState(cl.service.Name)
 	regions := p.candidateRegions(snap, cl, state)
 	if cl.service.Routed {
-		state.budget.Earn(cl.service.RetryBudget)
+		state.budget.Deposit(cl.service.RetryBudget)
 	}
 	var last *verdict.Error
 	sheds, mustWait := 0, false
@@ -55,7 +55,7 @@
 		if err != nil && err.Reason == ReasonShed && !cl.service.Routed && sheds < maxSheds {
 			sheds++
 			last = err
-			mustWait = !state.shedBudget.Take()
+			mustWait = !state.shedBudget.TryWithdraw()
 			p.release(state, choice, reportFor(res, err))
 			continue
 		}
@@ -95,7 +95,7 @@
 	if err.Verdict != verdict.NotRun && !cl.Safe {
 		return false
 	}
-	return state.budget.Take()
+	return state.budget.TryWithdraw()
 }
 
 // retryableResponse reports whether a response to a safe request should be replaced by a retry
@@ -118,8 +118,8 @@
 
 // reportFor returns the balancer's report about a failed attempt. res is the response of the
 // attempt, or nil.
-func reportFor(res *upstreamResponse, err *verdict.Error) balance.Report {
-	r := balance.Report{Result: balance.Failed, Load: -1, Waiting: -1}
+func reportFor(res *upstreamResponse, err *verdict.Error) balance.DoneInfo {
+	r := balance.DoneInfo{Result: balance.Failed, Load: -1, Waiting: -1}
 	if res != nil {
 		r.Load, r.Waiting = res.info.Load, res.info.Waiting
 	}
@@ -136,7 +136,7 @@
 
 // release reports an attempt to the balancer, which frees the upstream's slot, and wakes the
 // queue. It returns the result as the balancer counts it.
-func (p *Proxy) release(state *serviceState, choice balance.Choice, r balance.Report) balance.Result {
+func (p *Proxy) release(state *serviceState, choice balance.Choice, r balance.DoneInfo) balance.Result {
 	result := state.group.Done(p.now(), choice, r)
 	state.queue.Wake()
 	return result
@@ -147,8 +147,8 @@
 // deliver aborts the caller's connection, so that the caller does not take the part for the
 // whole body.
 func (p *Proxy) deliver(w http.ResponseWriter, state *serviceState, cl *call, choice balance.Choice, res *upstreamResponse, out *Outcome) {
-	report := balance.Report{Result: balance.OK, Load: res.info.Load, Waiting: res.info.Waiting, Draining: res.info.Draining, Connect: res.connectTime}
-	report.Errored = res.resp.StatusCode >= http.StatusInternalServerError
+	report := balance.DoneInfo{Result: balance.OK, Load: res.info.Load, Waiting: res.info.Waiting, Draining: res.info.Draining, ConnectTime: res.connectTime}
+	report.ServerError = res.resp.StatusCode >= http.StatusInternalServerError
 	report.Bytes = max(0, cl.body.length) + max(int64(len(res.body)), res.resp.ContentLength)
 	if res.buffered {
 		p.release(state, choice, report)
@@ -170,9 +170,9 @@
 		panic(http.ErrAbortHandler)
 	}
 	if !cl.service.Routed {
-		state.budget.Earn(cl.service.RetryBudget)
+		state.budget.Deposit(cl.service.RetryBudget)
 	}
-	state.shedBudget.Earn(shedBudgetRatio)
+	state.shedBudget.Deposit(shedBudgetRatio)
 }
 
 // candidateRegions returns the regions to try, in order: the target of a move, the own region,
@@ -193,7 +193,7 @@
 		Moves: moves,
 		Cap:   cl.service.ShiftCap,
 		Rate:  cl.service.ShiftRate,
-		Seen:  state.group.Seen,
+		Seen:  state.group.LastReport,
 	})
 	if to == "" {
 		return order
--- a/internal/forward/shed_test.go
+++ b/internal/forward/shed_test.go
@@ -35,7 +35,7 @@
 		a, b := newFakeUpstream(t), newFakeUpstream(t)
 		route := &model.Route{
 			Name: "r", Attempts: tt.attempts, Timeout: time.Minute, Affinity: true,
-			Parts: []model.Part{{Service: "orders", Weight: 1}},
+			Services: []model.WeightedService{{Service: "orders", Weight: 1}},
 		}
 		e := newRoutedEntry(t, 1, route, []*fakeUpstream{a, b})
 		e.send(t, http.MethodPost, "/x", "", header.RequestID, "r0")
--- a/internal/forward/status.go
+++ b/internal/forward/status.go
@@ -38,10 +38,10 @@
 
 // VisitLoads calls visit with each upstream and the load that the entries selected by whose
 // have there.
-func (p *Proxy) VisitLoads(whose balance.Counted, visit func(upstream uint32, load balance.Load)) {
+func (p *Proxy) VisitLoads(whose balance.EntryFilter, visit func(upstream uint32, load balance.Load)) {
 	now := p.now()
 	for _, state := range p.allServices() {
-		state.group.LoadAt(now, whose, visit)
+		state.group.VisitLoads(now, whose, visit)
 	}
 }
 
@@ -49,7 +49,7 @@
 func (p *Proxy) MergePeerLoad(load balance.PeerLoad) {
 	now := p.now()
 	for _, state := range p.allServices() {
-		state.group.Heard(now, load)
+		state.group.ApplyPeerLoad(now, load)
 	}
 }
 
@@ -78,7 +78,7 @@
 func (p *Proxy) MergePoisonClaims(claims []poison.Claim) {
 	now := p.now()
 	for _, claim := range claims {
-		p.poison.Heard(now, claim)
+		p.poison.HandleClaim(now, claim)
 	}
 }
 
@@ -90,7 +90,7 @@
 func (p *Proxy) Tick() {
 	now := p.opt.SyncNow()
 	p.deadlines.expire(now)
-	p.poison.Forget(now)
+	p.poison.Expire(now)
 }
 
 // PoisonStatus returns the state of the records of requests that crashed upstreams.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -51,7 +51,7 @@
 type Node struct {
 	Entry *entry.Entry
 	// Strangers are entries that report to this one without being known.
-	Strangers *relay.Strangers
+	Strangers *relay.UnknownSenders
 	now       func() time.Time
 	// check is now after a look whether the machine was suspended meanwhile.
 	check func() time.Time
@@ -67,7 +67,7 @@
 
 // New returns a Node that refuses everything until it is synced.
 func New(opt view.Options, carrier forward.Options) *Node {
-	n := &Node{Entry: entry.New(carrier), Strangers: relay.NewStrangers(), now: carrier.Now, check: carrier.SyncNow, view: view.New(opt)}
+	n := &Node{Entry: entry.New(carrier), Strangers: relay.NewUnknownSenders(), now: carrier.Now, check: carrier.SyncNow, view: view.New(opt)}
 	if n.check == nil {
 		n.check = n.now
 	}
@@ -122,7 +122,7 @@
 	if !n.stopping.Load() {
 		return all
 	}
-	return n.view.Others(all)
+	return n.view.WithoutSelf(all)
 }
 
 // Homes returns the regions that may serve the requests of a host; empty means all.
@@ -131,7 +131,7 @@
 	if snap == nil {
 		return nil
 	}
-	return snap.Routes.Homes(host)
+	return snap.Routes.ServingRegions(host)
 }
 
 // Named returns the nodes to name to callers: the live ones but for those that are
@@ -168,8 +168,8 @@
 	n.Entry.Carrier.Tick()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	kept := n.view.Kept()
-	if !n.view.Tick(n.now()) {
+	kept := n.view.Retained()
+	if !n.view.ExpireLapsed(n.now()) {
 		return
 	}
 	n.publish()
@@ -217,7 +217,7 @@
 	// Poison is how many requests under which upstreams ended the node knows.
 	Poison poison.Status `json:"poison"`
 	// Service is what the node believes of the platform's service.
-	Service view.Service `json:"service"`
+	Service view.StoreStatus `json:"service"`
 }
 
 // Status returns what the node knows in short.
@@ -228,7 +228,7 @@
 	}
 	s.Poison = n.Entry.Carrier.PoisonStatus()
 	n.mu.Lock()
-	s.Service = n.view.Service()
+	s.Service = n.view.StoreStatus()
 	n.mu.Unlock()
 	snap := n.Entry.Carrier.Snapshot()
 	if snap == nil {
@@ -256,7 +256,7 @@
 	// Limits are those of the organisations that have requests.
 	Limits []quota.Status `json:"limits,omitempty"`
 	// Rates are the limits that upstreams name.
-	Rates []balance.RateStatus `json:"rates,omitempty"`
+	Rates []balance.LimitStatus `json:"rates,omitempty"`
 }
 
 // Dump returns the node's state.
@@ -276,25 +276,25 @@
 const maxRates = 1000
 
 // Rates returns the limits that upstreams name.
-func (n *Node) Rates() []balance.RateStatus { return n.Entry.Carrier.Rates(maxRates) }
+func (n *Node) Rates() []balance.LimitStatus { return n.Entry.Carrier.Rates(maxRates) }
 
 // Reports sets up the exchange of reports with the other nodes.
 func (n *Node) Reports(self model.Member) inflight.Options {
 	return inflight.Options{
-		Address:     self.Agent,
-		Entry:       self.ID,
-		Incarnation: self.Incarnation,
-		Fleet:       func() inflight.Fleet { return n.fleet.of(self, n.members.Load()) },
-		Counts:      n.counts,
-		Doubt:       n.doubt,
-		Claims:      n.Entry.Carrier.PoisonClaims,
-		Limits:      n.Entry.Carrier.OrganisationLimits(),
-		Rates:       n.Entry.Carrier,
-		Leaving:     n.stopping.Load,
-		Busy:        n.busy,
-		Heard:       n.heard,
-		Now:         n.check,
-		Stranger:    func(from netip.AddrPort) { n.Strangers.Heard(from.String(), n.now()) },
+		Address:         self.Agent,
+		Entry:           self.ID,
+		Incarnation:     self.Incarnation,
+		Fleet:           func() inflight.Fleet { return n.fleet.of(self, n.members.Load()) },
+		Counts:          n.counts,
+		MaxConnIdle:     n.doubt,
+		Claims:          n.Entry.Carrier.PoisonClaims,
+		Limits:          n.Entry.Carrier.OrganisationLimits(),
+		Rates:           n.Entry.Carrier,
+		Leaving:         n.stopping.Load,
+		Busy:            n.busy,
+		OnReport:        n.heard,
+		Now:             n.check,
+		OnUnknownSender: func(from netip.AddrPort) { n.Strangers.RecordReport(from.String(), n.now()) },
 	}
 }
 
@@ -304,10 +304,10 @@
 	return c.InFlight() > lightLoad || c.OrganisationLimits().InUse(n.now()) || len(c.RateSenders()) > 0
 }
 
-func (n *Node) counts(whose balance.Counted) []inflight.Count {
+func (n *Node) counts(whose balance.EntryFilter) []inflight.Count {
 	var out []inflight.Count
 	n.Entry.Carrier.VisitLoads(whose, func(upstream uint32, l balance.Load) {
-		out = append(out, inflight.Count{Upstream: upstream, Requests: l.Requests, Failed: l.Failed, Answered: l.Answered})
+		out = append(out, inflight.Count{Upstream: upstream, Requests: l.Requests, Failed: l.Failed, Answered: l.Total})
 	})
 	return out
 }
@@ -317,13 +317,13 @@
 	if r.Scope == inflight.ScopeNone {
 		return
 	}
-	load := balance.PeerLoad{Peer: peer, First: r.First, Last: r.Last, At: make(map[uint32]balance.Load, len(r.Counts))}
+	load := balance.PeerLoad{Peer: peer, First: r.First, Last: r.Last, Loads: make(map[uint32]balance.Load, len(r.Counts))}
 	for _, c := range r.Counts {
-		load.At[c.Upstream] = balance.Load{Requests: c.Requests, Outcomes: balance.Outcomes{Failed: c.Failed, Answered: c.Answered}}
+		load.Loads[c.Upstream] = balance.Load{Requests: c.Requests, Outcomes: balance.Outcomes{Failed: c.Failed, Total: c.Answered}}
 	}
 	n.Entry.Carrier.MergePeerLoad(load)
-	if r.DoubtLeft > 0 {
-		n.Entry.Carrier.MergeReuseLimit(forward.ReuseLimit{MaxIdle: r.Doubt, Until: n.now().Add(r.DoubtLeft)})
+	if r.MaxConnIdleLeft > 0 {
+		n.Entry.Carrier.MergeReuseLimit(forward.ReuseLimit{MaxIdle: r.MaxConnIdle, Until: n.now().Add(r.MaxConnIdleLeft)})
 	}
 }
 
