--- a/internal/forward/admission.go
+++ b/internal/forward/admission.go
@@ -24,7 +24,7 @@
 	d := admit.Decide(admit.Input{
 		Now:             now,
 		Deadline:        cl.deadline,
-		ExpectedLatency: minLatency(cl, state.group, regions[0]),
+		ExpectedLatency: minLatency(cl, state.balancer, regions[0]),
 		Queued:          state.queue.Len(),
 		QueueLimit:      svc.Queue,
 		MaxWait:         max(0, svc.QueueWait-now.Sub(cl.start)),
@@ -40,7 +40,7 @@
 	}
 	req := balance.Request{Regions: regions, Allowed: p.allowedByCap(svc), Tried: cl.tried}
 	if state.queue.Len() == 0 && !mustWait {
-		choice, err := state.group.Pick(now, p.opt.Rand(), req)
+		choice, err := state.balancer.Pick(now, p.opt.Rand(), req)
 		if err == nil {
 			return choice, nil
 		}
@@ -55,16 +55,16 @@
 // usual time; 0 if unknown. For a request with a route the usual time is that of its own route.
 // With the latency of the whole service, a route of short requests in a service of long ones
 // would always be rejected, and its own latency would never be measured.
-func minLatency(cl *call, group *balance.Balancer, region string) time.Duration {
+func minLatency(cl *call, balancer *balance.Balancer, region string) time.Duration {
 	if cl.Route != nil {
-		return group.ServiceTime(cl.Route.Name) / 2
+		return balancer.ServiceTime(cl.Route.Name) / 2
 	}
-	return group.Latency(region) / 2
+	return balancer.Latency(region) / 2
 }
 
 // acquireForObject picks an upstream for the call's object without queueing.
 func acquireForObject(now time.Time, cl *call, state *serviceState, region string) (balance.Choice, *verdict.Error) {
-	choice, err := state.group.PickObject(now, cl.objectRequest())
+	choice, err := state.balancer.PickObject(now, cl.objectRequest())
 	var late *balance.LateError
 	var limit *balance.LimitError
 	switch {
@@ -125,7 +125,7 @@
 		case <-recheck.C:
 			state.queue.Wake()
 		case <-ticket.Ready():
-			choice, err := state.group.Pick(p.now(), p.opt.Rand(), req)
+			choice, err := state.balancer.Pick(p.now(), p.opt.Rand(), req)
 			if err == nil {
 				return choice, nil
 			}
--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -42,7 +42,7 @@
 	// prefixMu guards prefix. It is separate because mu is held for as long as a read from the
 	// caller blocks.
 	prefixMu sync.Mutex
-	// prefix is the beginning of the body, up to poison.BodyPrefix bytes. It is kept even if
+	// prefix is the beginning of the body, up to poison.MaxBodyPrefix bytes. It is kept even if
 	// the body is too long to be buffered.
 	prefix []byte
 }
--- a/internal/forward/proxy.go
+++ b/internal/forward/proxy.go
@@ -121,9 +121,9 @@
 
 // serviceState is the state of one service.
 type serviceState struct {
-	group  *balance.Balancer
-	queue  admit.Queue
-	budget *balance.RetryBudget
+	balancer *balance.Balancer
+	queue    admit.Queue
+	budget   *balance.RetryBudget
 	// shedBudget limits how often a shed request is retried without waiting in the queue.
 	shedBudget *balance.RetryBudget
 	shift      *shift.Meter
@@ -154,7 +154,7 @@
 // retryAfter returns the Retry-After time for a rejected request that would have gone to
 // region.
 func (state *serviceState) retryAfter(region string) time.Duration {
-	return admit.RetryAfter(state.queue.Len(), state.group.Latency(region))
+	return admit.RetryAfter(state.queue.Len(), state.balancer.Latency(region))
 }
 
 // Update puts a newer snapshot into force.
@@ -162,8 +162,8 @@
 	now := p.now()
 	for name, svc := range s.Services {
 		state := p.serviceState(name)
-		restarted := state.group.Update(balance.ServiceState{
-			Service: svc, Draining: s.Draining, Subset: p.ownedUpstreams(s, svc),
+		restarted := state.balancer.Update(balance.ServiceState{
+			Service: svc, Draining: s.Draining, Subset: p.upstreamSubset(s, svc),
 			Self: p.opt.Self, Region: s.Region, Domain: p.opt.Domain, Entries: entriesOf(s),
 		}, now)
 		p.closeIdle(restarted)
@@ -184,9 +184,9 @@
 	return s.LocalEntries()
 }
 
-// ownedUpstreams returns the upstreams of a service that this entry prefers. It returns nil for
-// a service with routes, whose requests are placed by their objects.
-func (p *Proxy) ownedUpstreams(s *model.Snapshot, svc *model.Service) map[string]bool {
+// upstreamSubset returns the IDs of the upstreams of a service that this entry uses first. It
+// returns nil for a service with routes, whose requests are placed by their objects.
+func (p *Proxy) upstreamSubset(s *model.Snapshot, svc *model.Service) map[string]bool {
 	if svc.Routed {
 		return nil
 	}
@@ -231,8 +231,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if state = p.services[service]; state == nil {
-		state = &serviceState{group: balance.NewBalancer(), budget: balance.NewRetryBudget(retryBurst), shedBudget: balance.NewRetryBudget(shedBurst), shift: shift.NewMeter()}
-		state.group.OnLimitUpdate(p.notifyRates)
+		state = &serviceState{balancer: balance.NewBalancer(), budget: balance.NewRetryBudget(retryBurst), shedBudget: balance.NewRetryBudget(shedBurst), shift: shift.NewMeter()}
+		state.balancer.OnLimitUpdate(p.notifyRates)
 		p.services[service] = state
 	}
 	return state
@@ -315,7 +315,7 @@
 }
 
 // selectService returns the service for a request, or nil if the snapshot does not have it. For
-// a request with a route it picks one of the route's parts and sets info.Service.
+// a request with a route it picks one of the route's services and sets info.Service.
 func (p *Proxy) selectService(snap *model.Snapshot, info *RequestInfo) *model.Service {
 	if info.Route != nil {
 		info.Service = p.splits.choose(info.Route, info.Object)
--- a/internal/forward/rates.go
+++ b/internal/forward/rates.go
@@ -16,7 +16,7 @@
 // recordRate records what a response says about the rate limit of its upstream.
 func (p *Proxy) recordRate(cl *call, from balance.Choice, r balance.RateLimit) {
 	now := p.now()
-	if !p.serviceState(cl.service.Name).group.ObserveLimit(now, from, r) {
+	if !p.serviceState(cl.service.Name).balancer.ObserveLimit(now, from, r) {
 		return
 	}
 	kind := "upstream set a rate limit"
@@ -45,7 +45,7 @@
 	now := p.now()
 	var out []balance.LimitUpdate
 	for _, state := range p.allServices() {
-		state.group.VisitLimitUpdates(now, scope, func(n balance.LimitUpdate) { out = append(out, n) })
+		state.balancer.VisitLimitUpdates(now, scope, func(n balance.LimitUpdate) { out = append(out, n) })
 	}
 	return out
 }
@@ -55,7 +55,7 @@
 func (p *Proxy) RateSenders() map[string]bool {
 	out := make(map[string]bool)
 	for _, state := range p.allServices() {
-		state.group.VisitLimitSenders(func(id string) { out[id] = true })
+		state.balancer.VisitLimitSenders(func(id string) { out[id] = true })
 	}
 	return out
 }
@@ -65,7 +65,7 @@
 func (p *Proxy) HeardRates(peer string, life uint64, updates []balance.LimitUpdate) {
 	now := p.now()
 	for _, state := range p.allServices() {
-		state.group.ApplyPeerLimits(now, peer, life, updates)
+		state.balancer.ApplyPeerLimits(now, peer, life, updates)
 	}
 }
 
@@ -74,7 +74,7 @@
 func (p *Proxy) StopRateLimited() {
 	now := p.now()
 	for _, state := range p.allServices() {
-		state.group.Retire(now)
+		state.balancer.Retire(now)
 	}
 }
 
@@ -83,7 +83,7 @@
 	now := p.now()
 	var out []balance.LimitStatus
 	for _, state := range p.allServices() {
-		out = append(out, state.group.LimitStatuses(now, n)...)
+		out = append(out, state.balancer.LimitStatuses(now, n)...)
 	}
 	return out
 }
--- a/internal/forward/serve.go
+++ b/internal/forward/serve.go
@@ -137,7 +137,7 @@
 // release reports an attempt to the balancer, which frees the upstream's slot, and wakes the
 // queue. It returns the result as the balancer counts it.
 func (p *Proxy) release(state *serviceState, choice balance.Choice, r balance.DoneInfo) balance.Result {
-	result := state.group.Done(p.now(), choice, r)
+	result := state.balancer.Done(p.now(), choice, r)
 	state.queue.Wake()
 	return result
 }
@@ -193,7 +193,7 @@
 		Moves: moves,
 		Cap:   cl.service.ShiftCap,
 		Rate:  cl.service.ShiftRate,
-		Seen:  state.group.LastReport,
+		Seen:  state.balancer.LastReport,
 	})
 	if to == "" {
 		return order
--- a/internal/forward/split.go
+++ b/internal/forward/split.go
@@ -7,28 +7,29 @@
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
-// maxCredit is by how many requests a part may deviate from its weight so that the requests for
-// an object stay with one part. It limits the error of the parts' shares at each entry.
+// maxCredit is by how many requests a service may deviate from its weight so that the requests
+// for an object stay with one service. It limits the error of the services' shares at each
+// entry.
 const maxCredit = 2.0
 
-// splits distributes the requests of routes over their parts by weight. It is safe for
+// splits distributes the requests of routes over their services by weight. It is safe for
 // concurrent use.
 type splits struct {
 	mu      sync.Mutex
 	byRoute map[string]*split
 }
 
-// split is the state of a route with several parts.
+// split is the state of a route with several services.
 type split struct {
 	route *model.Route
-	// credit is the number of requests by which each part is behind its weight.
+	// credit is the number of requests by which each service is behind its weight.
 	credit []float64
 }
 
 func newSplits() *splits { return &splits{byRoute: make(map[string]*split)} }
 
 // choose returns the name of the service for a request. Requests for one object go to the same
-// part as long as the shares of all parts stay close to their weights.
+// service as long as the shares of all services stay close to their weights.
 func (s *splits) choose(r *model.Route, object string) string {
 	if len(r.Services) == 1 {
 		return r.Services[0].Service
@@ -43,40 +44,40 @@
 	return r.Services[sp.next(object)].Service
 }
 
-// next counts one request and returns the index of the part that takes it.
+// next counts one request and returns the index of the service that takes it.
 func (sp *split) next(object string) int {
 	total := 0.0
-	for _, p := range sp.route.Services {
-		total += p.Weight
+	for _, svc := range sp.route.Services {
+		total += svc.Weight
 	}
 	if total <= 0 {
 		return 0
 	}
 	behind := 0
-	for i, p := range sp.route.Services {
-		sp.credit[i] += p.Weight / total
+	for i, svc := range sp.route.Services {
+		sp.credit[i] += svc.Weight / total
 		if sp.credit[i] > sp.credit[behind] {
 			behind = i
 		}
 	}
 	chosen := behind
-	if preferred := sp.preferredPart(object, total); preferred >= 0 && sp.credit[preferred] > -maxCredit && sp.credit[behind] < maxCredit {
+	if preferred := sp.preferredService(object, total); preferred >= 0 && sp.credit[preferred] > -maxCredit && sp.credit[behind] < maxCredit {
 		chosen = preferred
 	}
 	sp.credit[chosen]--
 	return chosen
 }
 
-// preferredPart returns the index of the part that an object belongs to, or -1 if there is no
-// object.
-func (sp *split) preferredPart(object string, total float64) int {
+// preferredService returns the index of the service that an object belongs to, or -1 if there
+// is no object.
+func (sp *split) preferredService(object string, total float64) int {
 	if object == "" {
 		return -1
 	}
 	const mantissa = 53
 	u := float64(balance.HashObject(sp.route.Name, object)>>(64-mantissa)) / (1 << mantissa) * total
-	for i, p := range sp.route.Services {
-		if u -= p.Weight; u < 0 && p.Weight > 0 {
+	for i, svc := range sp.route.Services {
+		if u -= svc.Weight; u < 0 && svc.Weight > 0 {
 			return i
 		}
 	}
--- a/internal/forward/split_test.go
+++ b/internal/forward/split_test.go
@@ -12,12 +12,12 @@
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
-// TestSplitKeepsToWeights sends requests for few or many objects through a split. No part may
-// deviate from its weight by more than a few requests.
+// TestSplitKeepsToWeights sends requests for few or many objects through a split. No service
+// may deviate from its weight by more than a few requests.
 func TestSplitKeepsToWeights(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(5)
 	props := gopter.NewProperties(params)
-	props.Property("parts keep to their weights", prop.ForAll(func(a, b, objects int) string {
+	props.Property("services keep to their weights", prop.ForAll(func(a, b, objects int) string {
 		r := &model.Route{Name: "r", Services: []model.WeightedService{{Service: "x", Weight: float64(a)}, {Service: "y", Weight: float64(b)}}}
 		s := newSplits()
 		got := make(map[string]int)
@@ -25,7 +25,7 @@
 			got[s.choose(r, fmt.Sprint("o", i*7919%objects))]++
 			want := float64(i) * float64(a) / float64(a+b)
 			if off := math.Abs(float64(got["x"]) - want); off > maxCredit+1 {
-				return fmt.Sprintf("after %d requests part x is %.1f requests off its weight", i, off)
+				return fmt.Sprintf("after %d requests service x is %.1f requests off its weight", i, off)
 			}
 		}
 		return ""
@@ -33,7 +33,7 @@
 	props.TestingRun(t)
 }
 
-// TestSplitKeepsObjectsTogether counts how often an object changes its part.
+// TestSplitKeepsObjectsTogether counts how often an object changes its service.
 func TestSplitKeepsObjectsTogether(t *testing.T) {
 	r := &model.Route{Name: "r", Services: []model.WeightedService{{Service: "x", Weight: 50}, {Service: "y", Weight: 50}}}
 	s := newSplits()
@@ -49,6 +49,6 @@
 		home[o] = got
 	}
 	if moved > requests/3 {
-		t.Errorf("%d of %d requests went to another part than the previous request for their object", moved, requests)
+		t.Errorf("%d of %d requests went to another service than the previous request for their object", moved, requests)
 	}
 }
--- a/internal/forward/status.go
+++ b/internal/forward/status.go
@@ -29,7 +29,7 @@
 			}
 			use := limits[[2]string{name, region}]
 			out = append(out, share.Reported{Service: name, Region: region, Usage: share.Usage{
-				InFlight: p.serviceState(name).group.InFlight(region), Refused: use.Refused, Limit: use.Limit,
+				InFlight: p.serviceState(name).balancer.InFlight(region), Refused: use.Refused, Limit: use.Limit,
 			}})
 		}
 	}
@@ -41,7 +41,7 @@
 func (p *Proxy) VisitLoads(whose balance.EntryFilter, visit func(upstream uint32, load balance.Load)) {
 	now := p.now()
 	for _, state := range p.allServices() {
-		state.group.VisitLoads(now, whose, visit)
+		state.balancer.VisitLoads(now, whose, visit)
 	}
 }
 
@@ -49,7 +49,7 @@
 func (p *Proxy) MergePeerLoad(load balance.PeerLoad) {
 	now := p.now()
 	for _, state := range p.allServices() {
-		state.group.ApplyPeerLoad(now, load)
+		state.balancer.ApplyPeerLoad(now, load)
 	}
 }
 
@@ -109,7 +109,7 @@
 	defer p.mu.RUnlock()
 	var ids []string
 	for _, state := range p.services {
-		ids = append(ids, state.group.SelfDraining(now)...)
+		ids = append(ids, state.balancer.SelfDraining(now)...)
 	}
 	return ids
 }
@@ -130,7 +130,7 @@
 	defer p.mu.RUnlock()
 	out := make(map[string]ServiceStatus, len(p.services))
 	for name, state := range p.services {
-		out[name] = ServiceStatus{state.queue.Len(), state.shift.Shares(), state.group.Dump(now)}
+		out[name] = ServiceStatus{state.queue.Len(), state.shift.Shares(), state.balancer.Dump(now)}
 	}
 	return out
 }
