--- a/cmd/loomkeel-agent/main.go
+++ b/cmd/loomkeel-agent/main.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return eris.Wrap(err, "peer certificates")
 	}
-	token, err := command.LoadToken(s.Agent.Token)
+	token, err := command.LoadToken(s.Agent.TokenFile)
 	if err != nil {
 		return eris.Wrap(err, "operators' token")
 	}
@@ -59,7 +59,7 @@
 	if err != nil {
 		return eris.Wrap(err, "services")
 	}
-	lis, err := net.Listen("tcp", s.Agent.Peer)
+	lis, err := net.Listen("tcp", s.Agent.PeerAddress)
 	if err != nil {
 		return eris.Wrap(err, "peer address")
 	}
@@ -68,12 +68,12 @@
 			klog.ErrorS(err, "peer server ended")
 		}
 	}()
-	srv, err := process.Listen(s.Agent.Operator, operator(a, s, token, traffic))
+	srv, err := process.Listen(s.Agent.OperatorAddress, operator(a, s, token, traffic))
 	if err != nil {
 		return eris.Wrap(err, "operator address")
 	}
 	go srv.Serve()
-	klog.InfoS("agent started", "id", s.Instance.ID, "peer", s.Agent.Peer, "operator", s.Agent.Operator)
+	klog.InfoS("agent started", "id", s.Instance.ID, "peer", s.Agent.PeerAddress, "operator", s.Agent.OperatorAddress)
 	a.Run(ctx)
 	return stop(a, srv)
 }
@@ -93,9 +93,9 @@
 		ID:       s.Instance.ID,
 		Region:   s.Instance.Region,
 		Domain:   s.Instance.Domain,
-		Agent:    s.Agent.Peer,
-		Entry:    s.Entry.Listen,
-		Director: s.Director.Listen,
+		Agent:    s.Agent.PeerAddress,
+		Entry:    s.Entry.ListenAddress,
+		Director: s.Director.ListenAddress,
 	}
 }
 
@@ -109,8 +109,8 @@
 	r.Group(func(r chi.Router) {
 		r.Use(token.Require)
 		query.Routes(r, a)
-		query.DumpRoutes(r, map[string]string{"director": s.Director.Debug, "entry": s.Entry.Debug}, func() any { return a.Dump() })
-		command.Routes(r, a, s.Agent.Commit)
+		query.DumpRoutes(r, map[string]string{"director": s.Director.DebugAddress, "entry": s.Entry.DebugAddress}, func() any { return a.Dump() })
+		command.Routes(r, a, s.Agent.CommitTimeout)
 	})
 	return r
 }
--- a/cmd/loomkeel-director/main.go
+++ b/cmd/loomkeel-director/main.go
@@ -46,23 +46,23 @@
 	defer dialer.Close()
 	d := director.New(time.Now)
 	f := follow.New(follow.Options{
-		Dialer: dialer, Agent: s.Agent.Peer, Process: agent.ProcessDirector, Region: s.Instance.Region, Update: d.Update,
+		Dialer: dialer, Agent: s.Agent.PeerAddress, Process: agent.ProcessDirector, Region: s.Instance.Region, Update: d.Update,
 	})
 	state := func() any { return dump{f.Status(), d.Dump()} }
 	metrics.Publish("director", state)
 	debug := chi.NewRouter()
 	process.Debug(debug, d.Ready, state)
-	debugServer, err := process.Listen(s.Director.Debug, debug)
+	debugServer, err := process.Listen(s.Director.DebugAddress, debug)
 	if err != nil {
 		return eris.Wrap(err, "debug address")
 	}
 	go debugServer.Serve()
-	srv, err := process.ListenTLS(s.Director.Listen, d.Handler(), serverTLS)
+	srv, err := process.ListenTLS(s.Director.ListenAddress, d.Handler(), serverTLS)
 	if err != nil {
 		return eris.Wrap(err, "listen address")
 	}
 	go srv.Serve()
-	klog.InfoS("director started", "listen", s.Director.Listen)
+	klog.InfoS("director started", "listen", s.Director.ListenAddress)
 	f.Run(ctx)
 	stopCtx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
--- a/cmd/loomkeel-entry/main.go
+++ b/cmd/loomkeel-entry/main.go
@@ -41,26 +41,26 @@
 	}
 	dialer := rpc.NewDialer(clientTLS, nil)
 	defer dialer.Close()
-	e := entry.New(forward.Options{Self: s.Instance.ID, MaxInFlight: s.Entry.Room, MaxBody: int64(s.Entry.MaxBody), TLS: upstreamTLS, Now: time.Now})
+	e := entry.New(forward.Options{Self: s.Instance.ID, MaxInFlight: s.Entry.MaxInFlight, MaxBody: int64(s.Entry.MaxBody), TLS: upstreamTLS, Now: time.Now})
 	f := follow.New(follow.Options{
-		Dialer: dialer, Agent: s.Agent.Peer, Process: agent.ProcessEntry, Region: s.Instance.Region,
+		Dialer: dialer, Agent: s.Agent.PeerAddress, Process: agent.ProcessEntry, Region: s.Instance.Region,
 		Update: e.Carrier.Update, Skip: tree.IsBlocks,
 	})
 	metrics.Publish("entry", func() any { return e.Metrics() })
 	debug := chi.NewRouter()
 	ready := func() bool { return e.Carrier.Snapshot() != nil && ctx.Err() == nil }
 	process.Debug(debug, ready, func() any { return e.Dump(f.Status()) })
-	debugServer, err := process.Listen(s.Entry.Debug, debug)
+	debugServer, err := process.Listen(s.Entry.DebugAddress, debug)
 	if err != nil {
 		return eris.Wrap(err, "debug address")
 	}
 	go debugServer.Serve()
-	srv, err := process.ListenTLS(s.Entry.Listen, e.Carrier, serverTLS)
+	srv, err := process.ListenTLS(s.Entry.ListenAddress, e.Carrier, serverTLS)
 	if err != nil {
 		return eris.Wrap(err, "listen address")
 	}
 	go srv.Serve()
-	klog.InfoS("entry started", "listen", s.Entry.Listen)
+	klog.InfoS("entry started", "listen", s.Entry.ListenAddress)
 	following, end := context.WithCancel(context.Background())
 	defer end()
 	go f.Run(following)
@@ -68,7 +68,7 @@
 	<-ctx.Done()
 	return e.Stop(context.Background(), srv, entry.StopOptions{
 		Linger:  s.Entry.Linger,
-		Timeout: s.Entry.StopTime,
+		Timeout: s.Entry.StopTimeout,
 		Agent:   f,
 	})
 }
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -15,17 +15,17 @@
 	"gopkg.in/ini.v1"
 )
 
-// Fault is one thing wrong with a settings file.
-type Fault struct {
+// ValidationError is one thing wrong with a settings file.
+type ValidationError struct {
 	File, Section, Key, Value string
 	Reason                    string
 	Allowed                   string
-	// Nearest is the known name closest to a misspelt one.
-	Nearest string
+	// Suggestion is the known name closest to a misspelt one.
+	Suggestion string
 }
 
 // Error implements error.
-func (f Fault) Error() string {
+func (f ValidationError) Error() string {
 	s := fmt.Sprintf("%s: [%s]", f.File, f.Section)
 	if f.Key != "" {
 		s += " " + f.Key
@@ -37,17 +37,17 @@
 	if f.Allowed != "" {
 		s += "; allowed: " + f.Allowed
 	}
-	if f.Nearest != "" {
-		s += "; did you mean " + f.Nearest + "?"
+	if f.Suggestion != "" {
+		s += "; did you mean " + f.Suggestion + "?"
 	}
 	return s
 }
 
-// Faults are all that is wrong with a settings file.
-type Faults []Fault
+// ValidationErrors are all that is wrong with a settings file.
+type ValidationErrors []ValidationError
 
 // Error implements error.
-func (fs Faults) Error() string {
+func (fs ValidationErrors) Error() string {
 	lines := make([]string, len(fs))
 	for i, f := range fs {
 		lines[i] = f.Error()
@@ -59,7 +59,7 @@
 func Load(file string) (*Settings, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{AllowShadows: false}, file)
 	if err != nil {
-		return nil, Faults{{File: file, Section: "", Reason: err.Error()}}
+		return nil, ValidationErrors{{File: file, Section: "", Reason: err.Error()}}
 	}
 	s := new(Settings)
 	l := loader{file: file, ini: f}
@@ -74,11 +74,11 @@
 type loader struct {
 	file   string
 	ini    *ini.File
-	faults Faults
+	faults ValidationErrors
 }
 
 func (l *loader) fault(section, key, value, reason, allowed string) {
-	l.faults = append(l.faults, Fault{l.file, section, key, value, reason, allowed, ""})
+	l.faults = append(l.faults, ValidationError{l.file, section, key, value, reason, allowed, ""})
 }
 
 func (l *loader) load(v reflect.Value) {
@@ -93,8 +93,8 @@
 			continue
 		}
 		if !slices.Contains(sections, s.Name()) {
-			l.faults = append(l.faults, Fault{File: l.file, Section: s.Name(), Reason: "unknown section",
-				Allowed: strings.Join(sections, ", "), Nearest: nearest(s.Name(), sections)})
+			l.faults = append(l.faults, ValidationError{File: l.file, Section: s.Name(), Reason: "unknown section",
+				Allowed: strings.Join(sections, ", "), Suggestion: nearest(s.Name(), sections)})
 		}
 	}
 }
@@ -110,8 +110,8 @@
 	}
 	for _, k := range section.Keys() {
 		if !slices.Contains(known, k.Name()) {
-			l.faults = append(l.faults, Fault{File: l.file, Section: name, Key: k.Name(), Value: k.Value(), Reason: "unknown key",
-				Allowed: strings.Join(known, ", "), Nearest: nearest(k.Name(), known)})
+			l.faults = append(l.faults, ValidationError{File: l.file, Section: name, Key: k.Name(), Value: k.Value(), Reason: "unknown key",
+				Allowed: strings.Join(known, ", "), Suggestion: nearest(k.Name(), known)})
 		}
 	}
 }
@@ -123,12 +123,12 @@
 	}
 	if text == "" {
 		if f.Tag.Get("required") == "true" {
-			l.fault(section, key, "", "missing", Allowed(f))
+			l.fault(section, key, "", "missing", AllowedValues(f))
 		}
 		return
 	}
 	if err := set(f, v, text); err != nil {
-		l.fault(section, key, text, err.Error(), Allowed(f))
+		l.fault(section, key, text, err.Error(), AllowedValues(f))
 	}
 }
 
@@ -195,8 +195,8 @@
 	return nil
 }
 
-// Allowed says in words what values a field takes.
-func Allowed(f reflect.StructField) string {
+// AllowedValues says in words what values a field takes.
+func AllowedValues(f reflect.StructField) string {
 	words := map[string]string{
 		"name":    "letters, digits, dot, dash and underscore, at most 64",
 		"address": "an IP address and port, as in 10.0.0.5:7000",
@@ -216,19 +216,19 @@
 
 // checkTogether checks what binds several keys.
 func (l *loader) checkTogether(s *Settings) {
-	if s.Agent.Token == "" && !IsLoopback(s.Agent.Operator) {
-		l.fault("agent", "operator", s.Agent.Operator, "not on loopback, and there is no token_file", "a loopback address, or a token_file")
+	if s.Agent.TokenFile == "" && !IsLoopback(s.Agent.OperatorAddress) {
+		l.fault("agent", "operator", s.Agent.OperatorAddress, "not on loopback, and there is no token_file", "a loopback address, or a token_file")
 	}
-	if s.TLS.PeerCA == "" && !IsLoopback(s.Agent.Peer) {
-		l.fault("agent", "peer", s.Agent.Peer, "not on loopback, and [tls] peer_ca is not set", "a loopback address, or peer certificates")
+	if s.TLS.PeerCAFile == "" && !IsLoopback(s.Agent.PeerAddress) {
+		l.fault("agent", "peer", s.Agent.PeerAddress, "not on loopback, and [tls] peer_ca is not set", "a loopback address, or peer certificates")
 	}
-	if (s.TLS.Cert == "") != (s.TLS.Key == "") {
-		l.fault("tls", "cert", s.TLS.Cert, "cert and key go together", "both or neither")
+	if (s.TLS.CertFile == "") != (s.TLS.KeyFile == "") {
+		l.fault("tls", "cert", s.TLS.CertFile, "cert and key go together", "both or neither")
 	}
-	if s.TLS.PeerCA != "" && s.TLS.Cert == "" {
-		l.fault("tls", "peer_ca", s.TLS.PeerCA, "peers need cert and key", "cert and key beside it")
+	if s.TLS.PeerCAFile != "" && s.TLS.CertFile == "" {
+		l.fault("tls", "peer_ca", s.TLS.PeerCAFile, "peers need cert and key", "cert and key beside it")
 	}
-	for section, addr := range map[string]string{"director": s.Director.Debug, "entry": s.Entry.Debug} {
+	for section, addr := range map[string]string{"director": s.Director.DebugAddress, "entry": s.Entry.DebugAddress} {
 		if !IsLoopback(addr) {
 			l.fault(section, "debug", addr, "not on loopback", "a loopback address")
 		}
--- a/internal/settings/markdown.go
+++ b/internal/settings/markdown.go
@@ -19,7 +19,7 @@
 			if f.Tag.Get("required") == "true" {
 				def = "*required*"
 			}
-			fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", f.Tag.Get("ini"), def, Allowed(f), f.Tag.Get("doc"))
+			fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", f.Tag.Get("ini"), def, AllowedValues(f), f.Tag.Get("doc"))
 		}
 		b.WriteString("\n")
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Entry.Room != 4096 || s.Platform.Timeout.Seconds() != 2 {
+	if s.Entry.MaxInFlight != 4096 || s.Platform.Timeout.Seconds() != 2 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -67,7 +67,7 @@
 		}
 	}
 	_, err := load(t, "[entry]\nroom = 0\n")
-	if faults, ok := err.(Faults); !ok || len(faults) < 9 {
+	if faults, ok := err.(ValidationErrors); !ok || len(faults) < 9 {
 		t.Errorf("an empty file has %d faults: %v", len(faults), err)
 	}
 }
--- a/internal/tlsconf/tlsconf.go
+++ b/internal/tlsconf/tlsconf.go
@@ -73,10 +73,10 @@
 
 // Server returns the configuration towards callers, or nil for plain TCP.
 func Server(s settings.TLS) (*tls.Config, error) {
-	if s.Cert == "" {
+	if s.CertFile == "" {
 		return nil, nil
 	}
-	p, err := LoadPair(s.Cert, s.Key)
+	p, err := LoadPair(s.CertFile, s.KeyFile)
 	if err != nil {
 		return nil, err
 	}
@@ -90,14 +90,14 @@
 // dialling, or nil for plain TCP. Both sides must have a certificate of the
 // authority.
 func Peers(s settings.TLS) (server, client *tls.Config, err error) {
-	if s.PeerCA == "" {
+	if s.PeerCAFile == "" {
 		return nil, nil, nil
 	}
-	cas, err := pool(s.PeerCA)
+	cas, err := pool(s.PeerCAFile)
 	if err != nil {
 		return nil, nil, err
 	}
-	p, err := LoadPair(s.Cert, s.Key)
+	p, err := LoadPair(s.CertFile, s.KeyFile)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -117,10 +117,10 @@
 
 // Upstreams returns the configuration towards upstreams, or nil for plain TCP.
 func Upstreams(s settings.TLS) (*tls.Config, error) {
-	if s.UpstreamCA == "" {
+	if s.UpstreamCAFile == "" {
 		return nil, nil
 	}
-	cas, err := pool(s.UpstreamCA)
+	cas, err := pool(s.UpstreamCAFile)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/tlsconf/tlsconf_test.go
+++ b/internal/tlsconf/tlsconf_test.go
@@ -77,10 +77,10 @@
 // instance writes a certificate with its key and returns the settings.
 func (a *authority) instance(t *testing.T, dir, name string) settings.TLS {
 	t.Helper()
-	s := settings.TLS{Cert: filepath.Join(dir, name+".crt"), Key: filepath.Join(dir, name+".key"), PeerCA: a.file}
+	s := settings.TLS{CertFile: filepath.Join(dir, name+".crt"), KeyFile: filepath.Join(dir, name+".key"), PeerCAFile: a.file}
 	var key []byte
-	write(t, s.Cert, "CERTIFICATE", a.sign(t, template(name, false), &key))
-	write(t, s.Key, "EC PRIVATE KEY", key)
+	write(t, s.CertFile, "CERTIFICATE", a.sign(t, template(name, false), &key))
+	write(t, s.KeyFile, "EC PRIVATE KEY", key)
 	return s
 }
 
@@ -152,14 +152,14 @@
 	dir := t.TempDir()
 	a := newAuthority(t, dir, "ca")
 	s := a.instance(t, dir, "n1")
-	p, err := LoadPair(s.Cert, s.Key)
+	p, err := LoadPair(s.CertFile, s.KeyFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	first, _ := p.Get()
 	a.instance(t, dir, "n1")
 	later := time.Now().Add(time.Minute)
-	if err := os.Chtimes(s.Cert, later, later); err != nil {
+	if err := os.Chtimes(s.CertFile, later, later); err != nil {
 		t.Fatal(err)
 	}
 	if same, _ := p.Get(); same != first {
@@ -170,14 +170,14 @@
 	if err != nil || second == first {
 		t.Errorf("the new certificate is not in force, %v", err)
 	}
-	if err := os.WriteFile(s.Cert, []byte("half a file"), 0o600); err != nil {
+	if err := os.WriteFile(s.CertFile, []byte("half a file"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	p.checked = time.Time{}
 	if got, err := p.Get(); err != nil || got != second {
 		t.Errorf("a file that cannot be read took the last certificate out, %v", err)
 	}
-	if _, err := LoadPair(s.Cert, s.Key); err == nil {
+	if _, err := LoadPair(s.CertFile, s.KeyFile); err == nil {
 		t.Error("a broken certificate was loaded")
 	}
 }
