--- a/cmd/loomkeel-agent/main.go
+++ b/cmd/loomkeel-agent/main.go
@@ -27,11 +27,11 @@
 )
 
 func main() {
-	cli.Main(cli.Daemon{Name: "loomkeel-agent", Usage: "follow the configuration and the other instances", Ballast: process.BallastControl, Run: run})
+	cli.Main(cli.Daemon{Name: "loomkeel-agent", Usage: "follow the configuration and the other instances", Ballast: process.BallastAgent, Run: run})
 }
 
 func run(ctx context.Context, s *settings.Settings) error {
-	serverTLS, clientTLS, err := tlsconf.Peers(s.TLS)
+	serverTLS, clientTLS, err := tlsconf.PeerConfigs(s.TLS)
 	if err != nil {
 		return eris.Wrap(err, "peer certificates")
 	}
@@ -105,7 +105,7 @@
 	metrics.Publish("agent", func() any { return a.Counters() })
 	metrics.Publish("peer_bytes_sent", func() any { return traffic.Sent.Load() })
 	metrics.Publish("peer_bytes_received", func() any { return traffic.Received.Load() })
-	process.Debug(r, func() bool { return a.Log().Revision() > 0 }, func() any { return a.Dump() })
+	process.AddDebugRoutes(r, func() bool { return a.Log().Revision() > 0 }, func() any { return a.Dump() })
 	r.Group(func(r chi.Router) {
 		r.Use(token.Require)
 		query.Routes(r, a)
--- a/cmd/loomkeel-director/main.go
+++ b/cmd/loomkeel-director/main.go
@@ -24,7 +24,7 @@
 const stopTimeout = 5 * time.Second
 
 func main() {
-	cli.Main(cli.Daemon{Name: "loomkeel-director", Usage: "answer look-ups: which entry instances to use", Ballast: process.BallastLookups, Run: run})
+	cli.Main(cli.Daemon{Name: "loomkeel-director", Usage: "answer look-ups: which entry instances to use", Ballast: process.BallastDirector, Run: run})
 }
 
 // dump is everything that the process decides by.
@@ -34,11 +34,11 @@
 }
 
 func run(ctx context.Context, s *settings.Settings) error {
-	_, clientTLS, err := tlsconf.Peers(s.TLS)
+	_, clientTLS, err := tlsconf.PeerConfigs(s.TLS)
 	if err != nil {
 		return eris.Wrap(err, "peer certificates")
 	}
-	serverTLS, err := tlsconf.Server(s.TLS)
+	serverTLS, err := tlsconf.ServerConfig(s.TLS)
 	if err != nil {
 		return eris.Wrap(err, "certificate")
 	}
@@ -51,7 +51,7 @@
 	state := func() any { return dump{f.Status(), d.Dump()} }
 	metrics.Publish("director", state)
 	debug := chi.NewRouter()
-	process.Debug(debug, d.Ready, state)
+	process.AddDebugRoutes(debug, d.Ready, state)
 	debugServer, err := process.Listen(s.Director.DebugAddress, debug)
 	if err != nil {
 		return eris.Wrap(err, "debug address")
--- a/cmd/loomkeel-entry/main.go
+++ b/cmd/loomkeel-entry/main.go
@@ -23,19 +23,19 @@
 )
 
 func main() {
-	cli.Main(cli.Daemon{Name: "loomkeel-entry", Usage: "carry requests to upstreams", Ballast: process.BallastCarrier, Run: run})
+	cli.Main(cli.Daemon{Name: "loomkeel-entry", Usage: "carry requests to upstreams", Ballast: process.BallastEntry, Run: run})
 }
 
 func run(ctx context.Context, s *settings.Settings) error {
-	_, clientTLS, err := tlsconf.Peers(s.TLS)
+	_, clientTLS, err := tlsconf.PeerConfigs(s.TLS)
 	if err != nil {
 		return eris.Wrap(err, "peer certificates")
 	}
-	upstreamTLS, err := tlsconf.Upstreams(s.TLS)
+	upstreamTLS, err := tlsconf.UpstreamConfig(s.TLS)
 	if err != nil {
 		return eris.Wrap(err, "upstream certificates")
 	}
-	serverTLS, err := tlsconf.Server(s.TLS)
+	serverTLS, err := tlsconf.ServerConfig(s.TLS)
 	if err != nil {
 		return eris.Wrap(err, "certificate")
 	}
@@ -49,7 +49,7 @@
 	metrics.Publish("entry", func() any { return e.Metrics() })
 	debug := chi.NewRouter()
 	ready := func() bool { return e.Carrier.Snapshot() != nil && ctx.Err() == nil }
-	process.Debug(debug, ready, func() any { return e.Dump(f.Status()) })
+	process.AddDebugRoutes(debug, ready, func() any { return e.Dump(f.Status()) })
 	debugServer, err := process.Listen(s.Entry.DebugAddress, debug)
 	if err != nil {
 		return eris.Wrap(err, "debug address")
--- a/cmd/loomkeel-node/main.go
+++ b/cmd/loomkeel-node/main.go
@@ -89,7 +89,7 @@
 	}
 	// Until Reload listens for it, a SIGHUP must not end the process.
 	signal.Ignore(syscall.SIGHUP)
-	stop, cancel := process.Signals(ctx)
+	stop, cancel := process.SignalContext(ctx)
 	defer cancel()
 	clock := bootclock.NewClock()
 	fields := new(platform.FieldCounts)
@@ -101,14 +101,14 @@
 		ReregistrationGrace: rejoin,
 		Policy:              policy(s.Bounds),
 	}, forward.Options{
-		Self: s.ID, Domain: s.Domain, MaxInFlight: room, Now: clock.Now, SyncNow: clock.Check,
+		Self: s.ID, Domain: s.Domain, MaxInFlight: room, Now: clock.Now, SyncNow: clock.SyncNow,
 		Protocol: platform.Protocol{Fields: fields}, DialTimeout: dialTimeout,
 	})
 
 	store := platform.NewStore(s.Store)
 	dialer := rpc.NewDialer(nil, nil)
 	feed := platform.NewFeed(platform.FeedOptions{
-		Store: store, Apply: n.Apply, Self: self, Members: n.Members, Now: clock.Check,
+		Store: store, Apply: n.Apply, Self: self, Members: n.Members, Now: clock.SyncNow,
 		Peers:         relay.NewClient(relay.NewCall(dialer), clock.Now),
 		Seeds:         func() []relay.Source { return n.Strangers.Sources(clock.Now()) },
 		MaxApplyDelay: s.Bounds.MaxApplyDelay,
@@ -145,7 +145,7 @@
 	go registrar.Run(stop)
 	var grace atomic.Int64
 	grace.Store(int64(s.Bounds.GracePeriod))
-	go process.Reload(following, path, s.Raw, reloadEvery, func(content []byte) {
+	go process.WatchFile(following, path, s.Raw, reloadEvery, func(content []byte) {
 		next, err := platform.ParseSettings(path, content)
 		if err != nil {
 			klog.ErrorS(err, "settings refused, those before stay in force")
@@ -227,6 +227,6 @@
 	metrics.Publish("upstream_limits", func() any { return n.Rates() })
 	metrics.Publish("node", func() any { return n.Status() })
 	r := chi.NewRouter()
-	process.Debug(r, n.Ready, dump)
+	process.AddDebugRoutes(r, n.Ready, dump)
 	return r
 }
--- a/cmd/loomkeel-standin/main.go
+++ b/cmd/loomkeel-standin/main.go
@@ -62,13 +62,13 @@
 }
 
 func runPlatform(ctx context.Context, c *cli.Command) error {
-	ctx, stop := process.Signals(ctx)
+	ctx, stop := process.SignalContext(ctx)
 	defer stop()
 	list, err := readInstances(c.String("instances"))
 	if err != nil {
 		return err
 	}
-	p := &standin.Platform{Store: standin.NewStore(), List: standin.NewList(list)}
+	p := &standin.Server{Store: standin.NewStore(), Instances: standin.NewInstanceList(list)}
 	srv, err := process.Listen(c.String("listen"), p.Handler())
 	if err != nil {
 		return err
@@ -79,7 +79,7 @@
 }
 
 func runUpstreams(ctx context.Context, c *cli.Command) error {
-	ctx, stop := process.Signals(ctx)
+	ctx, stop := process.SignalContext(ctx)
 	defer stop()
 	list, err := readInstances(c.String("instances"))
 	if err != nil {
@@ -89,17 +89,17 @@
 	if err != nil {
 		return err
 	}
-	gauges := make(map[string]*standin.Gauge)
+	gauges := make(map[string]*standin.InFlightGauge)
 	for _, i := range list {
 		if i.Kind != platform.KindUpstream || c.String("region") != "" && i.Region != c.String("region") {
 			continue
 		}
 		group := i.Service + " " + i.Region
 		if gauges[group] == nil {
-			gauges[group] = new(standin.Gauge)
+			gauges[group] = new(standin.InFlightGauge)
 		}
 		u := standin.NewUpstream(i.ID, i.Slots, c.Duration("work"))
-		u.Record, u.Gauge = record, gauges[group]
+		u.RunLog, u.Gauge = record, gauges[group]
 		srv, err := process.Listen(i.Address, u.Handler())
 		if err != nil {
 			return err
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -41,7 +41,7 @@
 	// Seeds are addresses of agents to start from.
 	Seeds []string
 	Store platform.Store
-	List  platform.Lister
+	List  platform.InstanceLister
 	Peers Peers
 	// Rand is the source of all random choices of the agent.
 	Rand *rand.Rand
--- a/internal/agent/directory.go
+++ b/internal/agent/directory.go
@@ -45,7 +45,7 @@
 }
 
 // take takes in the platform's list.
-func (d *directory) take(l platform.List) {
+func (d *directory) take(l platform.InstanceList) {
 	var addrs []string
 	for _, i := range l.Instances {
 		if i.Kind == platform.KindNode && !i.Leaving {
@@ -66,7 +66,7 @@
 }
 
 // fromPlatform returns the upstreams of the platform's list.
-func fromPlatform(l platform.List) model.Directory {
+func fromPlatform(l platform.InstanceList) model.Directory {
 	d := model.Directory{Version: l.Version}
 	for _, i := range l.Instances {
 		if i.Kind != platform.KindUpstream {
--- a/internal/agent/network_test.go
+++ b/internal/agent/network_test.go
@@ -33,7 +33,7 @@
 	agents map[string]*Agent
 	cut    func(from, to string) bool
 	store  *standin.Store
-	list   *standin.List
+	list   *standin.InstanceList
 	ctx    context.Context
 }
 
@@ -42,7 +42,7 @@
 func simulate(t *testing.T, test func(t *testing.T, n *network)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
-		n := &network{agents: make(map[string]*Agent), store: standin.NewStore(), list: standin.NewList(nil), ctx: ctx}
+		n := &network{agents: make(map[string]*Agent), store: standin.NewStore(), list: standin.NewInstanceList(nil), ctx: ctx}
 		test(t, n)
 		n.setCut(nil)
 		n.store.SetFault(nil)
--- a/internal/bootclock/clock.go
+++ b/internal/bootclock/clock.go
@@ -24,14 +24,14 @@
 // NewClock returns a Clock of the machine.
 func NewClock() *Clock {
 	start, boot := time.Now(), Now()
-	return NewClockOf(start,
+	return NewClockFrom(start,
 		func() time.Duration { return time.Since(start) },
 		func() time.Duration { return time.Duration(Now() - boot) })
 }
 
-// NewClockOf returns a Clock that starts at a time, by a steady clock and one that goes
+// NewClockFrom returns a Clock that starts at a time, by a steady clock and one that goes
 // on while the machine is suspended, both since then.
-func NewClockOf(start time.Time, steady, boot func() time.Duration) *Clock {
+func NewClockFrom(start time.Time, steady, boot func() time.Duration) *Clock {
 	return &Clock{start: start.Round(0), steady: steady, boot: boot}
 }
 
@@ -44,9 +44,9 @@
 // the machine having been suspended.
 const missedSlack = 50 * time.Millisecond
 
-// Check reads the boot clock and returns the time by it. It is to be called when something
+// SyncNow reads the boot clock and returns the time by it. It is to be called when something
 // begins that may be the first after a suspension: a request, a report, a round of a loop.
-func (c *Clock) Check() time.Time {
+func (c *Clock) SyncNow() time.Time {
 	missed := c.boot() - c.steady()
 	if missed-time.Duration(c.missed.Load()) > missedSlack {
 		c.missed.Store(int64(missed))
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -40,8 +40,8 @@
 				return err
 			}
 			process.InitLog(s.Log.Verbosity)
-			process.InitMemory(d.Ballast)
-			ctx, stop := process.Signals(ctx)
+			process.InitGC(d.Ballast)
+			ctx, stop := process.SignalContext(ctx)
 			defer stop()
 			return d.Run(ctx, s)
 		},
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -62,7 +62,7 @@
 		dec.DisallowUnknownFields()
 		if err := dec.Decode(&body); err != nil {
 			fault := fmt.Sprintf("body: %v", err)
-			process.JSON(w, http.StatusBadRequest, Result{Outcome: configlog.Refused, Kind: configlog.RefusedInvalid, Faults: []string{fault}})
+			process.WriteJSON(w, http.StatusBadRequest, Result{Outcome: configlog.Refused, Kind: configlog.RefusedInvalid, Faults: []string{fault}})
 			return
 		}
 		// The commit goes on when the operator hangs up: a change half way in
@@ -71,7 +71,7 @@
 		defer cancel()
 		res := resultOf(body.ID, c.Commit(ctx, body.change()))
 		klog.InfoS("change", "id", body.ID, "author", body.Author, "outcome", res.Outcome, "revision", res.Revision)
-		process.JSON(w, statusOf(res), res)
+		process.WriteJSON(w, statusOf(res), res)
 	})
 }
 
--- a/internal/command/token.go
+++ b/internal/command/token.go
@@ -42,7 +42,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if subtle.ConstantTimeCompare([]byte(r.Header.Get("Authorization")), want) != 1 {
 			w.Header().Set("WWW-Authenticate", "Bearer")
-			process.JSON(w, http.StatusUnauthorized, map[string]string{"error": "the operators' token is missing or wrong"})
+			process.WriteJSON(w, http.StatusUnauthorized, map[string]string{"error": "the operators' token is missing or wrong"})
 			return
 		}
 		next.ServeHTTP(w, r)
--- a/internal/configlog/committer.go
+++ b/internal/configlog/committer.go
@@ -141,7 +141,7 @@
 	if err != nil {
 		return refused(invalid([]error{err})), true
 	}
-	_, err = a.store.Swap(ctx, slotKey(rec.Revision), free.version, body, 0)
+	_, err = a.store.CompareAndSwap(ctx, slotKey(rec.Revision), free.version, body, 0)
 	switch {
 	case err == nil:
 		return a.accepted(ctx, rec), true
--- a/internal/configlog/committer_test.go
+++ b/internal/configlog/committer_test.go
@@ -101,7 +101,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewStore()
 		s.SetFault(func(op standin.Op, key string) standin.Fault {
-			return standin.Fault{LoseReply: op == standin.OpSwap, Down: op == standin.OpGet && s.Calls(standin.OpSwap) > 0}
+			return standin.Fault{LoseReply: op == standin.OpSwap, Down: op == standin.OpGet && s.CallCount(standin.OpSwap) > 0}
 		})
 		w := newWriter(s)
 		if r := w.commit(t, deadline("c1", "stock", "2s")); r.Outcome != Unknown {
--- a/internal/configlog/reader.go
+++ b/internal/configlog/reader.go
@@ -167,7 +167,7 @@
 	if err != nil {
 		return
 	}
-	_, _ = store.Swap(ctx, headKey, e.Version, body, 0)
+	_, _ = store.CompareAndSwap(ctx, headKey, e.Version, body, 0)
 }
 
 func newHead(log *Log) *pb.Head {
--- a/internal/configlog/snapshot.go
+++ b/internal/configlog/snapshot.go
@@ -150,7 +150,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if _, err := store.Swap(ctx, snapshotKey, at, body, 0); err != nil {
+	if _, err := store.CompareAndSwap(ctx, snapshotKey, at, body, 0); err != nil {
 		return 0, err
 	}
 	dropParts(ctx, store, old)
@@ -159,7 +159,7 @@
 
 // putPart writes a part unless another writer of the same revision has.
 func putPart(ctx context.Context, store platform.Store, key string, body []byte) error {
-	_, err := store.Swap(ctx, key, platform.Absent, body, 0)
+	_, err := store.CompareAndSwap(ctx, key, platform.Absent, body, 0)
 	if errors.Is(err, platform.ErrConflict) {
 		return nil
 	}
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -119,7 +119,7 @@
 	if f.RetryAfter > 0 {
 		w.Header().Set("Retry-After", "1")
 	}
-	process.JSON(w, status, f)
+	process.WriteJSON(w, status, f)
 }
 
 // Dump is everything that the director decides by.
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -30,7 +30,7 @@
 	leaving atomic.Bool
 	mu      sync.Mutex
 	byEnd   map[end]int64
-	latency map[string]*metrics.Latency
+	latency map[string]*metrics.LatencyHistogram
 	// lines and routine bound the lines about requests.
 	lines, routine *logs.Limiter
 }
@@ -44,7 +44,7 @@
 
 // New returns an Entry. It sets Options.Observe, NewID, Book and Boot.
 func New(opt forward.Options) *Entry {
-	e := &Entry{book: share.NewBook(), byEnd: make(map[end]int64), latency: make(map[string]*metrics.Latency),
+	e := &Entry{book: share.NewBook(), byEnd: make(map[end]int64), latency: make(map[string]*metrics.LatencyHistogram),
 		lines: logs.NewLimiter(linesPerSecond, lineBurst), routine: logs.NewLimiter(routinePerSecond, routineBurst)}
 	opt.Observe, opt.NewID = e.observe, newID
 	opt.CapShares, opt.BootClock = e.book, bootclock.Now
@@ -64,7 +64,7 @@
 	e.byEnd[end{o.Service, o.Verdict, o.Reason}]++
 	l := e.latency[o.Service]
 	if l == nil {
-		l = metrics.NewLatency()
+		l = metrics.NewLatencyHistogram()
 		e.latency[o.Service] = l
 	}
 	e.mu.Unlock()
--- a/internal/forward/suspended_test.go
+++ b/internal/forward/suspended_test.go
@@ -27,7 +27,7 @@
 	s := &suspendableClock{}
 	start := time.Now()
 	monotonic := func() time.Duration { return time.Since(start) }
-	s.Clock = bootclock.NewClockOf(start, monotonic, func() time.Duration { return monotonic() + time.Duration(s.suspended.Load()) })
+	s.Clock = bootclock.NewClockFrom(start, monotonic, func() time.Duration { return monotonic() + time.Duration(s.suspended.Load()) })
 	return s
 }
 
@@ -37,7 +37,7 @@
 // newEntryWithClock returns an entry with the given clock in front of one upstream.
 func newEntryWithClock(t *testing.T, clock *suspendableClock, f *fakeUpstream) *entry {
 	c := New(Options{
-		MaxInFlight: 100, Now: clock.Now, SyncNow: clock.Check, CapShares: share.NewBook(), BootClock: func() int64 { return 0 },
+		MaxInFlight: 100, Now: clock.Now, SyncNow: clock.SyncNow, CapShares: share.NewBook(), BootClock: func() int64 { return 0 },
 		NewID: func() string { return "own" }, Observe: func(Outcome) {},
 	})
 	deadline := tree.Edit{Path: "/services/orders", Key: tree.KeyDeadline, Value: "1m"}
@@ -90,7 +90,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	clock.suspend(2 * defaultIdleTimeout)
-	clock.Check()
+	clock.SyncNow()
 	if c := pool.pop(addr, time.Time{}); c == nil || clock.Now().Before(c.idleDeadline) {
 		t.Error("a connection that was idle during the suspension has not expired")
 	}
@@ -113,11 +113,11 @@
 	for i := range 3 {
 		e.poison.RecordCrash(clock.Now(), keys, keys, uint32(i))
 	}
-	if d := e.poison.Begin(clock.Check(), keys); !d.Held {
+	if d := e.poison.Begin(clock.SyncNow(), keys); !d.Held {
 		t.Fatal("the request is not held")
 	}
 	clock.suspend(time.Hour)
-	if d := e.poison.Begin(clock.Check(), keys); d.Held {
+	if d := e.poison.Begin(clock.SyncNow(), keys); d.Held {
 		t.Error("the request is still held after the suspension")
 	}
 }
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -74,5 +74,5 @@
 // shownIDs is how many ids a line names; ten of 20 bytes keep it as short as others.
 const shownIDs = 10
 
-// Few returns the first ids of a list, as many as a line may name.
-func Few(ids []string) []string { return ids[:min(shownIDs, len(ids))] }
+// TruncateIDs returns the first ids of a list, as many as a line may name.
+func TruncateIDs(ids []string) []string { return ids[:min(shownIDs, len(ids))] }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -18,18 +18,18 @@
 	shards = 8
 )
 
-// Latency records durations and gives their percentiles. It is safe for
+// LatencyHistogram records durations and gives their percentiles. It is safe for
 // concurrent use.
-type Latency struct {
+type LatencyHistogram struct {
 	shard [shards]struct {
 		mu   sync.Mutex
 		hist *hdrhistogram.Histogram
 	}
 }
 
-// NewLatency returns an empty Latency.
-func NewLatency() *Latency {
-	l := new(Latency)
+// NewLatencyHistogram returns an empty Latency.
+func NewLatencyHistogram() *LatencyHistogram {
+	l := new(LatencyHistogram)
 	for i := range l.shard {
 		l.shard[i].hist = hdrhistogram.New(1, longest.Microseconds(), digits)
 	}
@@ -37,7 +37,7 @@
 }
 
 // Record adds one duration. Key spreads the callers over the shards.
-func (l *Latency) Record(key uint32, d time.Duration) {
+func (l *LatencyHistogram) Record(key uint32, d time.Duration) {
 	s := &l.shard[key%shards]
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,7 +54,7 @@
 }
 
 // Summary returns the percentiles of all that was recorded.
-func (l *Latency) Summary() Summary {
+func (l *LatencyHistogram) Summary() Summary {
 	sum := hdrhistogram.New(1, longest.Microseconds(), digits)
 	for i := range l.shard {
 		s := &l.shard[i]
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -173,7 +173,7 @@
 		return
 	}
 	n.publish()
-	klog.InfoS("entries did not come back, forgotten", "count", len(kept), "first", logs.Few(kept))
+	klog.InfoS("entries did not come back, forgotten", "count", len(kept), "first", logs.TruncateIDs(kept))
 }
 
 // Handler carries requests. While the node stops it asks callers to close their
--- a/internal/node/suspended_test.go
+++ b/internal/node/suspended_test.go
@@ -16,10 +16,10 @@
 	const rejoin = 2 * time.Second
 	start := time.Now()
 	var slept time.Duration
-	clock := bootclock.NewClockOf(start, func() time.Duration { return 0 }, func() time.Duration { return slept })
+	clock := bootclock.NewClockFrom(start, func() time.Duration { return 0 }, func() time.Duration { return slept })
 	self := Self("n1", "muscat", "mus-a", "10.0.0.1:80", "10.0.0.1:7200", start)
 	n := New(view.Options{Self: self, Regions: map[string]string{"mus-a": "muscat"}, ReregistrationGrace: rejoin},
-		forward.Options{Self: "n1", Domain: "mus-a", MaxInFlight: 10, Now: clock.Now, SyncNow: clock.Check})
+		forward.Options{Self: "n1", Domain: "mus-a", MaxInFlight: 10, Now: clock.Now, SyncNow: clock.SyncNow})
 	n.Apply(func(v *view.View, now time.Time) {
 		v.PutUpstream(model.Upstream{ID: "u1", Service: "s", Region: "muscat", Domain: "mus-a", Address: "10.0.0.9:80", Slots: 1})
 		v.MarkStoreUnreachable()
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -33,7 +33,7 @@
 
 var _ interface {
 	Store
-	Lister
+	InstanceLister
 } = (*Client)(nil)
 
 // Get implements Store.
@@ -49,8 +49,8 @@
 	return c.read(ctx, wait+waitMargin, keyPath(key)+"?"+q.Encode())
 }
 
-// Swap implements Store.
-func (c *Client) Swap(ctx context.Context, key string, version uint64, value []byte, lease LeaseID) (uint64, error) {
+// CompareAndSwap implements Store.
+func (c *Client) CompareAndSwap(ctx context.Context, key string, version uint64, value []byte, lease LeaseID) (uint64, error) {
 	q := url.Values{}
 	q.Set("version", strconv.FormatUint(version, 10))
 	if lease != 0 {
@@ -85,17 +85,17 @@
 }
 
 // Instances implements Lister.
-func (c *Client) Instances(ctx context.Context, version uint64, wait time.Duration) (List, error) {
+func (c *Client) Instances(ctx context.Context, version uint64, wait time.Duration) (InstanceList, error) {
 	q := url.Values{}
 	q.Set("not", strconv.FormatUint(version, 10))
 	q.Set("wait", wait.String())
 	e, err := c.read(ctx, wait+waitMargin, "/v1/instances?"+q.Encode())
 	if err != nil {
-		return List{}, err
+		return InstanceList{}, err
 	}
-	var l List
+	var l InstanceList
 	if err := json.Unmarshal(e.Value, &l); err != nil {
-		return List{}, fmt.Errorf("platform: instance list: %w", err)
+		return InstanceList{}, fmt.Errorf("platform: instance list: %w", err)
 	}
 	return l, nil
 }
@@ -125,7 +125,7 @@
 		return Entry{}, err
 	}
 	defer resp.Body.Close()
-	value, err := io.ReadAll(io.LimitReader(resp.Body, 64*MaxValue))
+	value, err := io.ReadAll(io.LimitReader(resp.Body, 64*MaxValueBytes))
 	if err != nil {
 		return Entry{}, err
 	}
@@ -143,7 +143,7 @@
 	case http.StatusConflict:
 		return Entry{}, ErrConflict
 	case http.StatusGone:
-		return Entry{}, ErrNoLease
+		return Entry{}, ErrLeaseNotFound
 	case http.StatusTooManyRequests, http.StatusRequestEntityTooLarge:
 		return Entry{}, fmt.Errorf("%w: %s", ErrRefused, resp.Status)
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -18,12 +18,12 @@
 	ErrConflict = errors.New("platform: version conflict")
 	// ErrRefused reports that the service refused the call before running it.
 	ErrRefused = errors.New("platform: call refused")
-	// ErrNoLease reports that the lease has lapsed or never was.
-	ErrNoLease = errors.New("platform: no such lease")
+	// ErrLeaseNotFound reports that the lease has lapsed or never was.
+	ErrLeaseNotFound = errors.New("platform: no such lease")
 )
 
-// MaxValue is the largest value in bytes that the service holds.
-const MaxValue = 1 << 20
+// MaxValueBytes is the largest value in bytes that the service holds.
+const MaxValueBytes = 1 << 20
 
 // Absent is the version of a key that has no value.
 const Absent uint64 = 0
@@ -39,9 +39,9 @@
 type Store interface {
 	// Get reads one key. A missing key gives an Entry with version Absent.
 	Get(ctx context.Context, key string) (Entry, error)
-	// Swap writes value if the key is at version, and returns the new version.
+	// CompareAndSwap writes value if the key is at version, and returns the new version.
 	// A lease other than zero removes the key when the lease lapses.
-	Swap(ctx context.Context, key string, version uint64, value []byte, lease LeaseID) (uint64, error)
+	CompareAndSwap(ctx context.Context, key string, version uint64, value []byte, lease LeaseID) (uint64, error)
 	// Delete removes the key if it is at version.
 	Delete(ctx context.Context, key string, version uint64) error
 	// Watch waits until the key's version differs from version, or until wait has
@@ -78,15 +78,15 @@
 	Leaving     bool   `json:"leaving,omitempty"`
 }
 
-// List is the platform's list at one version. The list lags.
-type List struct {
+// InstanceList is the platform's list at one version. The list lags.
+type InstanceList struct {
 	Version   uint64     `json:"version"`
 	Instances []Instance `json:"instances"`
 }
 
-// Lister reads the instance list.
-type Lister interface {
+// InstanceLister reads the instance list.
+type InstanceLister interface {
 	// Instances waits until the list's version differs from version, or until
 	// wait has passed, and returns the list.
-	Instances(ctx context.Context, version uint64, wait time.Duration) (List, error)
+	Instances(ctx context.Context, version uint64, wait time.Duration) (InstanceList, error)
 }
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -67,16 +67,16 @@
 	// Ballast counts as heap but is never touched, so it takes no memory itself.
 	// With a heap of few megabytes the collector would otherwise run every few
 	// hundred requests.
-	BallastControl = 4 << 20
-	BallastLookups = 16 << 20
-	BallastCarrier = 32 << 20
+	BallastAgent = 4 << 20
+	BallastDirector = 16 << 20
+	BallastEntry = 32 << 20
 )
 
 var ballast []byte
 
-// InitMemory sets the collector's pace, unless GOGC does. Ballast is one of the
+// InitGC sets the collector's pace, unless GOGC does. Ballast is one of the
 // sizes above.
-func InitMemory(bytes int) {
+func InitGC(bytes int) {
 	if os.Getenv("GOGC") == "" {
 		ballast = make([]byte, bytes)
 		expvar.Publish("ballast_bytes", expvar.Func(func() any { return len(ballast) }))
@@ -84,8 +84,8 @@
 	}
 }
 
-// Signals returns a context that ends at SIGTERM or SIGINT.
-func Signals(ctx context.Context) (context.Context, context.CancelFunc) {
+// SignalContext returns a context that ends at SIGTERM or SIGINT.
+func SignalContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 }
 
@@ -125,9 +125,9 @@
 // Shutdown stops accepting and waits for the requests in flight until ctx ends.
 func (s *Server) Shutdown(ctx context.Context) error { return s.http.Shutdown(ctx) }
 
-// Debug adds the pages that every process has: /healthz, /readyz, /debug/vars,
+// AddDebugRoutes adds the pages that every process has: /healthz, /readyz, /debug/vars,
 // /debug/state and the profiles of /debug/pprof. Ready reports whether the process can do its work.
-func Debug(r chi.Router, ready func() bool, dump func() any) {
+func AddDebugRoutes(r chi.Router, ready func() bool, dump func() any) {
 	r.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	r.Get("/readyz", func(w http.ResponseWriter, _ *http.Request) {
 		if !ready() {
@@ -137,11 +137,11 @@
 	r.Method(http.MethodGet, "/debug/vars", expvar.Handler())
 	r.HandleFunc("/debug/pprof/*", pprof.Index)
 	r.HandleFunc("/debug/pprof/profile", pprof.Profile)
-	r.Get("/debug/state", func(w http.ResponseWriter, _ *http.Request) { JSON(w, http.StatusOK, dump()) })
+	r.Get("/debug/state", func(w http.ResponseWriter, _ *http.Request) { WriteJSON(w, http.StatusOK, dump()) })
 }
 
-// JSON answers with a value.
-func JSON(w http.ResponseWriter, status int, v any) {
+// WriteJSON answers with a value.
+func WriteJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	enc := json.NewEncoder(w)
--- a/internal/process/reload.go
+++ b/internal/process/reload.go
@@ -11,12 +11,12 @@
 	"k8s.io/klog/v2"
 )
 
-// Reload calls changed with the content of a file whenever that is another than the
+// WatchFile calls changed with the content of a file whenever that is another than the
 // last one, which at first is the one given. It looks at once when the process gets a
 // SIGHUP, and else each period. It returns when ctx ends. Watching for the signal
-// begins before Reload waits, and afterwards the signal is ignored: once Reload runs,
+// begins before WatchFile waits, and afterwards the signal is ignored: once WatchFile runs,
 // a SIGHUP never ends the process, also not one that is finishing its last requests.
-func Reload(ctx context.Context, path string, last []byte, period time.Duration, changed func(content []byte)) {
+func WatchFile(ctx context.Context, path string, last []byte, period time.Duration, changed func(content []byte)) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	defer signal.Ignore(syscall.SIGHUP)
--- a/internal/process/reload_test.go
+++ b/internal/process/reload_test.go
@@ -56,7 +56,7 @@
 	changed := make(chan struct{}, 2)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go Reload(ctx, path, []byte("one"), time.Millisecond, func([]byte) { changed <- struct{}{} })
+	go WatchFile(ctx, path, []byte("one"), time.Millisecond, func([]byte) { changed <- struct{}{} })
 	write(t, path, "two")
 	<-changed
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
@@ -73,7 +73,7 @@
 	write(t, path, "one")
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	Reload(ctx, path, []byte("one"), time.Hour, func([]byte) {})
+	WatchFile(ctx, path, []byte("one"), time.Hour, func([]byte) {})
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/query/dump.go
+++ b/internal/query/dump.go
@@ -27,7 +27,7 @@
 		for name, addr := range others {
 			out[name] = fetchDump(req.Context(), addr)
 		}
-		process.JSON(w, http.StatusOK, out)
+		process.WriteJSON(w, http.StatusOK, out)
 	})
 }
 
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -72,7 +72,7 @@
 // Routes adds the queries to a router.
 func Routes(r chi.Router, s Source) {
 	r.Get("/v1/tree", func(w http.ResponseWriter, req *http.Request) {
-		process.JSON(w, http.StatusOK, treeOf(s.Log(), req.URL.Query().Get("path")))
+		process.WriteJSON(w, http.StatusOK, treeOf(s.Log(), req.URL.Query().Get("path")))
 	})
 	r.Get("/v1/value", func(w http.ResponseWriter, req *http.Request) { value(w, req, s.Log()) })
 	r.Get("/v1/history", func(w http.ResponseWriter, req *http.Request) {
@@ -80,12 +80,12 @@
 		if err != nil || n <= 0 {
 			n = defaultHistory
 		}
-		process.JSON(w, http.StatusOK, historyOf(s.Log().History(n)))
+		process.WriteJSON(w, http.StatusOK, historyOf(s.Log().History(n)))
 	})
 	r.Get("/v1/changes/{id}", func(w http.ResponseWriter, req *http.Request) { change(w, req, s.Log()) })
 	r.Get("/v1/members", func(w http.ResponseWriter, _ *http.Request) {
 		all, _ := s.Table().All()
-		process.JSON(w, http.StatusOK, all)
+		process.WriteJSON(w, http.StatusOK, all)
 	})
 }
 
@@ -115,12 +115,12 @@
 func value(w http.ResponseWriter, req *http.Request, log *configlog.Log) {
 	path, key := req.URL.Query().Get("path"), req.URL.Query().Get("key")
 	if err := tree.CheckKey(path, key); err != nil {
-		process.JSON(w, http.StatusBadRequest, map[string]string{"error": err.Error()})
+		process.WriteJSON(w, http.StatusBadRequest, map[string]string{"error": err.Error()})
 		return
 	}
 	revision, t, _ := log.View()
 	v := t.Get(path, key)
-	process.JSON(w, http.StatusOK, Value{revision, path, key, v.Value, v.From, v.Revision, v.From == path})
+	process.WriteJSON(w, http.StatusOK, Value{revision, path, key, v.Value, v.From, v.Revision, v.From == path})
 }
 
 func historyOf(records []configlog.Record) []Change {
@@ -140,8 +140,8 @@
 	id := chi.URLParam(req, "id")
 	revision := log.Find(id)
 	if revision == 0 {
-		process.JSON(w, http.StatusNotFound, map[string]string{"id": id, "outcome": string(configlog.Unknown)})
+		process.WriteJSON(w, http.StatusNotFound, map[string]string{"id": id, "outcome": string(configlog.Unknown)})
 		return
 	}
-	process.JSON(w, http.StatusOK, map[string]any{"id": id, "outcome": configlog.Accepted, "revision": revision})
+	process.WriteJSON(w, http.StatusOK, map[string]any{"id": id, "outcome": configlog.Accepted, "revision": revision})
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -36,8 +36,8 @@
 type Agent struct {
 	PeerAddress     string        `ini:"peer" form:"address" required:"true" doc:"Address for other agents and for the processes of this instance."`
 	OperatorAddress string        `ini:"operator" form:"address" required:"true" doc:"Address for operators, metrics and dumps."`
-	Seeds    []string      `ini:"seeds" form:"address" doc:"Peer addresses of other agents to start from, separated by commas."`
-	TokenFile    string        `ini:"token_file" doc:"File with the operators' token; without one the operator address must be on loopback."`
+	Seeds           []string      `ini:"seeds" form:"address" doc:"Peer addresses of other agents to start from, separated by commas."`
+	TokenFile       string        `ini:"token_file" doc:"File with the operators' token; without one the operator address must be on loopback."`
 	CommitTimeout   time.Duration `ini:"commit_timeout" default:"5s" min:"100ms" max:"1m" doc:"Longest time for one change to be accepted."`
 }
 
@@ -49,12 +49,12 @@
 
 // Entry sets up loomkeel-entry.
 type Entry struct {
-	ListenAddress   string        `ini:"listen" form:"address" required:"true" doc:"Address for callers' requests, as look-ups name it."`
-	DebugAddress    string        `ini:"debug" form:"address" required:"true" doc:"Address for health, metrics and dumps; loopback only."`
-	MaxInFlight     int           `ini:"room" default:"4096" min:"1" max:"1000000" doc:"Requests in the entry at one time."`
-	MaxBody  int           `ini:"max_body" default:"67108864" min:"1024" max:"4294967296" doc:"Largest request body in bytes."`
-	Linger   time.Duration `ini:"linger" default:"12s" min:"0s" max:"10m" doc:"How long a stopping entry still takes requests, for callers whose look-up answer names it; at least the longest lookup_lifetime."`
-	StopTimeout time.Duration `ini:"stop_timeout" default:"2m" min:"1s" max:"1h" doc:"How long a stopping entry waits for requests in flight after that."`
+	ListenAddress string        `ini:"listen" form:"address" required:"true" doc:"Address for callers' requests, as look-ups name it."`
+	DebugAddress  string        `ini:"debug" form:"address" required:"true" doc:"Address for health, metrics and dumps; loopback only."`
+	MaxInFlight   int           `ini:"room" default:"4096" min:"1" max:"1000000" doc:"Requests in the entry at one time."`
+	MaxBody       int           `ini:"max_body" default:"67108864" min:"1024" max:"4294967296" doc:"Largest request body in bytes."`
+	Linger        time.Duration `ini:"linger" default:"12s" min:"0s" max:"10m" doc:"How long a stopping entry still takes requests, for callers whose look-up answer names it; at least the longest lookup_lifetime."`
+	StopTimeout   time.Duration `ini:"stop_timeout" default:"2m" min:"1s" max:"1h" doc:"How long a stopping entry waits for requests in flight after that."`
 }
 
 // TLS names certificate files; an empty value means plain TCP.
--- a/internal/share/keeper.go
+++ b/internal/share/keeper.go
@@ -146,7 +146,7 @@
 	var err error
 	if lease == 0 {
 		lease, err = k.takeLease(ctx)
-	} else if err = k.store.KeepAlive(ctx, lease); errors.Is(err, platform.ErrNoLease) {
+	} else if err = k.store.KeepAlive(ctx, lease); errors.Is(err, platform.ErrLeaseNotFound) {
 		lease, err = k.takeLease(ctx)
 	}
 	if err != nil {
@@ -164,7 +164,7 @@
 	if err != nil {
 		return 0, err
 	}
-	_, err = k.store.Swap(ctx, markKey(uint64(lease)), platform.Absent, []byte(k.id), lease)
+	_, err = k.store.CompareAndSwap(ctx, markKey(uint64(lease)), platform.Absent, []byte(k.id), lease)
 	return lease, err
 }
 
@@ -201,7 +201,7 @@
 	if err != nil {
 		return false, err
 	}
-	written, err := k.store.Swap(ctx, ledgerKey(t.Region), version, body, 0)
+	written, err := k.store.CompareAndSwap(ctx, ledgerKey(t.Region), version, body, 0)
 	switch {
 	case err == nil:
 		k.confirm(t, next, written)
--- a/internal/standin/http.go
+++ b/internal/standin/http.go
@@ -15,18 +15,18 @@
 	"github.com/loomkeel/loomkeel/internal/platform"
 )
 
-// Platform serves a Store and a List over HTTP in the form that
+// Server serves a Store and a List over HTTP in the form that
 // platform.Client expects, with a page to inject faults.
-type Platform struct {
+type Server struct {
 	Store *Store
-	List  *List
+	Instances  *InstanceList
 
 	mu   sync.Mutex
 	mode string
 }
 
 // Handler returns the HTTP interface.
-func (p *Platform) Handler() http.Handler {
+func (p *Server) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/v1/kv/{key}", p.get)
 	r.Put("/v1/kv/{key}", p.put)
@@ -40,7 +40,7 @@
 	return r
 }
 
-func (p *Platform) get(w http.ResponseWriter, r *http.Request) {
+func (p *Server) get(w http.ResponseWriter, r *http.Request) {
 	key := chi.URLParam(r, "key")
 	wait, watching := waitOf(r)
 	if !watching {
@@ -52,22 +52,22 @@
 	answer(w, e, err)
 }
 
-func (p *Platform) put(w http.ResponseWriter, r *http.Request) {
-	value, err := io.ReadAll(io.LimitReader(r.Body, platform.MaxValue+1))
+func (p *Server) put(w http.ResponseWriter, r *http.Request) {
+	value, err := io.ReadAll(io.LimitReader(r.Body, platform.MaxValueBytes+1))
 	if err != nil {
 		return
 	}
 	lease := platform.LeaseID(numberOf(r, "lease"))
-	version, err := p.Store.Swap(r.Context(), chi.URLParam(r, "key"), numberOf(r, "version"), value, lease)
+	version, err := p.Store.CompareAndSwap(r.Context(), chi.URLParam(r, "key"), numberOf(r, "version"), value, lease)
 	answer(w, platform.Entry{Version: version}, err)
 }
 
-func (p *Platform) del(w http.ResponseWriter, r *http.Request) {
+func (p *Server) del(w http.ResponseWriter, r *http.Request) {
 	err := p.Store.Delete(r.Context(), chi.URLParam(r, "key"), numberOf(r, "version"))
 	answer(w, platform.Entry{Version: 1}, err)
 }
 
-func (p *Platform) grant(w http.ResponseWriter, r *http.Request) {
+func (p *Server) grant(w http.ResponseWriter, r *http.Request) {
 	ttl, err := time.ParseDuration(r.URL.Query().Get("ttl"))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -77,20 +77,20 @@
 	answer(w, platform.Entry{Value: []byte(strconv.FormatUint(uint64(id), 10)), Version: 1}, err)
 }
 
-func (p *Platform) keepAlive(w http.ResponseWriter, r *http.Request) {
+func (p *Server) keepAlive(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseUint(chi.URLParam(r, "id"), 10, 64)
 	answer(w, platform.Entry{Version: 1}, p.Store.KeepAlive(r.Context(), platform.LeaseID(id)))
 }
 
-func (p *Platform) instances(w http.ResponseWriter, r *http.Request) {
+func (p *Server) instances(w http.ResponseWriter, r *http.Request) {
 	wait, _ := waitOf(r)
-	l, err := p.List.Instances(r.Context(), numberOf(r, "not"), wait)
+	l, err := p.Instances.Instances(r.Context(), numberOf(r, "not"), wait)
 	body, _ := json.Marshal(l)
 	answer(w, platform.Entry{Value: body, Version: l.Version}, err)
 }
 
 // fault switches the store and the list between up, down, lose-replies and slow.
-func (p *Platform) fault(w http.ResponseWriter, r *http.Request) {
+func (p *Server) fault(w http.ResponseWriter, r *http.Request) {
 	mode := chi.URLParam(r, "mode")
 	faults := map[string]Fault{
 		"none":         {},
@@ -106,7 +106,7 @@
 	p.mu.Lock()
 	p.mode = mode
 	p.mu.Unlock()
-	p.List.SetDown(f.Down)
+	p.Instances.SetDown(f.Down)
 	p.Store.SetFault(func(op Op, _ string) Fault {
 		if f.LoseReply && op != OpSwap {
 			return Fault{}
@@ -116,9 +116,9 @@
 }
 
 // leaving marks an instance of the list as leaving.
-func (p *Platform) leaving(_ http.ResponseWriter, r *http.Request) {
+func (p *Server) leaving(_ http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
-	p.List.Update(func(instances []platform.Instance) []platform.Instance {
+	p.Instances.Update(func(instances []platform.Instance) []platform.Instance {
 		for i := range instances {
 			if instances[i].ID == id {
 				instances[i].Leaving = true
@@ -128,9 +128,9 @@
 	})
 }
 
-func (p *Platform) calls(w http.ResponseWriter, _ *http.Request) {
+func (p *Server) calls(w http.ResponseWriter, _ *http.Request) {
 	for _, op := range []Op{OpGet, OpSwap, OpDelete, OpWatch, OpLease} {
-		fmt.Fprintf(w, "%s %d\n", op, p.Store.Calls(op))
+		fmt.Fprintf(w, "%s %d\n", op, p.Store.CallCount(op))
 	}
 }
 
@@ -157,7 +157,7 @@
 		_, _ = w.Write(e.Value)
 	case errors.Is(err, platform.ErrConflict):
 		w.WriteHeader(http.StatusConflict)
-	case errors.Is(err, platform.ErrNoLease):
+	case errors.Is(err, platform.ErrLeaseNotFound):
 		w.WriteHeader(http.StatusGone)
 	case errors.Is(err, platform.ErrRefused):
 		w.WriteHeader(http.StatusRequestEntityTooLarge)
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -80,8 +80,8 @@
 	s.wake()
 }
 
-// Calls returns how often op was called.
-func (s *Store) Calls(op Op) int64 { return s.calls[opIndex(op)].Load() }
+// CallCount returns how often op was called.
+func (s *Store) CallCount(op Op) int64 { return s.calls[opIndex(op)].Load() }
 
 func opIndex(op Op) int {
 	for i, o := range [...]Op{OpGet, OpSwap, OpDelete, OpWatch, OpLease} {
@@ -136,13 +136,13 @@
 	return s.entries[key], f.end(nil)
 }
 
-// Swap implements platform.Store.
-func (s *Store) Swap(ctx context.Context, key string, version uint64, value []byte, id platform.LeaseID) (uint64, error) {
+// CompareAndSwap implements platform.Store.
+func (s *Store) CompareAndSwap(ctx context.Context, key string, version uint64, value []byte, id platform.LeaseID) (uint64, error) {
 	f, err := s.begin(ctx, OpSwap, key)
 	if err != nil {
 		return 0, err
 	}
-	if len(value) > platform.MaxValue {
+	if len(value) > platform.MaxValueBytes {
 		return 0, platform.ErrRefused
 	}
 	s.mu.Lock()
@@ -151,7 +151,7 @@
 		return 0, f.end(platform.ErrConflict)
 	}
 	if id != 0 && s.leases[id] == nil {
-		return 0, f.end(platform.ErrNoLease)
+		return 0, f.end(platform.ErrLeaseNotFound)
 	}
 	s.version++
 	s.entries[key] = platform.Entry{Value: append([]byte(nil), value...), Version: s.version}
@@ -231,7 +231,7 @@
 	defer s.mu.Unlock()
 	l := s.leases[id]
 	if l == nil {
-		return f.end(platform.ErrNoLease)
+		return f.end(platform.ErrLeaseNotFound)
 	}
 	l.timer.Reset(l.ttl)
 	return f.end(nil)
--- a/internal/standin/upstream.go
+++ b/internal/standin/upstream.go
@@ -33,14 +33,14 @@
 	// ID is put into the answers.
 	ID    string
 	Slots int
-	// Work is how long one request takes.
-	Work time.Duration
+	// ServiceTime is how long one request takes.
+	ServiceTime time.Duration
 
-	// Record, if set, gets a line for each run before the answer, so that it
+	// RunLog, if set, gets a line for each run before the answer, so that it
 	// outlives the process.
-	Record io.Writer
+	RunLog io.Writer
 	// Gauge, if set, is shared by the upstreams of a region.
-	Gauge *Gauge
+	Gauge *InFlightGauge
 
 	mu       sync.Mutex
 	inFlight int
@@ -49,13 +49,13 @@
 	slots    chan struct{}
 }
 
-// Gauge counts the requests in flight at several upstreams and their peak.
-type Gauge struct {
+// InFlightGauge counts the requests in flight at several upstreams and their peak.
+type InFlightGauge struct {
 	mu        sync.Mutex
 	now, peak int
 }
 
-func (g *Gauge) add(n int) {
+func (g *InFlightGauge) add(n int) {
 	if g == nil {
 		return
 	}
@@ -65,8 +65,8 @@
 	g.peak = max(g.peak, g.now)
 }
 
-// Reset makes the peak what is in flight now.
-func (g *Gauge) Reset() {
+// ResetPeak makes the peak what is in flight now.
+func (g *InFlightGauge) ResetPeak() {
 	if g == nil {
 		return
 	}
@@ -76,7 +76,7 @@
 }
 
 // Peak returns the largest number of requests in flight at one time.
-func (g *Gauge) Peak() int {
+func (g *InFlightGauge) Peak() int {
 	if g == nil {
 		return 0
 	}
@@ -102,7 +102,7 @@
 
 // NewUpstream returns an upstream with a number of slots.
 func NewUpstream(id string, slots int, work time.Duration) *Upstream {
-	return &Upstream{ID: id, Slots: slots, Work: work, mode: ModeNormal, slots: make(chan struct{}, slots)}
+	return &Upstream{ID: id, Slots: slots, ServiceTime: work, mode: ModeNormal, slots: make(chan struct{}, slots)}
 }
 
 // SetMode tells the upstream how to behave.
@@ -125,7 +125,7 @@
 	r := chi.NewRouter()
 	r.Get("/-/runs", func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(u.Runs()) })
 	r.Get("/-/peak", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, u.Gauge.Peak()) })
-	r.Post("/-/peak/reset", func(http.ResponseWriter, *http.Request) { u.Gauge.Reset() })
+	r.Post("/-/peak/reset", func(http.ResponseWriter, *http.Request) { u.Gauge.ResetPeak() })
 	r.Post("/-/mode/{mode}", func(_ http.ResponseWriter, req *http.Request) { u.SetMode(chi.URLParam(req, "mode")) })
 	r.HandleFunc("/*", u.serve)
 	return r
@@ -156,7 +156,7 @@
 	u.Gauge.add(1)
 	defer u.Gauge.add(-1)
 	select {
-	case <-time.After(u.Work):
+	case <-time.After(u.ServiceTime):
 		return true
 	case <-ctx.Done():
 		return false
@@ -220,7 +220,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.runs = append(u.runs, r)
-	if u.Record != nil {
-		_ = json.NewEncoder(u.Record).Encode(r)
+	if u.RunLog != nil {
+		_ = json.NewEncoder(u.RunLog).Encode(r)
 	}
 }
--- a/internal/tlsconf/tlsconf.go
+++ b/internal/tlsconf/tlsconf.go
@@ -16,9 +16,9 @@
 // checkEvery is how often the files are looked at.
 const checkEvery = 5 * time.Second
 
-// Pair is a certificate with its key that follows its files. It is safe for
+// KeyPair is a certificate with its key that follows its files. It is safe for
 // concurrent use.
-type Pair struct {
+type KeyPair struct {
 	certFile, keyFile string
 
 	mu      sync.Mutex
@@ -27,16 +27,16 @@
 	changed time.Time
 }
 
-// LoadPair reads a certificate and its key.
-func LoadPair(certFile, keyFile string) (*Pair, error) {
-	p := &Pair{certFile: certFile, keyFile: keyFile}
-	_, err := p.Get()
+// LoadKeyPair reads a certificate and its key.
+func LoadKeyPair(certFile, keyFile string) (*KeyPair, error) {
+	p := &KeyPair{certFile: certFile, keyFile: keyFile}
+	_, err := p.Certificate()
 	return p, err
 }
 
-// Get returns the newest certificate that could be read. A file that cannot be
+// Certificate returns the newest certificate that could be read. A file that cannot be
 // read leaves the last one in force.
-func (p *Pair) Get() (*tls.Certificate, error) {
+func (p *KeyPair) Certificate() (*tls.Certificate, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -71,25 +71,25 @@
 	return cas, nil
 }
 
-// Server returns the configuration towards callers, or nil for plain TCP.
-func Server(s settings.TLS) (*tls.Config, error) {
+// ServerConfig returns the configuration towards callers, or nil for plain TCP.
+func ServerConfig(s settings.TLS) (*tls.Config, error) {
 	if s.CertFile == "" {
 		return nil, nil
 	}
-	p, err := LoadPair(s.CertFile, s.KeyFile)
+	p, err := LoadKeyPair(s.CertFile, s.KeyFile)
 	if err != nil {
 		return nil, err
 	}
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS12,
-		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return p.Get() },
+		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return p.Certificate() },
 	}, nil
 }
 
-// Peers returns the configurations between agents, for accepting and for
+// PeerConfigs returns the configurations between agents, for accepting and for
 // dialling, or nil for plain TCP. Both sides must have a certificate of the
 // authority.
-func Peers(s settings.TLS) (server, client *tls.Config, err error) {
+func PeerConfigs(s settings.TLS) (server, client *tls.Config, err error) {
 	if s.PeerCAFile == "" {
 		return nil, nil, nil
 	}
@@ -97,7 +97,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	p, err := LoadPair(s.CertFile, s.KeyFile)
+	p, err := LoadKeyPair(s.CertFile, s.KeyFile)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -105,18 +105,18 @@
 		MinVersion:     tls.VersionTLS13,
 		ClientAuth:     tls.RequireAndVerifyClientCert,
 		ClientCAs:      cas,
-		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return p.Get() },
+		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return p.Certificate() },
 	}
 	client = &tls.Config{
 		MinVersion:           tls.VersionTLS13,
 		RootCAs:              cas,
-		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return p.Get() },
+		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return p.Certificate() },
 	}
 	return server, client, nil
 }
 
-// Upstreams returns the configuration towards upstreams, or nil for plain TCP.
-func Upstreams(s settings.TLS) (*tls.Config, error) {
+// UpstreamConfig returns the configuration towards upstreams, or nil for plain TCP.
+func UpstreamConfig(s settings.TLS) (*tls.Config, error) {
 	if s.UpstreamCAFile == "" {
 		return nil, nil
 	}
--- a/internal/tlsconf/tlsconf_test.go
+++ b/internal/tlsconf/tlsconf_test.go
@@ -120,15 +120,15 @@
 func TestPeers(t *testing.T) {
 	dir := t.TempDir()
 	ours, theirs := newAuthority(t, dir, "ours"), newAuthority(t, dir, "theirs")
-	server, _, err := Peers(ours.instance(t, dir, "n1"))
+	server, _, err := PeerConfigs(ours.instance(t, dir, "n1"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, friend, err := Peers(ours.instance(t, dir, "n2"))
+	_, friend, err := PeerConfigs(ours.instance(t, dir, "n2"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, stranger, err := Peers(theirs.instance(t, dir, "x"))
+	_, stranger, err := PeerConfigs(theirs.instance(t, dir, "x"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -152,21 +152,21 @@
 	dir := t.TempDir()
 	a := newAuthority(t, dir, "ca")
 	s := a.instance(t, dir, "n1")
-	p, err := LoadPair(s.CertFile, s.KeyFile)
+	p, err := LoadKeyPair(s.CertFile, s.KeyFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, _ := p.Get()
+	first, _ := p.Certificate()
 	a.instance(t, dir, "n1")
 	later := time.Now().Add(time.Minute)
 	if err := os.Chtimes(s.CertFile, later, later); err != nil {
 		t.Fatal(err)
 	}
-	if same, _ := p.Get(); same != first {
+	if same, _ := p.Certificate(); same != first {
 		t.Error("the file was read again before its time")
 	}
 	p.checked = time.Time{}
-	second, err := p.Get()
+	second, err := p.Certificate()
 	if err != nil || second == first {
 		t.Errorf("the new certificate is not in force, %v", err)
 	}
@@ -174,10 +174,10 @@
 		t.Fatal(err)
 	}
 	p.checked = time.Time{}
-	if got, err := p.Get(); err != nil || got != second {
+	if got, err := p.Certificate(); err != nil || got != second {
 		t.Errorf("a file that cannot be read took the last certificate out, %v", err)
 	}
-	if _, err := LoadPair(s.CertFile, s.KeyFile); err == nil {
+	if _, err := LoadKeyPair(s.CertFile, s.KeyFile); err == nil {
 		t.Error("a broken certificate was loaded")
 	}
 }
--- a/test/ablate/table.go
+++ b/test/ablate/table.go
@@ -20,8 +20,8 @@
 
 var ablations = []ablation{
 	{"swap against the slot's version", "internal/configlog/committer.go",
-		"_, err = a.store.Swap(ctx, slotKey(rec.Revision), free.version, body, 0)",
-		"e, _ := a.store.Get(ctx, slotKey(rec.Revision))\n\t_, err = a.store.Swap(ctx, slotKey(rec.Revision), e.Version, body, 0)", pkgLog, "Ring|Racing|Histories", nil},
+		"_, err = a.store.CompareAndSwap(ctx, slotKey(rec.Revision), free.version, body, 0)",
+		"e, _ := a.store.Get(ctx, slotKey(rec.Revision))\n\t_, err = a.store.CompareAndSwap(ctx, slotKey(rec.Revision), e.Version, body, 0)", pkgLog, "Ring|Racing|Histories", nil},
 	{"change id looked up after a lost reply", "internal/configlog/committer.go",
 		"rev != 0 {\n\t\traiseHead", "rev == 1<<63 {\n\t\traiseHead", pkgLog, "LostCall|Histories", nil},
 	{"unknown outcome is not called refused", "internal/configlog/committer.go",
@@ -154,8 +154,8 @@
 	{"holding a lapsed grant for the longest request", "internal/share/keeper.go",
 		"k.boot()-since >= int64(hold+holdMargin)", "k.boot()-since >= 0*int64(hold+holdMargin)", pkgShare, "Generated", nil},
 	{"swap of the ledger against its version", "internal/share/keeper.go",
-		"written, err := k.store.Swap(ctx, ledgerKey(t.Region), version, body, 0)",
-		"e, _ := k.store.Get(ctx, ledgerKey(t.Region))\n\twritten, err := k.store.Swap(ctx, ledgerKey(t.Region), e.Version, body, 0)", pkgShare, "RacingKeepers", nil},
+		"written, err := k.store.CompareAndSwap(ctx, ledgerKey(t.Region), version, body, 0)",
+		"e, _ := k.store.Get(ctx, ledgerKey(t.Region))\n\twritten, err := k.store.CompareAndSwap(ctx, ledgerKey(t.Region), e.Version, body, 0)", pkgShare, "RacingKeepers", nil},
 	{"lowering the limit before the ledger", "internal/share/plan.go",
 		"kept := max(need, u.Limit-floor, u.InFlight-floor, 0)", "kept := max(need, 0)", pkgShare, "GrantIsLowered", nil},
 	{"the smaller grant while a swap is unanswered", "internal/share/keeper.go",
--- a/test/slopes/fleet.go
+++ b/test/slopes/fleet.go
@@ -64,7 +64,7 @@
 		u.bytes["all"] = append(u.bytes["all"], m.traffic.Sent.Load()+m.traffic.Received.Load())
 	}
 	for _, op := range []standin.Op{standin.OpGet, standin.OpSwap, standin.OpWatch} {
-		u.calls += c.store.Calls(op)
+		u.calls += c.store.CallCount(op)
 	}
 	return u
 }
@@ -165,7 +165,7 @@
 func start(ctx context.Context, n, perDomain int) (*cluster, error) {
 	ctx, stop := context.WithCancel(ctx)
 	c := &cluster{store: standin.NewStore(), stop: stop}
-	list := standin.NewList(nil)
+	list := standin.NewInstanceList(nil)
 	var seed string
 	for i := range n {
 		m, err := c.startAgent(ctx, i, perDomain, seed, list)
@@ -181,7 +181,7 @@
 	return c, nil
 }
 
-func (c *cluster) startAgent(ctx context.Context, i, perDomain int, seed string, list platform.Lister) (*member, error) {
+func (c *cluster) startAgent(ctx context.Context, i, perDomain int, seed string, list platform.InstanceLister) (*member, error) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
