--- a/cmd/loomkeel-agent/main.go
+++ b/cmd/loomkeel-agent/main.go
@@ -16,9 +16,9 @@
 	"github.com/loomkeel/loomkeel/internal/bootclock"
 	"github.com/loomkeel/loomkeel/internal/cli"
 	"github.com/loomkeel/loomkeel/internal/command"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 	"github.com/loomkeel/loomkeel/internal/membership"
 	"github.com/loomkeel/loomkeel/internal/metrics"
-	"github.com/loomkeel/loomkeel/internal/platform"
 	"github.com/loomkeel/loomkeel/internal/process"
 	"github.com/loomkeel/loomkeel/internal/query"
 	"github.com/loomkeel/loomkeel/internal/rpc"
@@ -42,7 +42,7 @@
 	traffic := new(rpc.Traffic)
 	dialer := rpc.NewDialer(clientTLS, traffic)
 	defer dialer.Close()
-	client := platform.NewClient(s.Platform.Address, s.Platform.Timeout)
+	client := coordination.NewClient(s.Platform.Address, s.Platform.Timeout)
 	a := agent.New(agent.Options{
 		Self:       self(s),
 		Seeds:      s.Agent.Seeds,
--- a/cmd/loomkeel-standin/main.go
+++ b/cmd/loomkeel-standin/main.go
@@ -13,7 +13,7 @@
 	"github.com/urfave/cli/v3"
 
 	lcli "github.com/loomkeel/loomkeel/internal/cli"
-	"github.com/loomkeel/loomkeel/internal/platform"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 	"github.com/loomkeel/loomkeel/internal/process"
 	"github.com/loomkeel/loomkeel/internal/standin"
 )
@@ -49,7 +49,7 @@
 	lcli.Exit(cmd.Name, cmd.Run(context.Background(), os.Args))
 }
 
-func readInstances(file string) ([]platform.Instance, error) {
+func readInstances(file string) ([]coordination.Instance, error) {
 	if file == "" {
 		return nil, nil
 	}
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var list []platform.Instance
+	var list []coordination.Instance
 	return list, eris.Wrapf(json.Unmarshal(b, &list), "%s", file)
 }
 
@@ -91,7 +91,7 @@
 	}
 	gauges := make(map[string]*standin.InFlightGauge)
 	for _, i := range list {
-		if i.Kind != platform.KindUpstream || c.String("region") != "" && i.Region != c.String("region") {
+		if i.Kind != coordination.KindUpstream || c.String("region") != "" && i.Region != c.String("region") {
 			continue
 		}
 		group := i.Service + " " + i.Region
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -16,9 +16,9 @@
 	"k8s.io/klog/v2"
 
 	"github.com/loomkeel/loomkeel/internal/configlog"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 	"github.com/loomkeel/loomkeel/internal/fanout"
 	"github.com/loomkeel/loomkeel/internal/membership"
-	"github.com/loomkeel/loomkeel/internal/platform"
 	"github.com/loomkeel/loomkeel/internal/rpc/pb"
 	"github.com/loomkeel/loomkeel/internal/share"
 )
@@ -40,8 +40,8 @@
 	Self membership.Member
 	// Seeds are addresses of agents to start from.
 	Seeds []string
-	Store platform.Store
-	List  platform.InstanceLister
+	Store coordination.Store
+	List  coordination.InstanceLister
 	Peers Peers
 	// Rand is the source of all random choices of the agent.
 	Rand *rand.Rand
--- a/internal/agent/directory.go
+++ b/internal/agent/directory.go
@@ -3,8 +3,8 @@
 import (
 	"sync"
 
+	"github.com/loomkeel/loomkeel/internal/coordination"
 	"github.com/loomkeel/loomkeel/internal/model"
-	"github.com/loomkeel/loomkeel/internal/platform"
 )
 
 // directory holds the newest list of upstreams. It is safe for concurrent use.
@@ -45,10 +45,10 @@
 }
 
 // take takes in the platform's list.
-func (d *directory) take(l platform.InstanceList) {
+func (d *directory) take(l coordination.InstanceList) {
 	var addrs []string
 	for _, i := range l.Instances {
-		if i.Kind == platform.KindNode && !i.Leaving {
+		if i.Kind == coordination.KindNode && !i.Leaving {
 			addrs = append(addrs, i.Address)
 		}
 	}
@@ -66,10 +66,10 @@
 }
 
 // fromPlatform returns the upstreams of the platform's list.
-func fromPlatform(l platform.InstanceList) model.Directory {
+func fromPlatform(l coordination.InstanceList) model.Directory {
 	d := model.Directory{Version: l.Version}
 	for _, i := range l.Instances {
-		if i.Kind != platform.KindUpstream {
+		if i.Kind != coordination.KindUpstream {
 			continue
 		}
 		d.Upstreams = append(d.Upstreams, model.Upstream{
--- a/internal/agent/network_test.go
+++ b/internal/agent/network_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"github.com/loomkeel/loomkeel/internal/configlog"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 	"github.com/loomkeel/loomkeel/internal/membership"
-	"github.com/loomkeel/loomkeel/internal/platform"
 	"github.com/loomkeel/loomkeel/internal/rpc/pb"
 	"github.com/loomkeel/loomkeel/internal/standin"
 	"github.com/loomkeel/loomkeel/internal/tree"
@@ -167,16 +167,16 @@
 	return s.net.cut != nil && s.net.cut(s.self, storeAddr)
 }
 
-func (s storeOf) Get(ctx context.Context, key string) (platform.Entry, error) {
+func (s storeOf) Get(ctx context.Context, key string) (coordination.Entry, error) {
 	if s.lost() {
-		return platform.Entry{}, standin.ErrUnavailable
+		return coordination.Entry{}, standin.ErrUnavailable
 	}
 	return s.Store.Get(ctx, key)
 }
 
-func (s storeOf) Watch(ctx context.Context, key string, version uint64, wait time.Duration) (platform.Entry, error) {
+func (s storeOf) Watch(ctx context.Context, key string, version uint64, wait time.Duration) (coordination.Entry, error) {
 	if s.lost() {
-		return platform.Entry{}, standin.ErrUnavailable
+		return coordination.Entry{}, standin.ErrUnavailable
 	}
 	return s.Store.Watch(ctx, key, version, wait)
 }
--- a/internal/configlog/committer.go
+++ b/internal/configlog/committer.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"github.com/loomkeel/loomkeel/internal/platform"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 )
 
 const (
@@ -49,7 +49,7 @@
 // of one Committer run one after the other.
 type Committer struct {
 	mu    sync.Mutex
-	store platform.Store
+	store coordination.Store
 	log   *Log
 	now   func() time.Time
 	// snapshot is the revision of the newest snapshot known to be stored.
@@ -57,7 +57,7 @@
 }
 
 // NewCommitter returns a Committer that checks changes against log.
-func NewCommitter(store platform.Store, log *Log, now func() time.Time) *Committer {
+func NewCommitter(store coordination.Store, log *Log, now func() time.Time) *Committer {
 	return &Committer{store: store, log: log, now: now}
 }
 
@@ -145,9 +145,9 @@
 	switch {
 	case err == nil:
 		return a.accepted(ctx, rec), true
-	case errors.Is(err, platform.ErrConflict):
+	case errors.Is(err, coordination.ErrConflict):
 		return Result{}, false
-	case errors.Is(err, platform.ErrRefused):
+	case errors.Is(err, coordination.ErrRefused):
 		return a.retry(ctx, err)
 	}
 	a.pending = rec.Revision
--- a/internal/configlog/committer_test.go
+++ b/internal/configlog/committer_test.go
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/loomkeel/loomkeel/internal/platform"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 	"github.com/loomkeel/loomkeel/internal/standin"
 	"github.com/loomkeel/loomkeel/internal/tree"
 )
@@ -21,7 +21,7 @@
 	c   *Committer
 }
 
-func newWriter(s platform.Store) *writer {
+func newWriter(s coordination.Store) *writer {
 	log := NewLog()
 	return &writer{log, NewCommitter(s, log, time.Now)}
 }
@@ -38,7 +38,7 @@
 }
 
 // occurrences reads the whole log and counts each change id.
-func occurrences(t testing.TB, s platform.Store) (map[string]int, *Log) {
+func occurrences(t testing.TB, s coordination.Store) (map[string]int, *Log) {
 	t.Helper()
 	log := NewLog()
 	seen := make(map[string]int)
@@ -160,7 +160,7 @@
 	}
 }
 
-func race(t *testing.T, s platform.Store, n int, change func(i int) Change) map[Outcome]int {
+func race(t *testing.T, s coordination.Store, n int, change func(i int) Change) map[Outcome]int {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	got := make(map[Outcome]int)
--- a/internal/configlog/reader.go
+++ b/internal/configlog/reader.go
@@ -8,7 +8,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/loomkeel/loomkeel/internal/platform"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 	"github.com/loomkeel/loomkeel/internal/rpc/pb"
 )
 
@@ -26,14 +26,14 @@
 // Reader follows the log in the store. Its methods must not be called at the
 // same time.
 type Reader struct {
-	store platform.Store
+	store coordination.Store
 	log   *Log
 	// headVersion is the store's version of the head that was read last.
 	headVersion uint64
 }
 
 // NewReader returns a Reader that applies to log what it finds in store.
-func NewReader(store platform.Store, log *Log) *Reader {
+func NewReader(store coordination.Store, log *Log) *Reader {
 	return &Reader{store: store, log: log}
 }
 
@@ -52,7 +52,7 @@
 // counts as soon as it stands in its slot.
 func (r *Reader) CatchUp(ctx context.Context) error { return catchUp(ctx, r.store, r.log) }
 
-func catchUp(ctx context.Context, store platform.Store, log *Log) error {
+func catchUp(ctx context.Context, store coordination.Store, log *Log) error {
 	for {
 		_, more, err := readNext(ctx, store, log)
 		if err != nil || !more {
@@ -69,13 +69,13 @@
 
 // readNext reads the slot of the next revision. It reports more if the log has
 // advanced, and otherwise returns the slot, which is free for the next revision.
-func readNext(ctx context.Context, store platform.Store, log *Log) (slot, bool, error) {
+func readNext(ctx context.Context, store coordination.Store, log *Log) (slot, bool, error) {
 	next := log.Revision() + 1
 	e, err := store.Get(ctx, slotKey(next))
 	if err != nil {
 		return slot{}, false, err
 	}
-	if e.Version == platform.Absent {
+	if e.Version == coordination.Absent {
 		return slot{}, false, checkFree(0, next)
 	}
 	rec, err := Decode(e.Value)
@@ -101,7 +101,7 @@
 }
 
 // restore loads the snapshot when the ring has gone a whole round past the log.
-func restore(ctx context.Context, store platform.Store, log *Log, seen uint64) error {
+func restore(ctx context.Context, store coordination.Store, log *Log, seen uint64) error {
 	s, err := LoadSnapshot(ctx, store)
 	if err != nil {
 		return err
@@ -154,7 +154,7 @@
 
 // raiseHead writes the newest records to the head unless it is already there.
 // Failure is harmless: readers also look at the slots themselves.
-func raiseHead(ctx context.Context, store platform.Store, log *Log) {
+func raiseHead(ctx context.Context, store coordination.Store, log *Log) {
 	e, err := store.Get(ctx, headKey)
 	if err != nil {
 		return
--- a/internal/configlog/snapshot.go
+++ b/internal/configlog/snapshot.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/loomkeel/loomkeel/internal/platform"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 	"github.com/loomkeel/loomkeel/internal/rpc/pb"
 	"github.com/loomkeel/loomkeel/internal/tree"
 )
@@ -130,7 +130,7 @@
 // SaveSnapshot writes a snapshot to the store, swaps the pointer forward and
 // removes the parts of the snapshot before. It returns the revision that the
 // pointer names in the end, which may be newer than s.
-func SaveSnapshot(ctx context.Context, store platform.Store, s *Snapshot) (uint64, error) {
+func SaveSnapshot(ctx context.Context, store coordination.Store, s *Snapshot) (uint64, error) {
 	at, old, err := readPointer(ctx, store)
 	if err != nil || old.GetRevision() >= s.Revision {
 		return old.GetRevision(), err
@@ -158,29 +158,29 @@
 }
 
 // putPart writes a part unless another writer of the same revision has.
-func putPart(ctx context.Context, store platform.Store, key string, body []byte) error {
-	_, err := store.CompareAndSwap(ctx, key, platform.Absent, body, 0)
-	if errors.Is(err, platform.ErrConflict) {
+func putPart(ctx context.Context, store coordination.Store, key string, body []byte) error {
+	_, err := store.CompareAndSwap(ctx, key, coordination.Absent, body, 0)
+	if errors.Is(err, coordination.ErrConflict) {
 		return nil
 	}
 	return err
 }
 
 // dropParts removes an old snapshot's parts as far as the store lets it.
-func dropParts(ctx context.Context, store platform.Store, old *pb.SnapshotPointer) {
+func dropParts(ctx context.Context, store coordination.Store, old *pb.SnapshotPointer) {
 	for i := range old.GetChecksums() {
 		key := partKey(old.GetRevision(), i)
 		e, err := store.Get(ctx, key)
 		if err != nil {
 			return
 		}
-		if e.Version != platform.Absent {
+		if e.Version != coordination.Absent {
 			_ = store.Delete(ctx, key, e.Version)
 		}
 	}
 }
 
-func readPointer(ctx context.Context, store platform.Store) (uint64, *pb.SnapshotPointer, error) {
+func readPointer(ctx context.Context, store coordination.Store) (uint64, *pb.SnapshotPointer, error) {
 	var p pb.SnapshotPointer
 	e, err := store.Get(ctx, snapshotKey)
 	if err != nil {
@@ -198,7 +198,7 @@
 
 // LoadSnapshot reads the newest snapshot from the store; nil means that there
 // is none.
-func LoadSnapshot(ctx context.Context, store platform.Store) (*Snapshot, error) {
+func LoadSnapshot(ctx context.Context, store coordination.Store) (*Snapshot, error) {
 	var err error
 	for range snapshotTries {
 		var p *pb.SnapshotPointer
@@ -216,7 +216,7 @@
 	return nil, err
 }
 
-func loadParts(ctx context.Context, store platform.Store, p *pb.SnapshotPointer) (*Snapshot, error) {
+func loadParts(ctx context.Context, store coordination.Store, p *pb.SnapshotPointer) (*Snapshot, error) {
 	var a Assembler
 	for i, sum := range p.GetChecksums() {
 		e, err := store.Get(ctx, partKey(p.GetRevision(), i))
--- a/internal/platform/client.go
+++ b/internal/coordination/client.go
@@ -1,4 +1,4 @@
-package platform
+package coordination
 
 import (
 	"bytes"
--- a/internal/platform/platform.go
+++ b/internal/coordination/coordination.go
@@ -1,9 +1,9 @@
-// Package platform is the client of what the platform gives: a key-value
+// Package coordination is the client of what the platform gives: a key-value
 // service with compare-and-swap, leases and watches, and a list of instances.
 //
 // Both are reached through small interfaces, so that decisions and tests run
 // against an in-memory stand-in. Client is the HTTP implementation.
-package platform
+package coordination
 
 import (
 	"context"
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -67,9 +67,9 @@
 	// Ballast counts as heap but is never touched, so it takes no memory itself.
 	// With a heap of few megabytes the collector would otherwise run every few
 	// hundred requests.
-	BallastAgent = 4 << 20
+	BallastAgent    = 4 << 20
 	BallastDirector = 16 << 20
-	BallastEntry = 32 << 20
+	BallastEntry    = 32 << 20
 )
 
 var ballast []byte
--- a/internal/share/keeper.go
+++ b/internal/share/keeper.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"github.com/loomkeel/loomkeel/internal/platform"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 )
 
 const (
@@ -31,7 +31,7 @@
 // Keeper takes part in the division of caps for one instance. It is safe for
 // concurrent use, but one Round must end before the next.
 type Keeper struct {
-	store platform.Store
+	store coordination.Store
 	id    string
 	home  string
 	// boot is the machine's clock since boot, now the wall clock.
@@ -41,7 +41,7 @@
 	mu sync.Mutex
 	// lease is the own lease, renewed when it was last asked for, until when it
 	// may be used.
-	lease   platform.LeaseID
+	lease   coordination.LeaseID
 	renewed int64
 	until   int64
 	regions map[string]*region
@@ -65,7 +65,7 @@
 
 // NewKeeper returns a Keeper for an instance of a region. The id must differ
 // between two machines that take themselves for the same instance.
-func NewKeeper(store platform.Store, id, home string, boot func() int64, now func() time.Time) *Keeper {
+func NewKeeper(store coordination.Store, id, home string, boot func() int64, now func() time.Time) *Keeper {
 	return &Keeper{
 		store: store, id: id, home: home, boot: boot, now: now,
 		regions: make(map[string]*region), absent: make(map[uint64]int64),
@@ -146,7 +146,7 @@
 	var err error
 	if lease == 0 {
 		lease, err = k.takeLease(ctx)
-	} else if err = k.store.KeepAlive(ctx, lease); errors.Is(err, platform.ErrLeaseNotFound) {
+	} else if err = k.store.KeepAlive(ctx, lease); errors.Is(err, coordination.ErrLeaseNotFound) {
 		lease, err = k.takeLease(ctx)
 	}
 	if err != nil {
@@ -159,12 +159,12 @@
 	return nil
 }
 
-func (k *Keeper) takeLease(ctx context.Context) (platform.LeaseID, error) {
+func (k *Keeper) takeLease(ctx context.Context) (coordination.LeaseID, error) {
 	lease, err := k.store.Grant(ctx, LeaseTTL)
 	if err != nil {
 		return 0, err
 	}
-	_, err = k.store.CompareAndSwap(ctx, markKey(uint64(lease)), platform.Absent, []byte(k.id), lease)
+	_, err = k.store.CompareAndSwap(ctx, markKey(uint64(lease)), coordination.Absent, []byte(k.id), lease)
 	return lease, err
 }
 
@@ -206,7 +206,7 @@
 	case err == nil:
 		k.confirm(t, next, written)
 		return true, nil
-	case errors.Is(err, platform.ErrConflict):
+	case errors.Is(err, coordination.ErrConflict):
 		return false, nil
 	}
 	k.mu.Lock()
@@ -261,7 +261,7 @@
 		if err != nil {
 			return err
 		}
-		k.note(g.Lease, e.Version == platform.Absent)
+		k.note(g.Lease, e.Version == coordination.Absent)
 	}
 	return nil
 }
--- a/internal/standin/http.go
+++ b/internal/standin/http.go
@@ -12,14 +12,14 @@
 
 	"github.com/go-chi/chi/v5"
 
-	"github.com/loomkeel/loomkeel/internal/platform"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 )
 
 // Server serves a Store and a List over HTTP in the form that
-// platform.Client expects, with a page to inject faults.
+// coordination.Client expects, with a page to inject faults.
 type Server struct {
-	Store *Store
-	Instances  *InstanceList
+	Store     *Store
+	Instances *InstanceList
 
 	mu   sync.Mutex
 	mode string
@@ -53,18 +53,18 @@
 }
 
 func (p *Server) put(w http.ResponseWriter, r *http.Request) {
-	value, err := io.ReadAll(io.LimitReader(r.Body, platform.MaxValueBytes+1))
+	value, err := io.ReadAll(io.LimitReader(r.Body, coordination.MaxValueBytes+1))
 	if err != nil {
 		return
 	}
-	lease := platform.LeaseID(numberOf(r, "lease"))
+	lease := coordination.LeaseID(numberOf(r, "lease"))
 	version, err := p.Store.CompareAndSwap(r.Context(), chi.URLParam(r, "key"), numberOf(r, "version"), value, lease)
-	answer(w, platform.Entry{Version: version}, err)
+	answer(w, coordination.Entry{Version: version}, err)
 }
 
 func (p *Server) del(w http.ResponseWriter, r *http.Request) {
 	err := p.Store.Delete(r.Context(), chi.URLParam(r, "key"), numberOf(r, "version"))
-	answer(w, platform.Entry{Version: 1}, err)
+	answer(w, coordination.Entry{Version: 1}, err)
 }
 
 func (p *Server) grant(w http.ResponseWriter, r *http.Request) {
@@ -74,19 +74,19 @@
 		return
 	}
 	id, err := p.Store.Grant(r.Context(), ttl)
-	answer(w, platform.Entry{Value: []byte(strconv.FormatUint(uint64(id), 10)), Version: 1}, err)
+	answer(w, coordination.Entry{Value: []byte(strconv.FormatUint(uint64(id), 10)), Version: 1}, err)
 }
 
 func (p *Server) keepAlive(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseUint(chi.URLParam(r, "id"), 10, 64)
-	answer(w, platform.Entry{Version: 1}, p.Store.KeepAlive(r.Context(), platform.LeaseID(id)))
+	answer(w, coordination.Entry{Version: 1}, p.Store.KeepAlive(r.Context(), coordination.LeaseID(id)))
 }
 
 func (p *Server) instances(w http.ResponseWriter, r *http.Request) {
 	wait, _ := waitOf(r)
 	l, err := p.Instances.Instances(r.Context(), numberOf(r, "not"), wait)
 	body, _ := json.Marshal(l)
-	answer(w, platform.Entry{Value: body, Version: l.Version}, err)
+	answer(w, coordination.Entry{Value: body, Version: l.Version}, err)
 }
 
 // fault switches the store and the list between up, down, lose-replies and slow.
@@ -118,7 +118,7 @@
 // leaving marks an instance of the list as leaving.
 func (p *Server) leaving(_ http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
-	p.Instances.Update(func(instances []platform.Instance) []platform.Instance {
+	p.Instances.Update(func(instances []coordination.Instance) []coordination.Instance {
 		for i := range instances {
 			if instances[i].ID == id {
 				instances[i].Leaving = true
@@ -148,18 +148,18 @@
 	return d, err == nil
 }
 
-func answer(w http.ResponseWriter, e platform.Entry, err error) {
+func answer(w http.ResponseWriter, e coordination.Entry, err error) {
 	switch {
-	case err == nil && e.Version == platform.Absent:
+	case err == nil && e.Version == coordination.Absent:
 		w.WriteHeader(http.StatusNotFound)
 	case err == nil:
-		w.Header().Set(platform.VersionHeader, strconv.FormatUint(e.Version, 10))
+		w.Header().Set(coordination.VersionHeader, strconv.FormatUint(e.Version, 10))
 		_, _ = w.Write(e.Value)
-	case errors.Is(err, platform.ErrConflict):
+	case errors.Is(err, coordination.ErrConflict):
 		w.WriteHeader(http.StatusConflict)
-	case errors.Is(err, platform.ErrLeaseNotFound):
+	case errors.Is(err, coordination.ErrLeaseNotFound):
 		w.WriteHeader(http.StatusGone)
-	case errors.Is(err, platform.ErrRefused):
+	case errors.Is(err, coordination.ErrRefused):
 		w.WriteHeader(http.StatusRequestEntityTooLarge)
 	case errors.Is(err, ErrReplyLost):
 		panic(http.ErrAbortHandler)
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -5,29 +5,29 @@
 	"sync"
 	"time"
 
-	"github.com/loomkeel/loomkeel/internal/platform"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 )
 
 // InstanceList is an in-memory instance list. It is safe for concurrent use.
 type InstanceList struct {
 	mu      sync.Mutex
-	list    platform.InstanceList
+	list    coordination.InstanceList
 	changed chan struct{}
 	down    bool
 }
 
-var _ platform.InstanceLister = (*InstanceList)(nil)
+var _ coordination.InstanceLister = (*InstanceList)(nil)
 
 // NewInstanceList returns a List that holds instances at version 1.
-func NewInstanceList(instances []platform.Instance) *InstanceList {
+func NewInstanceList(instances []coordination.Instance) *InstanceList {
 	return &InstanceList{
-		list:    platform.InstanceList{Version: 1, Instances: instances},
+		list:    coordination.InstanceList{Version: 1, Instances: instances},
 		changed: make(chan struct{}),
 	}
 }
 
 // Instances implements platform.Lister.
-func (l *InstanceList) Instances(ctx context.Context, version uint64, wait time.Duration) (platform.InstanceList, error) {
+func (l *InstanceList) Instances(ctx context.Context, version uint64, wait time.Duration) (coordination.InstanceList, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
@@ -35,7 +35,7 @@
 		list, changed, down := l.list, l.changed, l.down
 		l.mu.Unlock()
 		if down {
-			return platform.InstanceList{}, ErrUnavailable
+			return coordination.InstanceList{}, ErrUnavailable
 		}
 		if list.Version != version {
 			return list, nil
@@ -45,17 +45,17 @@
 		case <-timer.C:
 			return list, nil
 		case <-ctx.Done():
-			return platform.InstanceList{}, ctx.Err()
+			return coordination.InstanceList{}, ctx.Err()
 		}
 	}
 }
 
 // Update replaces the list by what change makes of a copy of it.
-func (l *InstanceList) Update(change func([]platform.Instance) []platform.Instance) {
+func (l *InstanceList) Update(change func([]coordination.Instance) []coordination.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	next := append([]platform.Instance(nil), l.list.Instances...)
-	l.list = platform.InstanceList{Version: l.list.Version + 1, Instances: change(next)}
+	next := append([]coordination.Instance(nil), l.list.Instances...)
+	l.list = coordination.InstanceList{Version: l.list.Version + 1, Instances: change(next)}
 	l.wake()
 }
 
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/loomkeel/loomkeel/internal/platform"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 )
 
 // ErrUnavailable is what a call to a Store that is down returns.
@@ -52,21 +52,21 @@
 // concurrent use and runs under virtual time.
 type Store struct {
 	mu      sync.Mutex
-	entries map[string]platform.Entry
-	leases  map[platform.LeaseID]*lease
+	entries map[string]coordination.Entry
+	leases  map[coordination.LeaseID]*lease
 	version uint64
 	changed chan struct{}
 	fault   func(op Op, key string) Fault
 	calls   [5]atomic.Int64
 }
 
-var _ platform.Store = (*Store)(nil)
+var _ coordination.Store = (*Store)(nil)
 
 // NewStore returns an empty Store without faults.
 func NewStore() *Store {
 	return &Store{
-		entries: make(map[string]platform.Entry),
-		leases:  make(map[platform.LeaseID]*lease),
+		entries: make(map[string]coordination.Entry),
+		leases:  make(map[coordination.LeaseID]*lease),
 		changed: make(chan struct{}),
 	}
 }
@@ -125,36 +125,36 @@
 	return err
 }
 
-// Get implements platform.Store.
-func (s *Store) Get(ctx context.Context, key string) (platform.Entry, error) {
+// Get implements coordination.Store.
+func (s *Store) Get(ctx context.Context, key string) (coordination.Entry, error) {
 	f, err := s.begin(ctx, OpGet, key)
 	if err != nil {
-		return platform.Entry{}, err
+		return coordination.Entry{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.entries[key], f.end(nil)
 }
 
-// CompareAndSwap implements platform.Store.
-func (s *Store) CompareAndSwap(ctx context.Context, key string, version uint64, value []byte, id platform.LeaseID) (uint64, error) {
+// CompareAndSwap implements coordination.Store.
+func (s *Store) CompareAndSwap(ctx context.Context, key string, version uint64, value []byte, id coordination.LeaseID) (uint64, error) {
 	f, err := s.begin(ctx, OpSwap, key)
 	if err != nil {
 		return 0, err
 	}
-	if len(value) > platform.MaxValueBytes {
-		return 0, platform.ErrRefused
+	if len(value) > coordination.MaxValueBytes {
+		return 0, coordination.ErrRefused
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.entries[key].Version != version {
-		return 0, f.end(platform.ErrConflict)
+		return 0, f.end(coordination.ErrConflict)
 	}
 	if id != 0 && s.leases[id] == nil {
-		return 0, f.end(platform.ErrLeaseNotFound)
+		return 0, f.end(coordination.ErrLeaseNotFound)
 	}
 	s.version++
-	s.entries[key] = platform.Entry{Value: append([]byte(nil), value...), Version: s.version}
+	s.entries[key] = coordination.Entry{Value: append([]byte(nil), value...), Version: s.version}
 	if id != 0 {
 		s.leases[id].keys[key] = s.version
 	}
@@ -162,7 +162,7 @@
 	return s.version, f.end(nil)
 }
 
-// Delete implements platform.Store.
+// Delete implements coordination.Store.
 func (s *Store) Delete(ctx context.Context, key string, version uint64) error {
 	f, err := s.begin(ctx, OpDelete, key)
 	if err != nil {
@@ -171,17 +171,17 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.entries[key].Version != version {
-		return f.end(platform.ErrConflict)
+		return f.end(coordination.ErrConflict)
 	}
 	delete(s.entries, key)
 	s.wake()
 	return f.end(nil)
 }
 
-// Watch implements platform.Store.
-func (s *Store) Watch(ctx context.Context, key string, version uint64, wait time.Duration) (platform.Entry, error) {
+// Watch implements coordination.Store.
+func (s *Store) Watch(ctx context.Context, key string, version uint64, wait time.Duration) (coordination.Entry, error) {
 	if _, err := s.begin(ctx, OpWatch, key); err != nil {
-		return platform.Entry{}, err
+		return coordination.Entry{}, err
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -190,7 +190,7 @@
 		e, changed, f := s.entries[key], s.changed, s.pick(OpWatch, key)
 		s.mu.Unlock()
 		if f.Down {
-			return platform.Entry{}, ErrUnavailable
+			return coordination.Entry{}, ErrUnavailable
 		}
 		if e.Version != version {
 			return e, f.end(nil)
@@ -200,13 +200,13 @@
 		case <-timer.C:
 			return e, nil
 		case <-ctx.Done():
-			return platform.Entry{}, ctx.Err()
+			return coordination.Entry{}, ctx.Err()
 		}
 	}
 }
 
-// Grant implements platform.Store.
-func (s *Store) Grant(ctx context.Context, ttl time.Duration) (platform.LeaseID, error) {
+// Grant implements coordination.Store.
+func (s *Store) Grant(ctx context.Context, ttl time.Duration) (coordination.LeaseID, error) {
 	f, err := s.begin(ctx, OpLease, "")
 	if err != nil {
 		return 0, err
@@ -214,15 +214,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
-	id := platform.LeaseID(s.version)
+	id := coordination.LeaseID(s.version)
 	l := &lease{ttl: ttl, keys: make(map[string]uint64)}
 	l.timer = time.AfterFunc(ttl, func() { s.lapse(id) })
 	s.leases[id] = l
 	return id, f.end(nil)
 }
 
-// KeepAlive implements platform.Store.
-func (s *Store) KeepAlive(ctx context.Context, id platform.LeaseID) error {
+// KeepAlive implements coordination.Store.
+func (s *Store) KeepAlive(ctx context.Context, id coordination.LeaseID) error {
 	f, err := s.begin(ctx, OpLease, "")
 	if err != nil {
 		return err
@@ -231,14 +231,14 @@
 	defer s.mu.Unlock()
 	l := s.leases[id]
 	if l == nil {
-		return f.end(platform.ErrLeaseNotFound)
+		return f.end(coordination.ErrLeaseNotFound)
 	}
 	l.timer.Reset(l.ttl)
 	return f.end(nil)
 }
 
 // lapse ends a lease and removes the keys that it still holds.
-func (s *Store) lapse(id platform.LeaseID) {
+func (s *Store) lapse(id coordination.LeaseID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.leases[id]
--- a/test/fleet/fleet.go
+++ b/test/fleet/fleet.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/loomkeel/loomkeel/internal/platform"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 )
 
 // Spec says what to run.
@@ -23,7 +23,7 @@
 	// Groups are the upstreams.
 	Groups []Group
 	// Phantoms are further upstreams that only the platform's list names.
-	Phantoms []platform.Instance
+	Phantoms []coordination.Instance
 	// Work is how long a request takes at an upstream.
 	Work time.Duration
 	// Relays puts a relay between each node and the platform, and between the
@@ -52,7 +52,7 @@
 	Spec      Spec
 	Platform  string
 	Nodes     map[string]Addresses
-	Upstreams []platform.Instance
+	Upstreams []coordination.Instance
 	// PlatformRelays are those of the nodes, UpstreamRelays those of the
 	// upstreams, by id; empty without Spec.Relays.
 	PlatformRelays, UpstreamRelays map[string]*Relay
@@ -94,7 +94,7 @@
 	return f, nil
 }
 
-func (f *Fleet) writeList(name string, instances []platform.Instance) error {
+func (f *Fleet) writeList(name string, instances []coordination.Instance) error {
 	body, err := json.MarshalIndent(instances, "", "  ")
 	if err != nil {
 		return err
@@ -103,7 +103,7 @@
 }
 
 // addRelays puts the relays' addresses into the instance list.
-func (f *Fleet) addRelays(instances []platform.Instance) error {
+func (f *Fleet) addRelays(instances []coordination.Instance) error {
 	if !f.Spec.Relays {
 		return nil
 	}
@@ -115,7 +115,7 @@
 		f.PlatformRelays[n.ID] = r
 	}
 	for i := range instances {
-		if instances[i].Kind != platform.KindUpstream {
+		if instances[i].Kind != coordination.KindUpstream {
 			continue
 		}
 		r, err := NewRelay(instances[i].Address)
@@ -144,18 +144,18 @@
 	return n
 }
 
-func (f *Fleet) layOut(next func() string) []platform.Instance {
-	var list []platform.Instance
+func (f *Fleet) layOut(next func() string) []coordination.Instance {
+	var list []coordination.Instance
 	for _, n := range f.Spec.Nodes {
 		a := Addresses{next(), next(), next(), next(), next(), next()}
 		f.Nodes[n.ID] = a
-		list = append(list, platform.Instance{ID: n.ID, Kind: platform.KindNode, Region: n.Region, Domain: n.Domain, Address: a.Peer})
+		list = append(list, coordination.Instance{ID: n.ID, Kind: coordination.KindNode, Region: n.Region, Domain: n.Domain, Address: a.Peer})
 	}
 	for _, g := range f.Spec.Groups {
 		for i := range g.Count {
-			u := platform.Instance{
+			u := coordination.Instance{
 				ID:      fmt.Sprintf("%s-%s-%d", g.Service, g.Domain, i+1),
-				Kind:    platform.KindUpstream,
+				Kind:    coordination.KindUpstream,
 				Service: g.Service, Region: g.Region, Domain: g.Domain,
 				Address: next(), Slots: g.Slots, Connections: 400,
 			}
--- a/test/slopes/fleet.go
+++ b/test/slopes/fleet.go
@@ -15,8 +15,8 @@
 
 	"github.com/loomkeel/loomkeel/internal/agent"
 	"github.com/loomkeel/loomkeel/internal/configlog"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 	"github.com/loomkeel/loomkeel/internal/membership"
-	"github.com/loomkeel/loomkeel/internal/platform"
 	"github.com/loomkeel/loomkeel/internal/rpc"
 	"github.com/loomkeel/loomkeel/internal/standin"
 	"github.com/loomkeel/loomkeel/internal/tree"
@@ -181,7 +181,7 @@
 	return c, nil
 }
 
-func (c *cluster) startAgent(ctx context.Context, i, perDomain int, seed string, list platform.InstanceLister) (*member, error) {
+func (c *cluster) startAgent(ctx context.Context, i, perDomain int, seed string, list coordination.InstanceLister) (*member, error) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
--- a/test/slopes/processes.go
+++ b/test/slopes/processes.go
@@ -13,7 +13,7 @@
 
 	"github.com/loomkeel/loomkeel/internal/command"
 	"github.com/loomkeel/loomkeel/internal/configlog"
-	"github.com/loomkeel/loomkeel/internal/platform"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 	"github.com/loomkeel/loomkeel/test/fleet"
 )
 
@@ -62,11 +62,11 @@
 }
 
 // phantoms are upstreams of which nothing runs.
-func phantoms(n int) []platform.Instance {
-	out := make([]platform.Instance, n)
+func phantoms(n int) []coordination.Instance {
+	out := make([]coordination.Instance, n)
 	for i := range out {
-		out[i] = platform.Instance{
-			ID: fmt.Sprintf("phantom-%d", i), Kind: platform.KindUpstream, Service: fmt.Sprintf("service-%d", i%40),
+		out[i] = coordination.Instance{
+			ID: fmt.Sprintf("phantom-%d", i), Kind: coordination.KindUpstream, Service: fmt.Sprintf("service-%d", i%40),
 			Region: fmt.Sprintf("region-%d", i%regions), Domain: fmt.Sprintf("domain-%d", i%101),
 			Address: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, byte(i>>8), byte(i)), Slots: 9, Connections: 400,
 		}
