--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -15,16 +15,21 @@
 	"gopkg.in/ini.v1"
 )
 
-// ValidationError is one thing wrong with a settings file.
+// ValidationError describes one invalid section, key or value of a settings file.
 type ValidationError struct {
+	// File is the path of the settings file. Section, Key and Value are empty where the
+	// error does not concern one.
 	File, Section, Key, Value string
-	Reason                    string
-	Allowed                   string
-	// Suggestion is the known name closest to a misspelt one.
+	// Reason says why the value, key or section is invalid.
+	Reason string
+	// Allowed describes the valid values, keys or sections; empty if unknown.
+	Allowed string
+	// Suggestion is the known section or key closest to an unknown one, or empty.
 	Suggestion string
 }
 
-// Error implements error.
+// Error returns one line with the file, section, key, value, reason, valid values and
+// suggestion.
 func (f ValidationError) Error() string {
 	s := fmt.Sprintf("%s: [%s]", f.File, f.Section)
 	if f.Key != "" {
@@ -43,10 +48,10 @@
 	return s
 }
 
-// ValidationErrors are all that is wrong with a settings file.
+// ValidationErrors holds all errors of a settings file.
 type ValidationErrors []ValidationError
 
-// Error implements error.
+// Error returns the errors, one per line.
 func (fs ValidationErrors) Error() string {
 	lines := make([]string, len(fs))
 	for i, f := range fs {
@@ -55,7 +60,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Load reads a file. Its error is of type Faults.
+// Load reads an INI file, applies the defaults and validates the values. The error is of type
+// ValidationErrors and holds every error found, or the one of reading or parsing the file.
 func Load(file string) (*Settings, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{AllowShadows: false}, file)
 	if err != nil {
@@ -64,23 +70,26 @@
 	s := new(Settings)
 	l := loader{file: file, ini: f}
 	l.load(reflect.ValueOf(s).Elem())
-	l.checkTogether(s)
-	if len(l.faults) > 0 {
-		return nil, l.faults
+	l.checkDependencies(s)
+	if len(l.errs) > 0 {
+		return nil, l.errs
 	}
 	return s, nil
 }
 
+// loader fills a Settings from a parsed file and collects the validation errors.
 type loader struct {
-	file   string
-	ini    *ini.File
-	faults ValidationErrors
+	file string
+	ini  *ini.File
+	errs ValidationErrors
 }
 
-func (l *loader) fault(section, key, value, reason, allowed string) {
-	l.faults = append(l.faults, ValidationError{l.file, section, key, value, reason, allowed, ""})
+// addError records an invalid value and the values allowed in its place.
+func (l *loader) addError(section, key, value, reason, allowed string) {
+	l.errs = append(l.errs, ValidationError{l.file, section, key, value, reason, allowed, ""})
 }
 
+// load fills every section of the settings in v and reports unknown sections.
 func (l *loader) load(v reflect.Value) {
 	var sections []string
 	for i := range v.NumField() {
@@ -93,12 +102,13 @@
 			continue
 		}
 		if !slices.Contains(sections, s.Name()) {
-			l.faults = append(l.faults, ValidationError{File: l.file, Section: s.Name(), Reason: "unknown section",
+			l.errs = append(l.errs, ValidationError{File: l.file, Section: s.Name(), Reason: "unknown section",
 				Allowed: strings.Join(sections, ", "), Suggestion: nearest(s.Name(), sections)})
 		}
 	}
 }
 
+// loadSection fills the fields of v from a section and reports unknown keys.
 func (l *loader) loadSection(name string, v reflect.Value) {
 	section := l.ini.Section(name)
 	var known []string
@@ -110,12 +120,13 @@
 	}
 	for _, k := range section.Keys() {
 		if !slices.Contains(known, k.Name()) {
-			l.faults = append(l.faults, ValidationError{File: l.file, Section: name, Key: k.Name(), Value: k.Value(), Reason: "unknown key",
+			l.errs = append(l.errs, ValidationError{File: l.file, Section: name, Key: k.Name(), Value: k.Value(), Reason: "unknown key",
 				Allowed: strings.Join(known, ", "), Suggestion: nearest(k.Name(), known)})
 		}
 	}
 }
 
+// loadKey sets v from a key of the section, or from the default in the field's tag.
 func (l *loader) loadKey(section, key string, s *ini.Section, f reflect.StructField, v reflect.Value) {
 	text := f.Tag.Get("default")
 	if s.HasKey(key) {
@@ -123,17 +134,17 @@
 	}
 	if text == "" {
 		if f.Tag.Get("required") == "true" {
-			l.fault(section, key, "", "missing", AllowedValues(f))
+			l.addError(section, key, "", "missing", AllowedValues(f))
 		}
 		return
 	}
-	if err := set(f, v, text); err != nil {
-		l.fault(section, key, text, err.Error(), AllowedValues(f))
+	if err := parseField(f, v, text); err != nil {
+		l.addError(section, key, text, err.Error(), AllowedValues(f))
 	}
 }
 
-// set parses text into a field.
-func set(f reflect.StructField, v reflect.Value, text string) error {
+// parseField parses text into v and checks it against the tags of the field f.
+func parseField(f reflect.StructField, v reflect.Value, text string) error {
 	switch p := v.Addr().Interface().(type) {
 	case *string:
 		*p = text
@@ -174,12 +185,14 @@
 	return nil
 }
 
-var nameRE = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._-]{0,63}$`)
+// namePattern matches a valid name: at most 64 characters, the first a letter or digit.
+var namePattern = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._-]{0,63}$`)
 
+// checkForm checks text against the form tag of a field.
 func checkForm(form, text string) error {
 	switch form {
 	case "name":
-		if !nameRE.MatchString(text) {
+		if !namePattern.MatchString(text) {
 			return fmt.Errorf("not a name")
 		}
 	case "address":
@@ -195,7 +208,8 @@
 	return nil
 }
 
-// AllowedValues says in words what values a field takes.
+// AllowedValues describes the values that a field of a section accepts, for error messages
+// and documentation.
 func AllowedValues(f reflect.StructField) string {
 	words := map[string]string{
 		"name":    "letters, digits, dot, dash and underscore, at most 64",
@@ -214,28 +228,30 @@
 	return words[f.Tag.Get("form")]
 }
 
-// checkTogether checks what binds several keys.
-func (l *loader) checkTogether(s *Settings) {
+// checkDependencies checks the rules that involve several keys, and that the debug
+// addresses are on loopback.
+func (l *loader) checkDependencies(s *Settings) {
 	if s.Agent.TokenFile == "" && !IsLoopback(s.Agent.OperatorAddress) {
-		l.fault("agent", "operator", s.Agent.OperatorAddress, "not on loopback, and there is no token_file", "a loopback address, or a token_file")
+		l.addError("agent", "operator", s.Agent.OperatorAddress, "not on loopback, and token_file is not set", "a loopback address, or a token_file")
 	}
 	if s.TLS.PeerCAFile == "" && !IsLoopback(s.Agent.PeerAddress) {
-		l.fault("agent", "peer", s.Agent.PeerAddress, "not on loopback, and [tls] peer_ca is not set", "a loopback address, or peer certificates")
+		l.addError("agent", "peer", s.Agent.PeerAddress, "not on loopback, and [tls] peer_ca is not set", "a loopback address, or peer certificates")
 	}
 	if (s.TLS.CertFile == "") != (s.TLS.KeyFile == "") {
-		l.fault("tls", "cert", s.TLS.CertFile, "cert and key go together", "both or neither")
+		l.addError("tls", "cert", s.TLS.CertFile, "cert and key must be set together", "both or neither")
 	}
 	if s.TLS.PeerCAFile != "" && s.TLS.CertFile == "" {
-		l.fault("tls", "peer_ca", s.TLS.PeerCAFile, "peers need cert and key", "cert and key beside it")
+		l.addError("tls", "peer_ca", s.TLS.PeerCAFile, "peer_ca requires cert and key", "peer_ca together with cert and key")
 	}
 	for section, addr := range map[string]string{"director": s.Director.DebugAddress, "entry": s.Entry.DebugAddress} {
 		if !IsLoopback(addr) {
-			l.fault(section, "debug", addr, "not on loopback", "a loopback address")
+			l.addError(section, "debug", addr, "not on loopback", "a loopback address")
 		}
 	}
 }
 
-// IsLoopback reports whether an address is on loopback, or empty.
+// IsLoopback reports whether the address host:port has a loopback IP address as its host. It
+// also returns true for an empty address.
 func IsLoopback(addr string) bool {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -245,21 +261,23 @@
 	return err == nil && ip.IsLoopback()
 }
 
-// maxDistance is how many letters a misspelt name may differ by to be guessed.
+// maxDistance is the largest edit distance at which a known name is suggested for an unknown
+// one.
 const maxDistance = 3
 
-// nearest returns the name with the smallest edit distance, if small enough.
+// nearest returns the name with the smallest edit distance to name, or an empty string if
+// every distance is above maxDistance.
 func nearest(name string, names []string) string {
-	best, at := "", maxDistance+1
+	best, bestDistance := "", maxDistance+1
 	for _, n := range names {
-		if d := distance(name, n); d < at {
-			best, at = n, d
+		if d := distance(name, n); d < bestDistance {
+			best, bestDistance = n, d
 		}
 	}
 	return best
 }
 
-// distance is the Levenshtein distance.
+// distance returns the Levenshtein distance of a and b in bytes.
 func distance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/internal/settings/markdown.go
+++ b/internal/settings/markdown.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// Markdown describes every key of the settings file, for docs/SETTINGS.md.
+// Markdown returns one Markdown table per section of the settings file, with each key's
+// default, allowed values and meaning. The settings page in docs is generated from it.
 func Markdown() string {
 	var b strings.Builder
 	t := reflect.TypeFor[Settings]()
