--- a/internal/coordination/client.go
+++ b/internal/coordination/client.go
@@ -12,21 +12,22 @@
 	"time"
 )
 
-// VersionHeader carries a key's version on answers of the service.
+// VersionHeader is the response header with the version of a key.
 const VersionHeader = "Version"
 
-// waitMargin is what a long poll may take beyond the wait that it asked for.
+// waitMargin is how long a long poll may take beyond the wait that was requested.
 const waitMargin = 2 * time.Second
 
-// Client talks to the platform over HTTP. It is safe for concurrent use.
+// Client is the HTTP client of the platform's key-value service and instance list. It is safe
+// for concurrent use.
 type Client struct {
 	base    string
 	http    *http.Client
 	timeout time.Duration
 }
 
-// NewClient returns a client of the service at base, for instance
-// "http://10.0.0.5:7000". A call other than a watch takes at most timeout.
+// NewClient returns a client of the services at the base URL, such as "http://10.0.0.5:7000".
+// Timeout applies to every call except Watch and Instances.
 func NewClient(base string, timeout time.Duration) *Client {
 	return &Client{base: base, http: &http.Client{}, timeout: timeout}
 }
@@ -36,12 +37,12 @@
 	InstanceLister
 } = (*Client)(nil)
 
-// Get implements Store.
+// Get implements Store with a GET request.
 func (c *Client) Get(ctx context.Context, key string) (Entry, error) {
 	return c.read(ctx, c.timeout, keyPath(key))
 }
 
-// Watch implements Store.
+// Watch implements Store with a long poll.
 func (c *Client) Watch(ctx context.Context, key string, version uint64, wait time.Duration) (Entry, error) {
 	q := url.Values{}
 	q.Set("not", strconv.FormatUint(version, 10))
@@ -49,7 +50,7 @@
 	return c.read(ctx, wait+waitMargin, keyPath(key)+"?"+q.Encode())
 }
 
-// CompareAndSwap implements Store.
+// CompareAndSwap implements Store. It sends the write once, without retries.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, version uint64, value []byte, lease LeaseID) (uint64, error) {
 	q := url.Values{}
 	q.Set("version", strconv.FormatUint(version, 10))
@@ -60,14 +61,14 @@
 	return e.Version, err
 }
 
-// Delete implements Store.
+// Delete implements Store with a DELETE request.
 func (c *Client) Delete(ctx context.Context, key string, version uint64) error {
 	path := keyPath(key) + "?version=" + strconv.FormatUint(version, 10)
 	_, err := c.do(ctx, c.timeout, http.MethodDelete, path, nil)
 	return err
 }
 
-// Grant implements Store.
+// Grant implements Store. The ID of the lease is the body of the response.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	e, err := c.do(ctx, c.timeout, http.MethodPost, "/v1/leases?ttl="+ttl.String(), nil)
 	if err != nil {
@@ -77,14 +78,14 @@
 	return LeaseID(id), err
 }
 
-// KeepAlive implements Store.
+// KeepAlive implements Store with a PUT request on the lease.
 func (c *Client) KeepAlive(ctx context.Context, id LeaseID) error {
 	path := "/v1/leases/" + strconv.FormatUint(uint64(id), 10)
 	_, err := c.do(ctx, c.timeout, http.MethodPut, path, nil)
 	return err
 }
 
-// Instances implements Lister.
+// Instances implements InstanceLister with a long poll.
 func (c *Client) Instances(ctx context.Context, version uint64, wait time.Duration) (InstanceList, error) {
 	q := url.Values{}
 	q.Set("not", strconv.FormatUint(version, 10))
@@ -95,18 +96,20 @@
 	}
 	var l InstanceList
 	if err := json.Unmarshal(e.Value, &l); err != nil {
-		return InstanceList{}, fmt.Errorf("platform: instance list: %w", err)
+		return InstanceList{}, fmt.Errorf("coordination: decode instance list: %w", err)
 	}
 	return l, nil
 }
 
+// keyPath returns the URL path of a key.
 func keyPath(key string) string { return "/v1/kv/" + url.PathEscape(key) }
 
-// read calls with GET; a missing key is an Entry with version Absent.
+// read sends a GET request. It returns an Entry with version Absent for a missing key.
 func (c *Client) read(ctx context.Context, timeout time.Duration, path string) (Entry, error) {
 	return c.do(ctx, timeout, http.MethodGet, path, nil)
 }
 
+// do sends a request and decodes the response. The timeout covers reading the body.
 func (c *Client) do(ctx context.Context, timeout time.Duration, method, path string, body []byte) (Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -115,8 +118,8 @@
 		return Entry{}, err
 	}
 	if body != nil {
-		// Without GetBody net/http does not send a write a second time by
-		// itself; a second send would report the first one as a conflict.
+		// Without GetBody, net/http cannot resend the body. It must not resend a write on its
+		// own: if the first send took effect, the second one would fail with a conflict.
 		req.Body = io.NopCloser(bytes.NewReader(body))
 		req.ContentLength = int64(len(body))
 	}
@@ -132,7 +135,7 @@
 	return decode(resp, value)
 }
 
-// decode turns an answer into an Entry or one of the package's errors.
+// decode converts a response into an Entry or an error of this package.
 func decode(resp *http.Response, value []byte) (Entry, error) {
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -147,5 +150,5 @@
 	case http.StatusTooManyRequests, http.StatusRequestEntityTooLarge:
 		return Entry{}, fmt.Errorf("%w: %s", ErrRefused, resp.Status)
 	}
-	return Entry{}, fmt.Errorf("platform: %s", resp.Status)
+	return Entry{}, fmt.Errorf("coordination: unexpected response status %s", resp.Status)
 }
