--- a/internal/logs/limiter.go
+++ b/internal/logs/limiter.go
@@ -7,7 +7,7 @@
 	"golang.org/x/time/rate"
 )
 
-// Limiter bounds the lines of each kind. It is safe for concurrent use.
+// Limiter limits the rate of log lines per kind of line. It is safe for concurrent use.
 type Limiter struct {
 	perSecond float64
 	burst     int
@@ -16,22 +16,22 @@
 	kinds map[string]*kind
 }
 
-// kind is the state of one kind of line.
+// kind is the rate limiter of one kind of line.
 type kind struct {
 	limiter *rate.Limiter
-	// left is how many lines were left out since the last one.
-	left int64
+	// suppressed is the number of lines not allowed since the last allowed one.
+	suppressed int64
 }
 
-// NewLimiter returns a Limiter that lets a number of lines of each kind through per
-// second, and a burst at once.
+// NewLimiter returns a Limiter that allows perSecond lines of each kind per second on average, and
+// bursts of up to burst lines.
 func NewLimiter(perSecond float64, burst int) *Limiter {
 	return &Limiter{perSecond: perSecond, burst: burst, kinds: make(map[string]*kind)}
 }
 
-// Allow reports whether a line of a kind may be written now, and if so how many
-// were left out since the last one.
-func (l *Limiter) Allow(now time.Time, name string) (left int64, ok bool) {
+// Allow reports whether a line of the named kind may be written at the time now. If so, it also
+// returns the number of lines of this kind suppressed since the last allowed one.
+func (l *Limiter) Allow(now time.Time, name string) (suppressed int64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := l.kinds[name]
@@ -40,9 +40,9 @@
 		l.kinds[name] = k
 	}
 	if !k.limiter.AllowN(now, 1) {
-		k.left++
+		k.suppressed++
 		return 0, false
 	}
-	left, k.left = k.left, 0
-	return left, true
+	suppressed, k.suppressed = k.suppressed, 0
+	return suppressed, true
 }
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,8 +1,8 @@
-// Package logs writes structured lines without ever holding up who writes them.
+// Package logs provides a non-blocking log writer and a rate limiter for log lines.
 //
-// Lines go through a bounded buffer to one goroutine that writes them out. If the
-// reader of the output does not keep up, lines are dropped and their number is
-// logged once it does. A Limiter bounds how many lines of each kind there are.
+// A Writer passes lines through a bounded buffer to one goroutine that writes them to the output.
+// If the reader of the output is too slow, lines are dropped, and their number is logged once the
+// output accepts lines again. A Limiter limits the rate of lines of each kind.
 package logs
 
 import (
@@ -13,30 +13,36 @@
 )
 
 const (
-	// buffered is how many lines wait to be written; at 200 bytes each some 400 KB.
-	buffered = 2048
-	// flushWait is how long Flush waits for the buffer to empty.
-	flushWait = 200 * time.Millisecond
-	pollEvery = 5 * time.Millisecond
+	// bufferLines is the capacity of the buffer in lines; at 200 bytes per line about 400 KB.
+	bufferLines = 2048
+	// flushTimeout is how long Flush waits for the buffer to be written.
+	flushTimeout = 200 * time.Millisecond
+	// flushPollInterval is how often Flush checks whether the buffer has been written.
+	flushPollInterval = 5 * time.Millisecond
 )
 
-// Writer is an io.Writer that never blocks. It is safe for concurrent use.
+// Writer is an io.Writer that never blocks and drops lines if its buffer is full. It is safe for
+// concurrent use.
 type Writer struct {
-	out     io.Writer
-	lines   chan []byte
+	out   io.Writer
+	lines chan []byte
+	// pending is the number of lines that are buffered or being written.
 	pending atomic.Int64
+	// dropped is the number of dropped lines not yet logged.
 	dropped atomic.Int64
-	total   atomic.Int64
+	// totalDropped is the number of lines dropped since the start.
+	totalDropped atomic.Int64
 }
 
-// NewWriter returns a Writer that writes to out from a goroutine of its own.
+// NewWriter returns a Writer and starts its goroutine, which writes to out and never ends.
 func NewWriter(out io.Writer) *Writer {
-	w := &Writer{out: out, lines: make(chan []byte, buffered)}
+	w := &Writer{out: out, lines: make(chan []byte, bufferLines)}
 	go w.run()
 	return w
 }
 
-// Write implements io.Writer. It takes one whole line and always succeeds.
+// Write implements io.Writer. It buffers or drops one complete line, and always returns
+// len(line) and no error.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.pending.Add(1)
 	select {
@@ -44,23 +50,23 @@
 	default:
 		w.pending.Add(-1)
 		w.dropped.Add(1)
-		w.total.Add(1)
+		w.totalDropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped since the start.
-func (w *Writer) Dropped() int64 { return w.total.Load() }
+// Dropped returns the number of lines dropped since the start.
+func (w *Writer) Dropped() int64 { return w.totalDropped.Load() }
 
-// Flush waits for a short time until everything is written.
+// Flush waits until all buffered lines are written, for at most flushTimeout.
 func (w *Writer) Flush() {
-	for end := time.Now().Add(flushWait); w.pending.Load() > 0 && time.Now().Before(end); {
-		time.Sleep(pollEvery)
+	for deadline := time.Now().Add(flushTimeout); w.pending.Load() > 0 && time.Now().Before(deadline); {
+		time.Sleep(flushPollInterval)
 	}
 }
 
-// run writes the lines. An error of the output has nowhere to be told; the lines
-// that it swallows are lost to whoever reads the output anyway.
+// run writes the buffered lines. Errors of the output are ignored, because there is no other place
+// to report them.
 func (w *Writer) run() {
 	for line := range w.lines {
 		_, _ = w.out.Write(line)
@@ -71,8 +77,9 @@
 	}
 }
 
-// shownIDs is how many ids a line names; ten of 20 bytes keep it as short as others.
-const shownIDs = 10
+// maxLoggedIDs is the maximum number of IDs in a log line; ten IDs of 20 bytes keep the line about
+// as short as others.
+const maxLoggedIDs = 10
 
-// TruncateIDs returns the first ids of a list, as many as a line may name.
-func TruncateIDs(ids []string) []string { return ids[:min(shownIDs, len(ids))] }
+// TruncateIDs returns the first IDs of a list, at most maxLoggedIDs, for a log line.
+func TruncateIDs(ids []string) []string { return ids[:min(maxLoggedIDs, len(ids))] }
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -8,40 +8,42 @@
 	"time"
 )
 
-// stuck is an output whose reader reads nothing until it is released.
-type stuck struct {
+// blockedOutput is a writer that blocks until release is closed, then passes on what is written.
+type blockedOutput struct {
 	release chan struct{}
 	got     chan string
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.release
-	s.got <- string(p)
+func (o *blockedOutput) Write(p []byte) (int, error) {
+	<-o.release
+	o.got <- string(p)
 	return len(p), nil
 }
 
-// TestFullPipeHoldsUpNothing writes more than fits to an output that is stuck.
-func TestFullPipeHoldsUpNothing(t *testing.T) {
+// TestBlockedOutputDoesNotBlockWriter writes more lines than the buffer holds while the output
+// blocks, and checks that the excess is dropped, counted and logged.
+func TestBlockedOutputDoesNotBlockWriter(t *testing.T) {
 	const extra = 100
-	out := &stuck{make(chan struct{}), make(chan string, buffered+extra)}
+	out := &blockedOutput{make(chan struct{}), make(chan string, bufferLines+extra)}
 	w := NewWriter(out)
-	for i := range buffered + extra {
+	for i := range bufferLines + extra {
 		fmt.Fprintf(w, "line %d\n", i)
 	}
 	dropped := w.Dropped()
 	if dropped < extra-1 || dropped > extra {
-		t.Errorf("%d lines dropped", dropped)
+		t.Errorf("%d lines dropped, want about 100", dropped)
 	}
 	close(out.release)
 	if first := <-out.got; first != "line 0\n" {
-		t.Errorf("first line %q", first)
+		t.Errorf("first line %q, want line 0", first)
 	}
 	if note := <-out.got; !strings.Contains(note, fmt.Sprintf("count=%d", dropped)) {
-		t.Errorf("no word of %d dropped lines: %q", dropped, note)
+		t.Errorf("want a report of %d dropped lines, got %q", dropped, note)
 	}
 }
 
-func TestLinesAreWhole(t *testing.T) {
+// TestLinesAreWrittenWhole checks that every line reaches the output unbroken.
+func TestLinesAreWrittenWhole(t *testing.T) {
 	var out bytes.Buffer
 	w := NewWriter(&out)
 	for range 100 {
@@ -51,23 +53,25 @@
 		time.Sleep(time.Millisecond)
 	}
 	if got := strings.Count(out.String(), "a line\n"); got != 100 {
-		t.Errorf("%d lines", got)
+		t.Errorf("%d whole lines written, want 100", got)
 	}
 }
 
-func TestLimiterCountsWhatItLeavesOut(t *testing.T) {
+// TestLimiterCountsSuppressedLines checks that each kind has a limit of its own, and that the
+// suppressed lines are counted.
+func TestLimiterCountsSuppressedLines(t *testing.T) {
 	l := NewLimiter(1, 2)
 	now := time.Unix(1_800_000_000, 0)
-	through := 0
+	allowed := 0
 	for range 10 {
 		if _, ok := l.Allow(now, "refused"); ok {
-			through++
+			allowed++
 		}
 	}
-	if _, ok := l.Allow(now, "retried"); !ok || through != 2 {
-		t.Errorf("%d lines of one kind through, another kind: %v", through, ok)
+	if _, ok := l.Allow(now, "retried"); !ok || allowed != 2 {
+		t.Errorf("%d lines of one kind allowed, want 2; another kind allowed: %v, want true", allowed, ok)
 	}
-	if left, ok := l.Allow(now.Add(time.Second), "refused"); !ok || left != 8 {
-		t.Errorf("left out %d, through %v", left, ok)
+	if suppressed, ok := l.Allow(now.Add(time.Second), "refused"); !ok || suppressed != 8 {
+		t.Errorf("%d lines suppressed, want 8; allowed: %v, want true", suppressed, ok)
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics publishes counters and latency percentiles by expvar.
+// Package metrics records latency percentiles and publishes variables through expvar.
 package metrics
 
 import (
@@ -10,16 +10,16 @@
 )
 
 const (
-	// longest is the largest latency that a histogram tells apart.
-	longest = time.Hour
-	// digits is the number of significant digits kept.
-	digits = 2
-	// shards is how many histograms share the load of one Latency.
+	// maxLatency is the largest latency that a histogram records; longer ones count as this.
+	maxLatency = time.Hour
+	// significantDigits is the precision of a histogram in decimal digits.
+	significantDigits = 2
+	// shards is the number of separately locked histograms of one LatencyHistogram.
 	shards = 8
 )
 
-// LatencyHistogram records durations and gives their percentiles. It is safe for
-// concurrent use.
+// LatencyHistogram records durations and computes their percentiles. It is sharded to reduce lock
+// contention and safe for concurrent use.
 type LatencyHistogram struct {
 	shard [shards]struct {
 		mu   sync.Mutex
@@ -27,24 +27,26 @@
 	}
 }
 
-// NewLatencyHistogram returns an empty Latency.
+// NewLatencyHistogram returns an empty LatencyHistogram.
 func NewLatencyHistogram() *LatencyHistogram {
 	l := new(LatencyHistogram)
 	for i := range l.shard {
-		l.shard[i].hist = hdrhistogram.New(1, longest.Microseconds(), digits)
+		l.shard[i].hist = hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits)
 	}
 	return l
 }
 
-// Record adds one duration. Key spreads the callers over the shards.
+// Record adds one duration, limited to the range from zero to maxLatency. The key selects the
+// shard; concurrent callers should pass different keys.
 func (l *LatencyHistogram) Record(key uint32, d time.Duration) {
 	s := &l.shard[key%shards]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_ = s.hist.RecordValue(min(max(d, 0), longest).Microseconds())
+	_ = s.hist.RecordValue(min(max(d, 0), maxLatency).Microseconds())
 }
 
-// Summary are the percentiles of a Latency in microseconds.
+// Summary holds the count, percentiles and maximum of a LatencyHistogram; durations are in
+// microseconds.
 type Summary struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50_us"`
@@ -53,9 +55,9 @@
 	Max   int64 `json:"max_us"`
 }
 
-// Summary returns the percentiles of all that was recorded.
+// Summary returns the percentiles of all durations recorded since the start.
 func (l *LatencyHistogram) Summary() Summary {
-	sum := hdrhistogram.New(1, longest.Microseconds(), digits)
+	sum := hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits)
 	for i := range l.shard {
 		s := &l.shard[i]
 		s.mu.Lock()
@@ -71,8 +73,8 @@
 	}
 }
 
-// Publish makes the result of f a variable of expvar. A name that is taken
-// already keeps its variable.
+// Publish publishes the result of f as an expvar variable. It does nothing if a variable with this
+// name exists.
 func Publish(name string, f func() any) {
 	if expvar.Get(name) == nil {
 		expvar.Publish(name, expvar.Func(f))
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,5 +1,5 @@
-// Package process holds what all of loomkeel's processes share: logging,
-// signals, HTTP servers with limits, health pages and dumps.
+// Package process holds what loomkeel's processes have in common: logging, garbage collection,
+// signals, HTTP servers with limits, health checks, dumps and the reloading of files.
 package process
 
 import (
@@ -27,19 +27,20 @@
 	"github.com/loomkeel/loomkeel/internal/metrics"
 )
 
-// Version is the version of the programs.
+// Version is the version of all commands.
 const Version = "0.1.0"
 
-// Limits of every HTTP listener.
+// Limits of every Server.
 const (
-	headerTimeout = 10 * time.Second
-	idleTimeout   = 2 * time.Minute
-	maxHeader     = 64 << 10
-	// MaxConns is how many connections a listener holds at one time.
+	headerTimeout  = 10 * time.Second
+	idleTimeout    = 2 * time.Minute
+	maxHeaderBytes = 64 << 10
+	// MaxConns is the maximum number of open connections of a Server. Further connections wait
+	// to be accepted.
 	MaxConns = 16384
 )
 
-// InitLog sets klog's verbosity.
+// InitLog makes klog write to standard error with the given verbosity.
 func InitLog(verbosity int) {
 	fs := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(fs)
@@ -47,8 +48,9 @@
 	_ = fs.Set("logtostderr", "true")
 }
 
-// LogToStdout has klog write to standard output without ever waiting for its
-// reader. The writer is to be flushed before the process ends.
+// LogToStdout makes klog write to standard output through the returned Writer, which drops lines
+// instead of blocking. The caller must flush the writer before the process ends. The number of
+// dropped lines is published as the expvar log_lines_dropped.
 func LogToStdout() *logs.Writer {
 	w := logs.NewWriter(os.Stdout)
 	fs := flag.NewFlagSet("klog", flag.ContinueOnError)
@@ -61,72 +63,75 @@
 }
 
 const (
-	// gcPercent lets the heap grow by half, not to double, between collections:
-	// an instance is small, and control may take only a part of it.
+	// gcPercent lets the heap grow by half between collections instead of doubling, because
+	// instances have little memory and the agent may use only a part of it.
 	gcPercent = 50
-	// Ballast counts as heap but is never touched, so it takes no memory itself.
-	// With a heap of few megabytes the collector would otherwise run every few
-	// hundred requests.
+	// The sizes of the heap ballast in bytes, by process. The ballast counts as heap but is never
+	// written, so it uses no physical memory. Without it the heap is a few megabytes, and the
+	// garbage collector would run every few hundred requests.
 	BallastAgent    = 4 << 20
 	BallastDirector = 16 << 20
 	BallastEntry    = 32 << 20
 )
 
+// ballast keeps the heap ballast reachable.
 var ballast []byte
 
-// InitGC sets the collector's pace, unless GOGC does. Ballast is one of the
-// sizes above.
-func InitGC(bytes int) {
+// InitGC allocates a heap ballast of the given size and sets the GC percentage, unless the
+// environment variable GOGC is set. The size is published as the expvar ballast_bytes.
+func InitGC(ballastBytes int) {
 	if os.Getenv("GOGC") == "" {
-		ballast = make([]byte, bytes)
+		ballast = make([]byte, ballastBytes)
 		expvar.Publish("ballast_bytes", expvar.Func(func() any { return len(ballast) }))
 		debug.SetGCPercent(gcPercent)
 	}
 }
 
-// SignalContext returns a context that ends at SIGTERM or SIGINT.
+// SignalContext returns a context that is cancelled by SIGTERM or SIGINT.
 func SignalContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 }
 
 // Server is an HTTP server on one address.
 type Server struct {
-	http *http.Server
-	lis  net.Listener
+	http     *http.Server
+	listener net.Listener
 }
 
-// Listen opens an address for a handler.
+// Listen opens a TCP listener on an address and returns a Server that passes its requests to h.
 func Listen(addr string, h http.Handler) (*Server, error) { return ListenTLS(addr, h, nil) }
 
-// ListenTLS is Listen with TLS, or without if conf is nil.
+// ListenTLS is Listen with TLS, or with plain TCP if conf is nil.
 func ListenTLS(addr string, h http.Handler, conf *tls.Config) (*Server, error) {
-	lis, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	if conf != nil {
-		lis = tls.NewListener(lis, conf)
+		listener = tls.NewListener(listener, conf)
 	}
-	return &Server{lis: netutil.LimitListener(lis, MaxConns), http: &http.Server{
+	return &Server{listener: netutil.LimitListener(listener, MaxConns), http: &http.Server{
 		Handler:           h,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeader,
+		MaxHeaderBytes:    maxHeaderBytes,
 	}}, nil
 }
 
-// Serve answers requests until Shutdown.
+// Serve accepts and serves connections until Shutdown. It logs any other error of the listener.
 func (s *Server) Serve() {
-	if err := s.http.Serve(s.lis); !errors.Is(err, http.ErrServerClosed) {
-		klog.ErrorS(err, "server ended", "addr", s.lis.Addr())
+	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
+		klog.ErrorS(err, "HTTP server failed", "addr", s.listener.Addr())
 	}
 }
 
-// Shutdown stops accepting and waits for the requests in flight until ctx ends.
+// Shutdown stops accepting connections and waits for the requests in flight until ctx ends. It
+// returns the error of ctx if requests are left.
 func (s *Server) Shutdown(ctx context.Context) error { return s.http.Shutdown(ctx) }
 
-// AddDebugRoutes adds the pages that every process has: /healthz, /readyz, /debug/vars,
-// /debug/state and the profiles of /debug/pprof. Ready reports whether the process can do its work.
+// AddDebugRoutes adds the routes that every process serves: /healthz, /readyz, /debug/vars,
+// /debug/state and the profiles under /debug/pprof. The function ready reports whether the process
+// can serve, and dump returns the value that /debug/state writes as JSON.
 func AddDebugRoutes(r chi.Router, ready func() bool, dump func() any) {
 	r.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	r.Get("/readyz", func(w http.ResponseWriter, _ *http.Request) {
@@ -140,7 +145,8 @@
 	r.Get("/debug/state", func(w http.ResponseWriter, _ *http.Request) { WriteJSON(w, http.StatusOK, dump()) })
 }
 
-// WriteJSON answers with a value.
+// WriteJSON writes a response with the status code and v as indented JSON. Errors of encoding and
+// writing are ignored.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/internal/process/reload_test.go
+++ b/internal/process/reload_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// never is a period that does not end within a test.
+// never is a period longer than any test, so that only signals cause a read.
 const never = time.Hour
 
-// write replaces a file at once, so that no reader sees a part of it.
+// write replaces a file atomically, so that no reader sees partial content.
 func write(t *testing.T, path, content string) {
 	t.Helper()
 	next := path + ".next"
@@ -24,9 +24,9 @@
 	}
 }
 
-// TestHangUpReloads sends the process a SIGHUP. It once ended nodes in the middle
-// of requests.
-func TestHangUpReloads(t *testing.T) {
+// TestSIGHUPReadsFile checks that SIGHUP reads the file, and that content without a change is not
+// passed on.
+func TestSIGHUPReadsFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings")
 	write(t, path, "one")
 	signals := make(chan os.Signal)
@@ -35,22 +35,22 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		reload(ctx, signals, path, []byte("one"), never, func(c []byte) { contents <- string(c) })
+		watchFile(ctx, signals, path, []byte("one"), never, func(c []byte) { contents <- string(c) })
 	}()
 	signals <- syscall.SIGHUP
 	signals <- syscall.SIGHUP
 	write(t, path, "two")
 	signals <- syscall.SIGHUP
 	if got := <-contents; got != "two" {
-		t.Errorf("content %q", got)
+		t.Errorf("changed was called with content %q, want %q", got, "two")
 	}
 	cancel()
 	<-ended
 }
 
-// TestHangUpDoesNotEnd sends a real signal, which would end a process that does
-// not listen for it.
-func TestHangUpDoesNotEnd(t *testing.T) {
+// TestSIGHUPDoesNotTerminate sends the test process a SIGHUP while WatchFile runs. Without a
+// handler the signal terminates a node in the middle of its requests.
+func TestSIGHUPDoesNotTerminate(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings")
 	write(t, path, "one")
 	changed := make(chan struct{}, 2)
@@ -66,9 +66,9 @@
 	<-changed
 }
 
-// TestHangUpDoesNotEndAStoppingProcess sends a real signal after Reload has returned,
-// as while a process finishes its last requests.
-func TestHangUpDoesNotEndAStoppingProcess(t *testing.T) {
+// TestSIGHUPDoesNotTerminateStoppingProcess sends the test process a SIGHUP after WatchFile has
+// returned, as it happens while a process completes its last requests.
+func TestSIGHUPDoesNotTerminateStoppingProcess(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings")
 	write(t, path, "one")
 	ctx, cancel := context.WithCancel(t.Context())
@@ -77,6 +77,6 @@
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	// A signal to the own process may be delivered to another thread a little later.
+	// The kernel may deliver the signal to another thread, after Kill has returned.
 	time.Sleep(50 * time.Millisecond)
 }
