--- a/internal/bootclock/bootclock.go
+++ b/internal/bootclock/bootclock.go
@@ -1,6 +1,6 @@
-// Package bootclock reads the machine's clock since boot. All processes of a
-// machine share it, nobody sets it, and it goes on while a process is stopped
-// or the machine suspended.
+// Package bootclock reads the kernel's clock of the time since boot (CLOCK_BOOTTIME). All processes
+// of a machine share this clock, it cannot be set, and it advances while a process is stopped or
+// the machine is suspended.
 package bootclock
 
 import (
@@ -10,10 +10,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootIDFile holds a random name that the kernel makes at each boot.
+// bootIDFile holds a random ID that the kernel generates at each boot.
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
-// BootID returns the name of the machine's current boot, or "unknown".
+// BootID returns the ID of the current boot of the machine, or "unknown" if it cannot be read.
 func BootID() string {
 	b, err := os.ReadFile(bootIDFile)
 	if err != nil {
@@ -22,11 +22,11 @@
 	return strings.TrimSpace(string(b))
 }
 
-// Now returns the time since boot in nanoseconds.
+// Now returns the time since boot in nanoseconds. It panics if the kernel has no such clock.
 func Now() int64 {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		panic("bootclock: " + err.Error())
+		panic("bootclock: read CLOCK_BOOTTIME: " + err.Error())
 	}
 	return ts.Nano()
 }
--- a/internal/bootclock/clock.go
+++ b/internal/bootclock/clock.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Clock tells the time by the time of day at its start and the boot clock since. It is
-// never set, and goes on while the machine is suspended, which the steady clock behind
-// time.Now does not count: a node that slept for some seconds must not take what it knew
-// before for fresh.
+// Clock returns the wall-clock time at its start plus the time passed since, including the time
+// that the machine was suspended. Setting the wall clock does not affect it. The monotonic clock
+// of time.Now stops during a suspension, and a node would take the state from before a suspension
+// of some seconds for fresh.
 //
-// Reading the boot clock is a system call, reading the steady one is not. So Now goes by
-// the steady clock, ahead by what Check found that it has missed. It is safe for
+// Reading the boot clock is a system call; reading the monotonic clock is not. Now therefore uses
+// the monotonic clock and adds the suspended time that SyncNow last measured. A Clock is safe for
 // concurrent use.
 type Clock struct {
-	start  time.Time
-	steady func() time.Duration
-	boot   func() time.Duration
-	// missed is by how much the boot clock is ahead of the steady one, in nanoseconds.
-	missed atomic.Int64
+	start     time.Time
+	monotonic func() time.Duration
+	boot      func() time.Duration
+	// suspended is how far the boot clock is ahead of the monotonic clock, in nanoseconds.
+	suspended atomic.Int64
 }
 
-// NewClock returns a Clock of the machine.
+// NewClock returns a Clock that uses the clocks of the machine.
 func NewClock() *Clock {
 	start, boot := time.Now(), Now()
 	return NewClockFrom(start,
@@ -29,27 +29,29 @@
 		func() time.Duration { return time.Duration(Now() - boot) })
 }
 
-// NewClockFrom returns a Clock that starts at a time, by a steady clock and one that goes
-// on while the machine is suspended, both since then.
-func NewClockFrom(start time.Time, steady, boot func() time.Duration) *Clock {
-	return &Clock{start: start.Round(0), steady: steady, boot: boot}
+// NewClockFrom returns a Clock that starts at the time start. The functions monotonic and boot
+// return the time passed since then, without and with the time that the machine was suspended.
+func NewClockFrom(start time.Time, monotonic, boot func() time.Duration) *Clock {
+	return &Clock{start: start.Round(0), monotonic: monotonic, boot: boot}
 }
 
-// Now returns the time. It has no monotonic reading: all its times compare with each other.
+// Now returns the current time. The result has no monotonic clock reading, so that all times of a
+// Clock are comparable.
 func (c *Clock) Now() time.Time {
-	return c.start.Add(c.steady() + time.Duration(c.missed.Load()))
+	return c.start.Add(c.monotonic() + time.Duration(c.suspended.Load()))
 }
 
-// missedSlack is by how much the two clocks may differ, read one after the other, without
-// the machine having been suspended.
-const missedSlack = 50 * time.Millisecond
+// suspensionThreshold is the smallest difference that counts as a suspension. Below it, the two
+// clocks may differ only because they are read one after the other.
+const suspensionThreshold = 50 * time.Millisecond
 
-// SyncNow reads the boot clock and returns the time by it. It is to be called when something
-// begins that may be the first after a suspension: a request, a report, a round of a loop.
+// SyncNow reads the boot clock, corrects the Clock for any suspension, and returns the current
+// time. Call it at the start of any work that may be the first after a suspension, such as a
+// request, a report or an iteration of a loop.
 func (c *Clock) SyncNow() time.Time {
-	missed := c.boot() - c.steady()
-	if missed-time.Duration(c.missed.Load()) > missedSlack {
-		c.missed.Store(int64(missed))
+	suspended := c.boot() - c.monotonic()
+	if suspended-time.Duration(c.suspended.Load()) > suspensionThreshold {
+		c.suspended.Store(int64(suspended))
 	}
 	return c.Now()
 }
--- a/internal/bootclock/clock_test.go
+++ b/internal/bootclock/clock_test.go
@@ -5,32 +5,35 @@
 	"time"
 )
 
-func TestClockGoesOnWhileSuspended(t *testing.T) {
+// TestClockIncludesSuspension checks that Now includes a suspension after SyncNow has found it, and
+// that a difference up to suspensionThreshold is ignored.
+func TestClockIncludesSuspension(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
-	var steady, boot time.Duration
-	c := NewClockFrom(start, func() time.Duration { return steady }, func() time.Duration { return boot })
-	expect := func(what string, got time.Time, want time.Duration) {
+	var monotonic, boot time.Duration
+	c := NewClockFrom(start, func() time.Duration { return monotonic }, func() time.Duration { return boot })
+	expect := func(step string, got time.Time, want time.Duration) {
 		t.Helper()
 		if got.Sub(start) != want {
-			t.Errorf("%s: %v, want %v", what, got.Sub(start), want)
+			t.Errorf("%s: %v, want %v", step, got.Sub(start), want)
 		}
 	}
-	steady, boot = time.Second, time.Second+missedSlack
+	monotonic, boot = time.Second, time.Second+suspensionThreshold
 	expect("no suspension", c.SyncNow(), time.Second)
 	boot += 7 * time.Second
-	expect("before it is looked for", c.Now(), time.Second)
-	expect("as it is looked for", c.SyncNow(), boot)
-	steady += time.Second
+	expect("suspended, before SyncNow", c.Now(), time.Second)
+	expect("suspended, SyncNow", c.SyncNow(), boot)
+	monotonic += time.Second
 	boot += time.Second
-	expect("afterwards", c.Now(), boot)
+	expect("running again", c.Now(), boot)
 	boot += 3 * time.Second
-	expect("a second one", c.SyncNow(), boot)
+	expect("second suspension", c.SyncNow(), boot)
 }
 
-func TestClockOfTheMachine(t *testing.T) {
+// TestNewClock checks that the machine's clock does not run backwards and is near the time of day.
+func TestNewClock(t *testing.T) {
 	c := NewClock()
 	a, b := c.Now(), c.SyncNow()
 	if b.Before(a) || time.Since(a).Abs() > time.Minute {
-		t.Errorf("%v, then %v", a, b)
+		t.Errorf("Now returned %v, then SyncNow %v", a, b)
 	}
 }
--- a/internal/tlsconf/tlsconf.go
+++ b/internal/tlsconf/tlsconf.go
@@ -1,5 +1,5 @@
-// Package tlsconf makes TLS configurations from certificate files and re-reads
-// the files when they change.
+// Package tlsconf creates TLS configurations from the certificate files in the settings and reloads
+// certificates when their files change.
 package tlsconf
 
 import (
@@ -13,34 +13,37 @@
 	"github.com/loomkeel/loomkeel/internal/settings"
 )
 
-// checkEvery is how often the files are looked at.
-const checkEvery = 5 * time.Second
+// checkInterval is the shortest time between two checks of a certificate file for changes.
+const checkInterval = 5 * time.Second
 
-// KeyPair is a certificate with its key that follows its files. It is safe for
-// concurrent use.
+// KeyPair is a certificate with its private key, reloaded when the certificate file changes. It is
+// safe for concurrent use.
 type KeyPair struct {
 	certFile, keyFile string
 
 	mu      sync.Mutex
 	cert    *tls.Certificate
+	// checked is the time of the last check of the certificate file.
 	checked time.Time
+	// changed is the modification time of the certificate file that cert was read from.
 	changed time.Time
 }
 
-// LoadKeyPair reads a certificate and its key.
+// LoadKeyPair reads a PEM certificate and its private key.
 func LoadKeyPair(certFile, keyFile string) (*KeyPair, error) {
 	p := &KeyPair{certFile: certFile, keyFile: keyFile}
 	_, err := p.Certificate()
 	return p, err
 }
 
-// Certificate returns the newest certificate that could be read. A file that cannot be
-// read leaves the last one in force.
+// Certificate returns the certificate. It first reloads the files if the certificate file has
+// changed, at most once per checkInterval. If the files cannot be read, it returns the last
+// certificate read.
 func (p *KeyPair) Certificate() (*tls.Certificate, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	if p.cert != nil && now.Sub(p.checked) < checkEvery {
+	if p.cert != nil && now.Sub(p.checked) < checkInterval {
 		return p.cert, nil
 	}
 	p.checked = now
@@ -53,25 +56,27 @@
 		if p.cert != nil {
 			return p.cert, nil
 		}
-		return nil, fmt.Errorf("certificate %s with key %s: %w", p.certFile, p.keyFile, err)
+		return nil, fmt.Errorf("load certificate %s with key %s: %w", p.certFile, p.keyFile, err)
 	}
 	p.cert, p.changed = &cert, info.ModTime()
 	return p.cert, nil
 }
 
-func pool(file string) (*x509.CertPool, error) {
+// loadCAs reads a PEM file of CA certificates.
+func loadCAs(file string) (*x509.CertPool, error) {
 	pem, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
 	cas := x509.NewCertPool()
 	if !cas.AppendCertsFromPEM(pem) {
-		return nil, fmt.Errorf("%s: no certificate found, allowed are PEM files", file)
+		return nil, fmt.Errorf("load CA certificates from %s: no PEM certificate found", file)
 	}
 	return cas, nil
 }
 
-// ServerConfig returns the configuration towards callers, or nil for plain TCP.
+// ServerConfig returns the configuration of servers for callers, or nil for plain TCP if no
+// certificate is set.
 func ServerConfig(s settings.TLS) (*tls.Config, error) {
 	if s.CertFile == "" {
 		return nil, nil
@@ -86,14 +91,13 @@
 	}, nil
 }
 
-// PeerConfigs returns the configurations between agents, for accepting and for
-// dialling, or nil for plain TCP. Both sides must have a certificate of the
-// authority.
+// PeerConfigs returns the configurations for connections between agents, or nil for plain TCP if no
+// peer CA is set. Server and client each require a certificate of this CA from the other side.
 func PeerConfigs(s settings.TLS) (server, client *tls.Config, err error) {
 	if s.PeerCAFile == "" {
 		return nil, nil, nil
 	}
-	cas, err := pool(s.PeerCAFile)
+	cas, err := loadCAs(s.PeerCAFile)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -115,12 +119,13 @@
 	return server, client, nil
 }
 
-// UpstreamConfig returns the configuration towards upstreams, or nil for plain TCP.
+// UpstreamConfig returns the configuration of connections to upstreams, or nil for plain TCP if no
+// upstream CA is set.
 func UpstreamConfig(s settings.TLS) (*tls.Config, error) {
 	if s.UpstreamCAFile == "" {
 		return nil, nil
 	}
-	cas, err := pool(s.UpstreamCAFile)
+	cas, err := loadCAs(s.UpstreamCAFile)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/tlsconf/tlsconf_test.go
+++ b/internal/tlsconf/tlsconf_test.go
@@ -19,13 +19,14 @@
 	"github.com/loomkeel/loomkeel/internal/settings"
 )
 
-// authority signs certificates for tests.
+// authority is a certificate authority for tests.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 	file string
 }
 
+// newAuthority creates an authority and writes its certificate to a file in dir.
 func newAuthority(t *testing.T, dir, name string) *authority {
 	t.Helper()
 	a := &authority{file: filepath.Join(dir, name+".pem")}
@@ -38,6 +39,7 @@
 	return a
 }
 
+// template returns a certificate for 127.0.0.1 to be signed, valid for the next hour.
 func template(name string, ca bool) *x509.Certificate {
 	return &x509.Certificate{
 		SerialNumber: big.NewInt(time.Now().UnixNano()), Subject: pkix.Name{CommonName: name},
@@ -48,9 +50,9 @@
 	}
 }
 
-// sign makes a key and a certificate for it, signed by the authority, or by
-// itself if the authority is new. It returns the certificate and, in key, the
-// key's file form.
+// sign generates a key and a certificate for it. The certificate is signed by the authority, or
+// self-signed if the authority has no certificate yet. It returns the certificate in DER form and
+// stores the key in DER form in keyDER, unless keyDER is nil.
 func (a *authority) sign(t *testing.T, c *x509.Certificate, keyDER *[]byte) []byte {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -84,6 +86,7 @@
 	return s
 }
 
+// write writes a PEM file with one block.
 func write(t *testing.T, file, kind string, der []byte) {
 	t.Helper()
 	if err := os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
@@ -91,8 +94,9 @@
 	}
 }
 
-// speaks reports whether a client gets an answer from a server.
-func speaks(t *testing.T, server, client *tls.Config) bool {
+// connects reports whether a client with one configuration receives data from a server with the
+// other.
+func connects(t *testing.T, server, client *tls.Config) bool {
 	t.Helper()
 	lis, err := tls.Listen("tcp", "127.0.0.1:0", server)
 	if err != nil {
@@ -116,39 +120,39 @@
 	return err == nil && string(b) == "hello"
 }
 
-// TestPeers lets only peers of one authority speak with each other.
-func TestPeers(t *testing.T) {
+// TestPeerConfigs checks that a server accepts only clients with a certificate of its own CA.
+func TestPeerConfigs(t *testing.T) {
 	dir := t.TempDir()
-	ours, theirs := newAuthority(t, dir, "ours"), newAuthority(t, dir, "theirs")
+	ours, other := newAuthority(t, dir, "ours"), newAuthority(t, dir, "theirs")
 	server, _, err := PeerConfigs(ours.instance(t, dir, "n1"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, friend, err := PeerConfigs(ours.instance(t, dir, "n2"))
+	_, trusted, err := PeerConfigs(ours.instance(t, dir, "n2"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, stranger, err := PeerConfigs(theirs.instance(t, dir, "x"))
+	_, untrusted, err := PeerConfigs(other.instance(t, dir, "x"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	nameless := friend.Clone()
-	nameless.GetClientCertificate = nil
-	mixed := stranger.Clone()
-	mixed.RootCAs = friend.RootCAs
+	noCert := trusted.Clone()
+	noCert.GetClientCertificate = nil
+	mixed := untrusted.Clone()
+	mixed.RootCAs = trusted.RootCAs
 	for name, tt := range map[string]struct {
 		client *tls.Config
 		want   bool
-	}{"a peer": {friend, true}, "another authority": {stranger, false}, "no certificate": {nameless, false}, "a foreign certificate": {mixed, false}} {
-		if got := speaks(t, server, tt.client); got != tt.want {
-			t.Errorf("%s: speaks %v, want %v", name, got, tt.want)
+	}{"certificate of the same CA": {trusted, true}, "another CA": {untrusted, false}, "no certificate": {noCert, false}, "certificate of another CA": {mixed, false}} {
+		if got := connects(t, server, tt.client); got != tt.want {
+			t.Errorf("client with %s: connected %v, want %v", name, got, tt.want)
 		}
 	}
 }
 
-// TestPairFollowsItsFiles replaces a certificate, also by one that cannot be
-// read.
-func TestPairFollowsItsFiles(t *testing.T) {
+// TestKeyPairReloadsFiles checks that a changed certificate is loaded after checkInterval, and that
+// a file that cannot be parsed leaves the last certificate in use.
+func TestKeyPairReloadsFiles(t *testing.T) {
 	dir := t.TempDir()
 	a := newAuthority(t, dir, "ca")
 	s := a.instance(t, dir, "n1")
@@ -163,21 +167,21 @@
 		t.Fatal(err)
 	}
 	if same, _ := p.Certificate(); same != first {
-		t.Error("the file was read again before its time")
+		t.Error("Certificate read the file again within checkInterval")
 	}
 	p.checked = time.Time{}
 	second, err := p.Certificate()
 	if err != nil || second == first {
-		t.Errorf("the new certificate is not in force, %v", err)
+		t.Errorf("Certificate did not return the new certificate, error %v", err)
 	}
 	if err := os.WriteFile(s.CertFile, []byte("half a file"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	p.checked = time.Time{}
 	if got, err := p.Certificate(); err != nil || got != second {
-		t.Errorf("a file that cannot be read took the last certificate out, %v", err)
+		t.Errorf("Certificate did not return the last certificate after a failed reload, error %v", err)
 	}
 	if _, err := LoadKeyPair(s.CertFile, s.KeyFile); err == nil {
-		t.Error("a broken certificate was loaded")
+		t.Error("LoadKeyPair accepted a malformed certificate")
 	}
 }
--- a/test/ablate/table.go
+++ b/test/ablate/table.go
@@ -227,5 +227,5 @@
 	{"entries that leave send nothing to limited upstreams", "internal/balance/ratelimit.go",
 		"b.retired = true", "b.retired = false", pkgBalance, "LeavingEntry", nil},
 	{"the boot clock goes on", "internal/bootclock/clock.go",
-		"c.missed.Store(int64(missed))", "_ = missed", pkgForward, "Suspen", nil},
+		"c.suspended.Store(int64(suspended))", "_ = suspended", pkgForward, "Suspen", nil},
 }
