--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -43,7 +43,7 @@
 				}
 				accepted := false
 				n.store.SetFault(func(op standin.Op, key string) standin.Fault {
-					if op == standin.OpSwap && strings.HasPrefix(key, "log/") && !accepted {
+					if op == standin.OpCompareAndSwap && strings.HasPrefix(key, "log/") && !accepted {
 						accepted = true
 						return standin.Fault{}
 					}
--- a/internal/configlog/committer_test.go
+++ b/internal/configlog/committer_test.go
@@ -81,7 +81,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := standin.NewStore()
-				faultOnce(s, standin.OpSwap, "log/", f)
+				faultOnce(s, standin.OpCompareAndSwap, "log/", f)
 				r := newWriter(s).commit(t, deadline("c1", "stock", "2s"))
 				if r.Outcome != Accepted || r.Revision != 1 {
 					t.Fatalf("commit = %+v", r)
@@ -101,7 +101,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewStore()
 		s.SetFault(func(op standin.Op, key string) standin.Fault {
-			return standin.Fault{LoseReply: op == standin.OpSwap, Down: op == standin.OpGet && s.CallCount(standin.OpSwap) > 0}
+			return standin.Fault{LoseReply: op == standin.OpCompareAndSwap, Down: op == standin.OpGet && s.CallCount(standin.OpCompareAndSwap) > 0}
 		})
 		w := newWriter(s)
 		if r := w.commit(t, deadline("c1", "stock", "2s")); r.Outcome != Unknown {
@@ -202,7 +202,7 @@
 func TestWriterPausedAcrossTheRing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewStore()
-		faultOnce(s, standin.OpSwap, "log/", standin.Fault{Delay: 24 * time.Hour})
+		faultOnce(s, standin.OpCompareAndSwap, "log/", standin.Fault{Delay: 24 * time.Hour})
 		late := newWriter(s)
 		var r Result
 		var wg sync.WaitGroup
--- a/internal/coordination/client.go
+++ b/internal/coordination/client.go
@@ -27,7 +27,7 @@
 }
 
 // NewClient returns a client of the services at the base URL, such as "http://10.0.0.5:7000".
-// Timeout applies to every call except Watch and Instances.
+// A call takes at most timeout; Watch and Instances take at most their wait plus waitMargin.
 func NewClient(base string, timeout time.Duration) *Client {
 	return &Client{base: base, http: &http.Client{}, timeout: timeout}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	if s.Entry.MaxInFlight != 4096 || s.Platform.Timeout.Seconds() != 2 {
-		t.Errorf("room %d and timeout %v, want the defaults 4096 and 2s", s.Entry.MaxInFlight, s.Platform.Timeout)
+		t.Errorf("defaults not applied: %+v", s)
 	}
 }
 
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -192,7 +192,7 @@
 		store.SetFault(func(standin.Op, string) standin.Fault { return standin.Fault{Down: true} })
 	case 4:
 		store.SetFault(func(op standin.Op, _ string) standin.Fault {
-			return standin.Fault{LoseReply: op == standin.OpSwap || op == standin.OpLease}
+			return standin.Fault{LoseReply: op == standin.OpCompareAndSwap || op == standin.OpLease}
 		})
 	case 5:
 		// Called with the store locked, so that its source needs no lock.
--- a/internal/standin/http.go
+++ b/internal/standin/http.go
@@ -15,8 +15,7 @@
 	"github.com/loomkeel/loomkeel/internal/coordination"
 )
 
-// Server serves a Store and a List over HTTP in the form that
-// coordination.Client expects, with a page to inject faults.
+// Server serves a Store and an InstanceList over HTTP, with further routes to inject faults.
 type Server struct {
 	Store     *Store
 	Instances *InstanceList
@@ -25,72 +24,75 @@
 	mode string
 }
 
-// Handler returns the HTTP interface.
-func (p *Server) Handler() http.Handler {
+// Handler returns the HTTP handler: /v1/ is the interface that coordination.Client calls, the other
+// routes inject faults and return call counts.
+func (s *Server) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Get("/v1/kv/{key}", p.get)
-	r.Put("/v1/kv/{key}", p.put)
-	r.Delete("/v1/kv/{key}", p.del)
-	r.Post("/v1/leases", p.grant)
-	r.Put("/v1/leases/{id}", p.keepAlive)
-	r.Get("/v1/instances", p.instances)
-	r.Post("/fault/{mode}", p.fault)
-	r.Post("/leaving/{id}", p.leaving)
-	r.Get("/calls", p.calls)
+	r.Get("/v1/kv/{key}", s.get)
+	r.Put("/v1/kv/{key}", s.put)
+	r.Delete("/v1/kv/{key}", s.del)
+	r.Post("/v1/leases", s.grant)
+	r.Put("/v1/leases/{id}", s.keepAlive)
+	r.Get("/v1/instances", s.instances)
+	r.Post("/fault/{mode}", s.fault)
+	r.Post("/leaving/{id}", s.leaving)
+	r.Get("/calls", s.calls)
 	return r
 }
 
-func (p *Server) get(w http.ResponseWriter, r *http.Request) {
+// get serves a read, or a watch if the request has a wait parameter.
+func (s *Server) get(w http.ResponseWriter, r *http.Request) {
 	key := chi.URLParam(r, "key")
-	wait, watching := waitOf(r)
+	wait, watching := waitParam(r)
 	if !watching {
-		e, err := p.Store.Get(r.Context(), key)
-		answer(w, e, err)
+		e, err := s.Store.Get(r.Context(), key)
+		writeEntry(w, e, err)
 		return
 	}
-	e, err := p.Store.Watch(r.Context(), key, numberOf(r, "not"), wait)
-	answer(w, e, err)
+	e, err := s.Store.Watch(r.Context(), key, uintParam(r, "not"), wait)
+	writeEntry(w, e, err)
 }
 
-func (p *Server) put(w http.ResponseWriter, r *http.Request) {
+func (s *Server) put(w http.ResponseWriter, r *http.Request) {
 	value, err := io.ReadAll(io.LimitReader(r.Body, coordination.MaxValueBytes+1))
 	if err != nil {
 		return
 	}
-	lease := coordination.LeaseID(numberOf(r, "lease"))
-	version, err := p.Store.CompareAndSwap(r.Context(), chi.URLParam(r, "key"), numberOf(r, "version"), value, lease)
-	answer(w, coordination.Entry{Version: version}, err)
+	lease := coordination.LeaseID(uintParam(r, "lease"))
+	version, err := s.Store.CompareAndSwap(r.Context(), chi.URLParam(r, "key"), uintParam(r, "version"), value, lease)
+	writeEntry(w, coordination.Entry{Version: version}, err)
 }
 
-func (p *Server) del(w http.ResponseWriter, r *http.Request) {
-	err := p.Store.Delete(r.Context(), chi.URLParam(r, "key"), numberOf(r, "version"))
-	answer(w, coordination.Entry{Version: 1}, err)
+func (s *Server) del(w http.ResponseWriter, r *http.Request) {
+	err := s.Store.Delete(r.Context(), chi.URLParam(r, "key"), uintParam(r, "version"))
+	writeEntry(w, coordination.Entry{Version: 1}, err)
 }
 
-func (p *Server) grant(w http.ResponseWriter, r *http.Request) {
+func (s *Server) grant(w http.ResponseWriter, r *http.Request) {
 	ttl, err := time.ParseDuration(r.URL.Query().Get("ttl"))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	id, err := p.Store.Grant(r.Context(), ttl)
-	answer(w, coordination.Entry{Value: []byte(strconv.FormatUint(uint64(id), 10)), Version: 1}, err)
+	id, err := s.Store.Grant(r.Context(), ttl)
+	writeEntry(w, coordination.Entry{Value: []byte(strconv.FormatUint(uint64(id), 10)), Version: 1}, err)
 }
 
-func (p *Server) keepAlive(w http.ResponseWriter, r *http.Request) {
+func (s *Server) keepAlive(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseUint(chi.URLParam(r, "id"), 10, 64)
-	answer(w, coordination.Entry{Version: 1}, p.Store.KeepAlive(r.Context(), coordination.LeaseID(id)))
+	writeEntry(w, coordination.Entry{Version: 1}, s.Store.KeepAlive(r.Context(), coordination.LeaseID(id)))
 }
 
-func (p *Server) instances(w http.ResponseWriter, r *http.Request) {
-	wait, _ := waitOf(r)
-	l, err := p.Instances.Instances(r.Context(), numberOf(r, "not"), wait)
+func (s *Server) instances(w http.ResponseWriter, r *http.Request) {
+	wait, _ := waitParam(r)
+	l, err := s.Instances.Instances(r.Context(), uintParam(r, "not"), wait)
 	body, _ := json.Marshal(l)
-	answer(w, coordination.Entry{Value: body, Version: l.Version}, err)
+	writeEntry(w, coordination.Entry{Value: body, Version: l.Version}, err)
 }
 
-// fault switches the store and the list between up, down, lose-replies and slow.
-func (p *Server) fault(w http.ResponseWriter, r *http.Request) {
+// fault sets the fault of the store and the instance list. The mode lose-replies affects
+// CompareAndSwap only, and the modes lose-replies and slow do not affect the list.
+func (s *Server) fault(w http.ResponseWriter, r *http.Request) {
 	mode := chi.URLParam(r, "mode")
 	faults := map[string]Fault{
 		"none":         {},
@@ -100,25 +102,25 @@
 	}
 	f, ok := faults[mode]
 	if !ok {
-		http.Error(w, "fault: one of none, down, lose-replies, slow", http.StatusBadRequest)
+		http.Error(w, "unknown fault mode; allowed: none, down, lose-replies, slow", http.StatusBadRequest)
 		return
 	}
-	p.mu.Lock()
-	p.mode = mode
-	p.mu.Unlock()
-	p.Instances.SetDown(f.Down)
-	p.Store.SetFault(func(op Op, _ string) Fault {
-		if f.LoseReply && op != OpSwap {
+	s.mu.Lock()
+	s.mode = mode
+	s.mu.Unlock()
+	s.Instances.SetDown(f.Down)
+	s.Store.SetFault(func(op Op, _ string) Fault {
+		if f.LoseReply && op != OpCompareAndSwap {
 			return Fault{}
 		}
 		return f
 	})
 }
 
-// leaving marks an instance of the list as leaving.
-func (p *Server) leaving(_ http.ResponseWriter, r *http.Request) {
+// leaving marks the instance with the ID in the path as leaving.
+func (s *Server) leaving(_ http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
-	p.Instances.Update(func(instances []coordination.Instance) []coordination.Instance {
+	s.Instances.Update(func(instances []coordination.Instance) []coordination.Instance {
 		for i := range instances {
 			if instances[i].ID == id {
 				instances[i].Leaving = true
@@ -128,18 +130,21 @@
 	})
 }
 
-func (p *Server) calls(w http.ResponseWriter, _ *http.Request) {
-	for _, op := range []Op{OpGet, OpSwap, OpDelete, OpWatch, OpLease} {
-		fmt.Fprintf(w, "%s %d\n", op, p.Store.CallCount(op))
+// calls writes the number of calls of each kind, one kind per line.
+func (s *Server) calls(w http.ResponseWriter, _ *http.Request) {
+	for _, op := range []Op{OpGet, OpCompareAndSwap, OpDelete, OpWatch, OpLease} {
+		fmt.Fprintf(w, "%s %d\n", op, s.Store.CallCount(op))
 	}
 }
 
-func numberOf(r *http.Request, name string) uint64 {
+// uintParam returns a query parameter as a number, or 0 if it is missing or invalid.
+func uintParam(r *http.Request, name string) uint64 {
 	n, _ := strconv.ParseUint(r.URL.Query().Get(name), 10, 64)
 	return n
 }
 
-func waitOf(r *http.Request) (time.Duration, bool) {
+// waitParam returns the wait parameter of the query, and whether it is present and valid.
+func waitParam(r *http.Request) (time.Duration, bool) {
 	s := r.URL.Query().Get("wait")
 	if s == "" {
 		return 0, false
@@ -148,7 +153,9 @@
 	return d, err == nil
 }
 
-func answer(w http.ResponseWriter, e coordination.Entry, err error) {
+// writeEntry writes the response of a call that returned e and err. For a lost reply it closes the
+// connection without a response.
+func writeEntry(w http.ResponseWriter, e coordination.Entry, err error) {
 	switch {
 	case err == nil && e.Version == coordination.Absent:
 		w.WriteHeader(http.StatusNotFound)
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -8,17 +8,19 @@
 	"github.com/loomkeel/loomkeel/internal/coordination"
 )
 
-// InstanceList is an in-memory instance list. It is safe for concurrent use.
+// InstanceList is an in-memory instance list that can be set to fail. It is safe for concurrent
+// use.
 type InstanceList struct {
-	mu      sync.Mutex
-	list    coordination.InstanceList
+	mu   sync.Mutex
+	list coordination.InstanceList
+	// changed is closed and replaced at every change of list or down.
 	changed chan struct{}
 	down    bool
 }
 
 var _ coordination.InstanceLister = (*InstanceList)(nil)
 
-// NewInstanceList returns a List that holds instances at version 1.
+// NewInstanceList returns an InstanceList that holds instances at version 1.
 func NewInstanceList(instances []coordination.Instance) *InstanceList {
 	return &InstanceList{
 		list:    coordination.InstanceList{Version: 1, Instances: instances},
@@ -26,7 +28,7 @@
 	}
 }
 
-// Instances implements platform.Lister.
+// Instances implements coordination.InstanceLister.
 func (l *InstanceList) Instances(ctx context.Context, version uint64, wait time.Duration) (coordination.InstanceList, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -50,24 +52,26 @@
 	}
 }
 
-// Update replaces the list by what change makes of a copy of it.
+// Update passes a copy of the instances to change and replaces the list with the result, at the
+// next version.
 func (l *InstanceList) Update(change func([]coordination.Instance) []coordination.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	next := append([]coordination.Instance(nil), l.list.Instances...)
 	l.list = coordination.InstanceList{Version: l.list.Version + 1, Instances: change(next)}
-	l.wake()
+	l.notify()
 }
 
-// SetDown makes the list fail its calls, or serve them again.
+// SetDown sets whether calls, including waiting ones, fail with ErrUnavailable.
 func (l *InstanceList) SetDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = down
-	l.wake()
+	l.notify()
 }
 
-func (l *InstanceList) wake() {
+// notify makes all waiting calls check the list again. The caller holds the lock.
+func (l *InstanceList) notify() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -1,7 +1,6 @@
-// Package standin holds small stand-ins for what surrounds loomkeel: the
-// platform's key-value service and instance list, and upstreams. They serve the
-// tests and the quick start, and can be told to fail in the ways that the real
-// ones do.
+// Package standin provides fakes of the systems that loomkeel depends on: the platform's key-value
+// service and instance list, and upstreams. The tests and the quick start use them. They can inject
+// the failures that the real systems have.
 package standin
 
 import (
@@ -14,47 +13,50 @@
 	"github.com/loomkeel/loomkeel/internal/coordination"
 )
 
-// ErrUnavailable is what a call to a Store that is down returns.
-var ErrUnavailable = errors.New("standin: store unavailable")
+// ErrUnavailable is the error of calls to a Store or an InstanceList that is down.
+var ErrUnavailable = errors.New("standin: service unavailable")
 
-// ErrReplyLost is what a call returns whose reply was lost.
+// ErrReplyLost is the error of calls that took effect but whose reply was lost.
 var ErrReplyLost = errors.New("standin: reply lost")
 
-// Fault is what a Store does to a call.
+// Fault is a failure that a Store injects into a call.
 type Fault struct {
-	// Down fails the call before it has an effect.
+	// Down fails the call with ErrUnavailable before it takes effect.
 	Down bool
-	// LoseReply fails the call after it has had its effect.
+	// LoseReply fails the call with ErrReplyLost after it took effect.
 	LoseReply bool
-	// Delay holds the call before it has an effect.
+	// Delay is how long the call waits before it takes effect.
 	Delay time.Duration
 }
 
-// Op names the calls of a Store.
+// Op is a kind of call of a Store.
 type Op string
 
-// The calls that faults and counts tell apart.
+// The kinds of calls, for faults and call counts. OpLease stands for Grant and KeepAlive.
 const (
-	OpGet    Op = "get"
-	OpSwap   Op = "swap"
-	OpDelete Op = "delete"
-	OpWatch  Op = "watch"
-	OpLease  Op = "lease"
+	OpGet            Op = "get"
+	OpCompareAndSwap Op = "swap"
+	OpDelete         Op = "delete"
+	OpWatch          Op = "watch"
+	OpLease          Op = "lease"
 )
 
+// lease is a granted lease that has not expired.
 type lease struct {
 	ttl   time.Duration
 	timer *time.Timer
-	keys  map[string]uint64
+	// keys holds the version of each key written under the lease.
+	keys map[string]uint64
 }
 
-// Store is an in-memory key-value service with faults to inject. It is safe for
-// concurrent use and runs under virtual time.
+// Store is an in-memory key-value service with fault injection. It is safe for concurrent use, and
+// works in testing/synctest bubbles.
 type Store struct {
 	mu      sync.Mutex
 	entries map[string]coordination.Entry
 	leases  map[coordination.LeaseID]*lease
 	version uint64
+	// changed is closed and replaced at every change of entries or fault.
 	changed chan struct{}
 	fault   func(op Op, key string) Fault
 	calls   [5]atomic.Int64
@@ -71,20 +73,21 @@
 	}
 }
 
-// SetFault installs the function that picks the fault of each call; nil means
-// none. The function is called with the store locked.
+// SetFault installs the function that returns the fault for each call; nil means no faults. The
+// Store calls f with its lock held. Watches that are waiting get a new fault as well.
 func (s *Store) SetFault(f func(op Op, key string) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
-	s.wake()
+	s.notify()
 }
 
-// CallCount returns how often op was called.
+// CallCount returns the number of calls of kind op since the start, including failed ones.
 func (s *Store) CallCount(op Op) int64 { return s.calls[opIndex(op)].Load() }
 
+// opIndex returns the index of op in Store.calls.
 func opIndex(op Op) int {
-	for i, o := range [...]Op{OpGet, OpSwap, OpDelete, OpWatch, OpLease} {
+	for i, o := range [...]Op{OpGet, OpCompareAndSwap, OpDelete, OpWatch, OpLease} {
 		if o == op {
 			return i
 		}
@@ -92,11 +95,12 @@
 	panic("standin: unknown op " + string(op))
 }
 
-// begin counts the call and applies what happens before its effect.
+// begin counts a call and applies the part of its fault that precedes the effect. It returns the
+// fault, for Fault.reply.
 func (s *Store) begin(ctx context.Context, op Op, key string) (Fault, error) {
 	s.calls[opIndex(op)].Add(1)
 	s.mu.Lock()
-	f := s.pick(op, key)
+	f := s.faultFor(op, key)
 	s.mu.Unlock()
 	if f.Delay > 0 {
 		select {
@@ -111,14 +115,16 @@
 	return f, ctx.Err()
 }
 
-func (s *Store) pick(op Op, key string) Fault {
+// faultFor returns the fault for a call. The caller holds the lock.
+func (s *Store) faultFor(op Op, key string) Fault {
 	if s.fault == nil {
 		return Fault{}
 	}
 	return s.fault(op, key)
 }
 
-func (f Fault) end(err error) error {
+// reply returns err, or ErrReplyLost if the fault loses the reply of the call.
+func (f Fault) reply(err error) error {
 	if f.LoseReply {
 		return ErrReplyLost
 	}
@@ -133,12 +139,13 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.entries[key], f.end(nil)
+	return s.entries[key], f.reply(nil)
 }
 
-// CompareAndSwap implements coordination.Store.
+// CompareAndSwap implements coordination.Store. It refuses a value of more than
+// coordination.MaxValueBytes.
 func (s *Store) CompareAndSwap(ctx context.Context, key string, version uint64, value []byte, id coordination.LeaseID) (uint64, error) {
-	f, err := s.begin(ctx, OpSwap, key)
+	f, err := s.begin(ctx, OpCompareAndSwap, key)
 	if err != nil {
 		return 0, err
 	}
@@ -148,18 +155,18 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.entries[key].Version != version {
-		return 0, f.end(coordination.ErrConflict)
+		return 0, f.reply(coordination.ErrConflict)
 	}
 	if id != 0 && s.leases[id] == nil {
-		return 0, f.end(coordination.ErrLeaseNotFound)
+		return 0, f.reply(coordination.ErrLeaseNotFound)
 	}
 	s.version++
 	s.entries[key] = coordination.Entry{Value: append([]byte(nil), value...), Version: s.version}
 	if id != 0 {
 		s.leases[id].keys[key] = s.version
 	}
-	s.wake()
-	return s.version, f.end(nil)
+	s.notify()
+	return s.version, f.reply(nil)
 }
 
 // Delete implements coordination.Store.
@@ -171,11 +178,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.entries[key].Version != version {
-		return f.end(coordination.ErrConflict)
+		return f.reply(coordination.ErrConflict)
 	}
 	delete(s.entries, key)
-	s.wake()
-	return f.end(nil)
+	s.notify()
+	return f.reply(nil)
 }
 
 // Watch implements coordination.Store.
@@ -187,13 +194,13 @@
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		e, changed, f := s.entries[key], s.changed, s.pick(OpWatch, key)
+		e, changed, f := s.entries[key], s.changed, s.faultFor(OpWatch, key)
 		s.mu.Unlock()
 		if f.Down {
 			return coordination.Entry{}, ErrUnavailable
 		}
 		if e.Version != version {
-			return e, f.end(nil)
+			return e, f.reply(nil)
 		}
 		select {
 		case <-changed:
@@ -216,9 +223,9 @@
 	s.version++
 	id := coordination.LeaseID(s.version)
 	l := &lease{ttl: ttl, keys: make(map[string]uint64)}
-	l.timer = time.AfterFunc(ttl, func() { s.lapse(id) })
+	l.timer = time.AfterFunc(ttl, func() { s.expireLease(id) })
 	s.leases[id] = l
-	return id, f.end(nil)
+	return id, f.reply(nil)
 }
 
 // KeepAlive implements coordination.Store.
@@ -231,14 +238,14 @@
 	defer s.mu.Unlock()
 	l := s.leases[id]
 	if l == nil {
-		return f.end(coordination.ErrLeaseNotFound)
+		return f.reply(coordination.ErrLeaseNotFound)
 	}
 	l.timer.Reset(l.ttl)
-	return f.end(nil)
+	return f.reply(nil)
 }
 
-// lapse ends a lease and removes the keys that it still holds.
-func (s *Store) lapse(id coordination.LeaseID) {
+// expireLease ends a lease and removes the keys last written under it.
+func (s *Store) expireLease(id coordination.LeaseID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.leases[id]
@@ -251,11 +258,11 @@
 			delete(s.entries, key)
 		}
 	}
-	s.wake()
+	s.notify()
 }
 
-// wake lets all watches look again. The caller holds the lock.
-func (s *Store) wake() {
+// notify makes all waiting watches check their keys again. The caller holds the lock.
+func (s *Store) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
--- a/internal/standin/upstream.go
+++ b/internal/standin/upstream.go
@@ -21,25 +21,26 @@
 	ID       string `json:"id"`
 	Method   string `json:"method"`
 	Path     string `json:"path"`
-	// Bytes is the length of the request's body.
-	Bytes int64     `json:"bytes"`
-	At    time.Time `json:"at"`
+	// Bytes is the length of the request body.
+	Bytes int64 `json:"bytes"`
+	// At is the time at which the execution ended.
+	At time.Time `json:"at"`
 }
 
-// Upstream is a back end with a number of slots. It records what it executes,
-// sheds load beyond its slots, reports its load, and can be told to fail. It is
-// safe for concurrent use.
+// Upstream is an HTTP server that executes at most Slots requests at a time. It records the
+// requests that it executes, rejects requests when all slots are in use, reports its load, and can
+// inject failures. It is safe for concurrent use.
 type Upstream struct {
-	// ID is put into the answers.
+	// ID is the name of the upstream, part of its responses.
 	ID    string
 	Slots int
-	// ServiceTime is how long one request takes.
+	// ServiceTime is how long the execution of a request takes.
 	ServiceTime time.Duration
 
-	// RunLog, if set, gets a line for each run before the answer, so that it
-	// outlives the process.
+	// RunLog, if set, receives each Run as a line of JSON before the response is sent, so that the
+	// record outlives the process.
 	RunLog io.Writer
-	// Gauge, if set, is shared by the upstreams of a region.
+	// Gauge, if set, counts the requests being executed by all upstreams that share it.
 	Gauge *InFlightGauge
 
 	mu       sync.Mutex
@@ -49,33 +50,35 @@
 	slots    chan struct{}
 }
 
-// InFlightGauge counts the requests in flight at several upstreams and their peak.
+// InFlightGauge holds the current and the peak number of requests that several upstreams execute
+// together. It is safe for concurrent use, and a nil gauge counts nothing.
 type InFlightGauge struct {
-	mu        sync.Mutex
-	now, peak int
+	mu            sync.Mutex
+	current, peak int
 }
 
+// add changes the current number by n.
 func (g *InFlightGauge) add(n int) {
 	if g == nil {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.now += n
-	g.peak = max(g.peak, g.now)
+	g.current += n
+	g.peak = max(g.peak, g.current)
 }
 
-// ResetPeak makes the peak what is in flight now.
+// ResetPeak sets the peak to the current number of requests.
 func (g *InFlightGauge) ResetPeak() {
 	if g == nil {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.peak = g.now
+	g.peak = g.current
 }
 
-// Peak returns the largest number of requests in flight at one time.
+// Peak returns the largest number of requests at one time since the last ResetPeak.
 func (g *InFlightGauge) Peak() int {
 	if g == nil {
 		return 0
@@ -85,42 +88,43 @@
 	return g.peak
 }
 
-// Modes of an upstream.
+// Modes of an Upstream.
 const (
 	ModeNormal = "normal"
-	// ModeRefuse sheds every request, not run.
+	// ModeRefuse rejects every request without executing it.
 	ModeRefuse = "refuse"
-	// ModeDie executes a request and closes the connection without an answer.
+	// ModeDie executes a request and closes the connection without a response.
 	ModeDie = "die"
-	// ModeCut executes a request and closes in the middle of the answer.
+	// ModeCut executes a request and closes the connection in the middle of the response.
 	ModeCut = "cut"
-	// ModeIdle reports no load whatever there is.
+	// ModeIdle reports a load of zero regardless of the requests in flight.
 	ModeIdle = "idle"
-	// ModeDraining answers that the upstream drains.
+	// ModeDraining reports in each response that the upstream is draining.
 	ModeDraining = "draining"
 )
 
-// NewUpstream returns an upstream with a number of slots.
-func NewUpstream(id string, slots int, work time.Duration) *Upstream {
-	return &Upstream{ID: id, Slots: slots, ServiceTime: work, mode: ModeNormal, slots: make(chan struct{}, slots)}
+// NewUpstream returns an Upstream in ModeNormal. The parameter serviceTime is how long the execution of
+// a request takes.
+func NewUpstream(id string, slots int, serviceTime time.Duration) *Upstream {
+	return &Upstream{ID: id, Slots: slots, ServiceTime: serviceTime, mode: ModeNormal, slots: make(chan struct{}, slots)}
 }
 
-// SetMode tells the upstream how to behave.
+// SetMode sets the mode for requests that start later.
 func (u *Upstream) SetMode(mode string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.mode = mode
 }
 
-// Runs returns what the upstream executed.
+// Runs returns the requests executed since the start, in the order of their ends.
 func (u *Upstream) Runs() []Run {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return append([]Run(nil), u.runs...)
 }
 
-// Handler returns the upstream's interface: any path is a request, /-/ is for
-// tests.
+// Handler returns the HTTP handler. Paths under /-/ let tests read the records and set the mode;
+// requests for any other path are executed.
 func (u *Upstream) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/-/runs", func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(u.Runs()) })
@@ -131,28 +135,29 @@
 	return r
 }
 
+// serve executes a request according to the mode.
 func (u *Upstream) serve(w http.ResponseWriter, r *http.Request) {
-	mode := u.enter()
-	defer u.leave()
-	if mode == ModeRefuse || !u.takeSlot() {
-		u.headers(w, mode)
+	mode := u.beginRequest()
+	defer u.endRequest()
+	if mode == ModeRefuse || !u.acquireSlot() {
+		u.setHeaders(w, mode)
 		w.Header().Set("Retry-After", "1")
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
 	defer func() { <-u.slots }()
 	n, err := io.Copy(io.Discard, r.Body)
-	if err != nil || !u.work(r.Context()) {
+	if err != nil || !u.execute(r.Context()) {
 		return
 	}
 	u.record(Run{Upstream: u.ID, ID: r.Header.Get(header.RequestID), Method: r.Method, Path: r.URL.Path, Bytes: n, At: time.Now()})
-	u.answer(w, r, mode)
+	u.respond(w, r, mode)
 }
 
-// work takes as long as a request does, and reports whether its caller stayed.
-// It ends before the answer is written, so that the gauge is never above what a
-// caller has under way.
-func (u *Upstream) work(ctx context.Context) bool {
+// execute waits for ServiceTime and reports whether the request was not cancelled meanwhile. It
+// returns before the response is written, so that the gauge never exceeds the number of requests
+// that the callers have in flight.
+func (u *Upstream) execute(ctx context.Context) bool {
 	u.Gauge.add(1)
 	defer u.Gauge.add(-1)
 	select {
@@ -163,7 +168,8 @@
 	}
 }
 
-func (u *Upstream) takeSlot() bool {
+// acquireSlot takes a slot and reports whether one was free.
+func (u *Upstream) acquireSlot() bool {
 	select {
 	case u.slots <- struct{}{}:
 		return true
@@ -172,11 +178,13 @@
 	}
 }
 
-func (u *Upstream) answer(w http.ResponseWriter, r *http.Request, mode string) {
+// respond writes the response to an executed request. The query parameter size adds this number of
+// bytes to the body.
+func (u *Upstream) respond(w http.ResponseWriter, r *http.Request, mode string) {
 	if mode == ModeDie {
 		panic(http.ErrAbortHandler)
 	}
-	u.headers(w, mode)
+	u.setHeaders(w, mode)
 	if id := r.Header.Get(header.RequestID); id != "" {
 		w.Header().Set(header.RequestID, id)
 	}
@@ -190,7 +198,8 @@
 	_, _ = w.Write(make([]byte, size))
 }
 
-func (u *Upstream) headers(w http.ResponseWriter, mode string) {
+// setHeaders sets the response headers with the load and the state of the upstream.
+func (u *Upstream) setHeaders(w http.ResponseWriter, mode string) {
 	load := 0
 	if mode != ModeIdle {
 		u.mu.Lock()
@@ -203,19 +212,22 @@
 	}
 }
 
-func (u *Upstream) enter() string {
+// beginRequest counts a request in and returns the mode for it.
+func (u *Upstream) beginRequest() string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.inFlight++
 	return u.mode
 }
 
-func (u *Upstream) leave() {
+// endRequest counts a request out.
+func (u *Upstream) endRequest() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.inFlight--
 }
 
+// record adds a run to the records.
 func (u *Upstream) record(r Run) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/tlsconf/tlsconf.go
+++ b/internal/tlsconf/tlsconf.go
@@ -21,8 +21,8 @@
 type KeyPair struct {
 	certFile, keyFile string
 
-	mu      sync.Mutex
-	cert    *tls.Certificate
+	mu   sync.Mutex
+	cert *tls.Certificate
 	// checked is the time of the last check of the certificate file.
 	checked time.Time
 	// changed is the modification time of the certificate file that cert was read from.
--- a/test/slopes/fleet.go
+++ b/test/slopes/fleet.go
@@ -63,7 +63,7 @@
 	for _, m := range c.members {
 		u.bytes["all"] = append(u.bytes["all"], m.traffic.Sent.Load()+m.traffic.Received.Load())
 	}
-	for _, op := range []standin.Op{standin.OpGet, standin.OpSwap, standin.OpWatch} {
+	for _, op := range []standin.Op{standin.OpGet, standin.OpCompareAndSwap, standin.OpWatch} {
 		u.calls += c.store.CallCount(op)
 	}
 	return u
