--- a/internal/process/reload_test.go
+++ b/internal/process/reload_test.go
@@ -42,7 +42,7 @@
 	write(t, path, "two")
 	signals <- syscall.SIGHUP
 	if got := <-contents; got != "two" {
-		t.Errorf("changed was called with content %q, want %q", got, "two")
+		t.Errorf("changed was called with content %q, want two", got)
 	}
 	cancel()
 	<-ended
