--- a/internal/bootclock/clock.go
+++ b/internal/bootclock/clock.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Clock returns the wall-clock time at its start plus the time passed since, including the time
-// that the machine was suspended. Setting the wall clock does not affect it. The monotonic clock
-// of time.Now stops during a suspension, and a node would take the state from before a suspension
-// of some seconds for fresh.
+// Clock computes the current time as the wall-clock time at its start plus the time passed since
+// then, including the time that the machine was suspended. Setting the wall clock does not affect
+// it. The monotonic clock of time.Now stops while the machine is suspended; with it, a node would
+// treat state from before a suspension of several seconds as current.
 //
 // Reading the boot clock is a system call; reading the monotonic clock is not. Now therefore uses
 // the monotonic clock and adds the suspended time that SyncNow last measured. A Clock is safe for
@@ -41,8 +41,8 @@
 	return c.start.Add(c.monotonic() + time.Duration(c.suspended.Load()))
 }
 
-// suspensionThreshold is the smallest difference that counts as a suspension. Below it, the two
-// clocks may differ only because they are read one after the other.
+// suspensionThreshold is the largest difference of the two clocks that does not count as a
+// suspension, because the clocks are read one after the other.
 const suspensionThreshold = 50 * time.Millisecond
 
 // SyncNow reads the boot clock, corrects the Clock for any suspension, and returns the current
--- a/internal/standin/upstream.go
+++ b/internal/standin/upstream.go
@@ -103,8 +103,7 @@
 	ModeDraining = "draining"
 )
 
-// NewUpstream returns an Upstream in ModeNormal. The parameter serviceTime is how long the execution of
-// a request takes.
+// NewUpstream returns an Upstream in ModeNormal. The execution of a request takes serviceTime.
 func NewUpstream(id string, slots int, serviceTime time.Duration) *Upstream {
 	return &Upstream{ID: id, Slots: slots, ServiceTime: serviceTime, mode: ModeNormal, slots: make(chan struct{}, slots)}
 }
@@ -123,8 +122,8 @@
 	return append([]Run(nil), u.runs...)
 }
 
-// Handler returns the HTTP handler. Paths under /-/ let tests read the records and set the mode;
-// requests for any other path are executed.
+// Handler returns the HTTP handler. Paths under /-/ let tests read the records, read and reset the
+// peak, and set the mode; requests for any other path are executed.
 func (u *Upstream) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/-/runs", func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(u.Runs()) })
