--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -162,7 +162,7 @@
 // plan returns the own part in the fan-out.
 func (a *Agent) plan() fanout.Plan {
 	self := a.table.Self()
-	return fanout.New(domainName(self), self.ID, liveIDs(a.table.Domain(self.Domain), self))
+	return fanout.New(domainName(self), self.ID, liveIDs(a.table.DomainMembers(self.Domain), self))
 }
 
 // domainName is unique among all failure domains, also if two regions use one
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -99,7 +99,7 @@
 		took := waitUntil(t, "in force after the cut", inForce, allAt(nodes, rev))
 		joined := waitUntil(t, "all know all again", time.Minute, func() bool {
 			for _, x := range nodes {
-				for _, m := range x.table.Scope() {
+				for _, m := range x.table.ProbeScope() {
 					if m.State != membership.Alive {
 						t.Errorf("%s took its neighbour %s for %v while the cut healed", x.opt.Self.ID, m.ID, m.State)
 					}
--- a/internal/agent/dump.go
+++ b/internal/agent/dump.go
@@ -35,7 +35,7 @@
 		Plan:      a.plan(),
 		Members:   members,
 		Directory: list,
-		Due:       a.table.Due(),
+		Due:       a.table.PendingUpdates(),
 		Processes: a.processStates(),
 		Shares:    a.keeper.Dump(),
 		Stats:     a.Counters(),
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -85,7 +85,7 @@
 func (a *Agent) beside(m membership.Member) []membership.Member {
 	a.proberMu.Lock()
 	defer a.proberMu.Unlock()
-	if next, ok := a.prober.Beside(m); ok {
+	if next, ok := a.prober.RandomInDomain(m); ok {
 		return []membership.Member{next}
 	}
 	return nil
@@ -105,7 +105,7 @@
 	}
 	known[a.opt.Self.Agent] = true
 	var addrs []string
-	for _, m := range a.table.Lost() {
+	for _, m := range a.table.DeadMembers() {
 		addrs = append(addrs, m.Agent)
 	}
 	for _, addr := range slices.Concat(a.opt.Seeds, a.directory.nodes()) {
@@ -117,7 +117,7 @@
 		return
 	}
 	addr := addrs[a.intN(len(addrs))]
-	lost := a.table.Lost()
+	lost := a.table.DeadMembers()
 	req := a.exchangeRequest(lost[:min(maxUpdates, len(lost))])
 	req.Want = []string{a.table.Self().Domain}
 	if reply, err := a.exchange(ctx, addr, req); err == nil {
@@ -135,7 +135,7 @@
 	if m, ok := a.prober.Next(); ok {
 		out = append(out, m)
 	}
-	if m, ok := a.prober.Remote(); reader && ok {
+	if m, ok := a.prober.RandomOutsideDomain(); reader && ok {
 		out = append(out, m)
 	}
 	return out
@@ -144,7 +144,7 @@
 // probe exchanges with a member, over others if it does not answer. It reports
 // whether both hold the same members, and whether the member answered at all.
 func (a *Agent) probe(ctx context.Context, m membership.Member) (same, ok bool) {
-	req := a.exchangeRequest(a.table.Updates(maxUpdates))
+	req := a.exchangeRequest(a.table.NextUpdates(maxUpdates))
 	req.Updates = append(req.Updates, a.doubts(m.ID)...)
 	reply, err := a.exchange(ctx, m.Agent, req)
 	if err == nil {
@@ -154,7 +154,7 @@
 	if ctx.Err() != nil || a.relayed(ctx, m) {
 		return false, false
 	}
-	a.table.Failed(time.Now(), m.ID)
+	a.table.MarkSuspect(time.Now(), m.ID)
 	return false, false
 }
 
@@ -271,7 +271,7 @@
 func (a *Agent) updatesFor(req *pb.ExchangeRequest) []membership.Member {
 	want := req.GetWant()
 	if len(want) == 0 {
-		return a.table.Updates(maxUpdates)
+		return a.table.NextUpdates(maxUpdates)
 	}
 	return a.table.Select(func(m membership.Member) bool {
 		return want[0] == allDomains || slices.Contains(want, m.Domain)
@@ -358,7 +358,7 @@
 	}
 	var updates []membership.Member
 	for _, d := range want {
-		updates = append(updates, a.table.Domain(d)...)
+		updates = append(updates, a.table.DomainMembers(d)...)
 	}
 	req = a.exchangeRequest(updates)
 	req.Want = want
--- a/internal/agent/network_test.go
+++ b/internal/agent/network_test.go
@@ -125,7 +125,7 @@
 		Rand:       rand.New(rand.NewPCG(uint64(len(id)), hash(id))),
 		Period:     DefaultPeriod,
 		Boot:       func() int64 { return time.Now().UnixNano() },
-		Membership: membership.Config{SuspectFor: 4 * time.Second, KeepDead: keepDead, Spread: 8},
+		Membership: membership.Config{SuspicionTimeout: 4 * time.Second, DeadRetention: keepDead, RetransmitLimit: 8},
 	})
 	n.mu.Lock()
 	n.agents[id] = a
--- a/internal/agent/node.go
+++ b/internal/agent/node.go
@@ -174,7 +174,7 @@
 	a.localMu.Lock()
 	entry, director := a.address(ProcessEntry, a.opt.Self.Entry), a.address(ProcessDirector, a.opt.Self.Director)
 	before := a.table.Self()
-	a.table.Announce(time.Now(), func(m *membership.Member) { m.Entry, m.Director = entry, director })
+	a.table.UpdateSelf(time.Now(), func(m *membership.Member) { m.Entry, m.Director = entry, director })
 	a.localMu.Unlock()
 	if after := a.table.Self(); after.Incarnation != before.Incarnation {
 		klog.InfoS("processes changed", "entry", entry, "director", director)
--- a/internal/agent/start.go
+++ b/internal/agent/start.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	a.table.Learn(time.Now(), rpc.MembersFromProto(reply.GetUpdates()))
+	a.table.AddMembers(time.Now(), rpc.MembersFromProto(reply.GetUpdates()))
 	reply.Updates = nil
 	a.takeReply(ctx, reply)
 	return nil
--- a/internal/membership/prober.go
+++ b/internal/membership/prober.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// Relays is how many peers are asked to probe a member that did not answer.
-const Relays = 2
+// MaxRelays is how many peers are asked to probe a member that did not answer.
+const MaxRelays = 2
 
 // Prober chooses whom to probe. It is not safe for concurrent use.
 type Prober struct {
@@ -36,7 +36,7 @@
 
 func (p *Prober) refill() {
 	p.round = p.round[:0]
-	for _, m := range p.table.Scope() {
+	for _, m := range p.table.ProbeScope() {
 		p.round = append(p.round, m.ID)
 	}
 	p.rnd.Shuffle(len(p.round), func(i, j int) { p.round[i], p.round[j] = p.round[j], p.round[i] })
@@ -44,28 +44,28 @@
 
 // RelaysFor returns peers that can probe a member in the own place.
 func (p *Prober) RelaysFor(id string) []Member {
-	peers := p.table.Scope()
+	peers := p.table.ProbeScope()
 	p.rnd.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	var out []Member
 	for _, m := range peers {
-		if m.ID != id && m.State == Alive && len(out) < Relays {
+		if m.ID != id && m.State == Alive && len(out) < MaxRelays {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-// Beside returns a random live member of the failure domain of one that did not
+// RandomInDomain returns a random live member of the failure domain of one that did not
 // answer. What fails together stands together, so it is probed next.
-func (p *Prober) Beside(m Member) (Member, bool) {
+func (p *Prober) RandomInDomain(m Member) (Member, bool) {
 	return p.pick(func(o Member) bool {
 		return o.ID != m.ID && o.State == Alive && o.Domain == m.Domain && o.Region == m.Region
 	})
 }
 
-// Remote returns a random live member outside the own failure domain. Readers
+// RandomOutsideDomain returns a random live member outside the own failure domain. Readers
 // exchange with one each period, which joins the domains.
-func (p *Prober) Remote() (Member, bool) {
+func (p *Prober) RandomOutsideDomain() (Member, bool) {
 	self := p.table.Self()
 	return p.pick(func(m Member) bool {
 		return m.Live() && (m.Domain != self.Domain || m.Region != self.Region)
--- a/internal/membership/scope.go
+++ b/internal/membership/scope.go
@@ -15,9 +15,9 @@
 // fewer is widened to its region, then to all.
 const minScope = 2
 
-// Scope returns the live peers that the own instance probes, and whose word on
+// ProbeScope returns the live peers that the own instance probes, and whose word on
 // each other counts.
-func (t *Table) Scope() []Member {
+func (t *Table) ProbeScope() []Member {
 	t.mu.Lock()
 	in, self := t.scopeFilter(), t.self.ID
 	t.mu.Unlock()
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -22,18 +22,18 @@
 
 // Config sets the times of a Table.
 type Config struct {
-	// SuspectFor is how long a suspected member has to refute.
-	SuspectFor time.Duration
-	// KeepDead is how long the dead and the departed are remembered, so that
+	// SuspicionTimeout is how long a suspected member has to refute.
+	SuspicionTimeout time.Duration
+	// DeadRetention is how long the dead and the departed are remembered, so that
 	// late gossip cannot bring them back.
-	KeepDead time.Duration
-	// Spread is how often an update is passed on.
-	Spread int
+	DeadRetention time.Duration
+	// RetransmitLimit is how often an update is passed on.
+	RetransmitLimit int
 }
 
 // DefaultConfig returns the times for probes once a second.
 func DefaultConfig() Config {
-	return Config{SuspectFor: 4 * time.Second, KeepDead: time.Hour, Spread: 8}
+	return Config{SuspicionTimeout: 4 * time.Second, DeadRetention: time.Hour, RetransmitLimit: 8}
 }
 
 type entry struct {
@@ -70,7 +70,7 @@
 		changed: make(chan struct{}),
 		digests: make(map[string]uint64),
 	}
-	t.put(entry{Member: self, left: cfg.Spread})
+	t.put(entry{Member: self, left: cfg.RetransmitLimit})
 	return t
 }
 
@@ -114,7 +114,7 @@
 // setState changes what is believed of a member.
 func (t *Table) setState(now time.Time, e *entry, s State) {
 	next := *e
-	next.State, next.since, next.left = s, now, t.cfg.Spread
+	next.State, next.since, next.left = s, now, t.cfg.RetransmitLimit
 	t.put(next)
 	t.wake()
 }
@@ -164,13 +164,13 @@
 }
 
 func (t *Table) setSelf(now time.Time) {
-	t.put(entry{Member: t.self, since: now, left: t.cfg.Spread})
+	t.put(entry{Member: t.self, since: now, left: t.cfg.RetransmitLimit})
 	t.wake()
 }
 
-// Learn takes in a member list that a peer holds, without passing it on: what is
+// AddMembers takes in a member list that a peer holds, without passing it on: what is
 // new here is not new to others.
-func (t *Table) Learn(now time.Time, members []Member) {
+func (t *Table) AddMembers(now time.Time, members []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, m := range members {
@@ -194,12 +194,12 @@
 	if e != nil && (u.Incarnation < e.Incarnation || u.Incarnation == e.Incarnation && u.State <= e.State) {
 		return false
 	}
-	t.put(entry{Member: u, since: now, left: t.cfg.Spread})
+	t.put(entry{Member: u, since: now, left: t.cfg.RetransmitLimit})
 	return true
 }
 
-// Failed records that a member answered neither a probe nor a relayed one.
-func (t *Table) Failed(now time.Time, id string) {
+// MarkSuspect records that a member answered neither a probe nor a relayed one.
+func (t *Table) MarkSuspect(now time.Time, id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
@@ -216,9 +216,9 @@
 	for id, e := range t.entries {
 		age := now.Sub(e.since)
 		switch {
-		case e.State == Suspect && age >= t.cfg.SuspectFor:
+		case e.State == Suspect && age >= t.cfg.SuspicionTimeout:
 			t.setState(now, e, Dead)
-		case id != t.self.ID && !e.Live() && age >= t.cfg.KeepDead:
+		case id != t.self.ID && !e.Live() && age >= t.cfg.DeadRetention:
 			t.drop(id)
 		}
 	}
@@ -232,8 +232,8 @@
 	t.setSelf(now)
 }
 
-// Announce changes the addresses of the own member under a new incarnation.
-func (t *Table) Announce(now time.Time, change func(*Member)) {
+// UpdateSelf changes the addresses of the own member under a new incarnation.
+func (t *Table) UpdateSelf(now time.Time, change func(*Member)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	before := t.self
@@ -245,9 +245,9 @@
 	t.setSelf(now)
 }
 
-// Updates returns what is still to be passed on, at most limit, the least
+// NextUpdates returns what is still to be passed on, at most limit, the least
 // spread first. The caller sends them with its next message.
-func (t *Table) Updates(limit int) []Member {
+func (t *Table) NextUpdates(limit int) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.due == 0 {
@@ -273,8 +273,8 @@
 	return out
 }
 
-// Due returns how many members are still to be passed on.
-func (t *Table) Due() int {
+// PendingUpdates returns how many members are still to be passed on.
+func (t *Table) PendingUpdates() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.due
@@ -312,13 +312,13 @@
 	return out
 }
 
-// Domain returns the members of a failure domain, the dead ones too.
-func (t *Table) Domain(domain string) []Member {
+// DomainMembers returns the members of a failure domain, the dead ones too.
+func (t *Table) DomainMembers(domain string) []Member {
 	return t.Select(func(m Member) bool { return m.Domain == domain })
 }
 
-// Lost returns the members that are believed to have failed without a farewell.
-func (t *Table) Lost() []Member {
+// DeadMembers returns the members that are believed to have failed without a farewell.
+func (t *Table) DeadMembers() []Member {
 	return t.Select(func(m Member) bool { return m.State == Dead })
 }
 
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -71,16 +71,16 @@
 	cfg := DefaultConfig()
 	table := NewTable(member("a", 1, Alive), cfg)
 	table.Merge(start, member("b", 1, Alive))
-	table.Failed(start, "b")
-	table.Tick(start.Add(cfg.SuspectFor - 1))
+	table.MarkSuspect(start, "b")
+	table.Tick(start.Add(cfg.SuspicionTimeout - 1))
 	if m, _ := table.Get("b"); m.State != Suspect {
 		t.Errorf("b is %v before its time", m.State)
 	}
-	table.Tick(start.Add(cfg.SuspectFor))
+	table.Tick(start.Add(cfg.SuspicionTimeout))
 	if m, _ := table.Get("b"); m.State != Dead {
 		t.Errorf("b is %v after its time", m.State)
 	}
-	table.Tick(start.Add(cfg.SuspectFor + cfg.KeepDead))
+	table.Tick(start.Add(cfg.SuspicionTimeout + cfg.DeadRetention))
 	if _, ok := table.Get("b"); ok {
 		t.Error("b is not forgotten")
 	}
@@ -119,14 +119,14 @@
 			tables[i] = NewTable(member(fmt.Sprint("m", i), 1, Alive), DefaultConfig())
 		}
 		exchange := func(a, b *Table) {
-			b.Merge(start, a.Self(), a.Updates(4)...)
-			a.Merge(start, b.Self(), b.Updates(4)...)
+			b.Merge(start, a.Self(), a.NextUpdates(4)...)
+			a.Merge(start, b.Self(), b.NextUpdates(4)...)
 		}
 		for range 200 {
 			a, b := tables[rnd.IntN(n)], tables[rnd.IntN(n)]
 			exchange(a, b)
 			if rnd.IntN(10) == 0 {
-				a.Failed(start, b.Self().ID)
+				a.MarkSuspect(start, b.Self().ID)
 			}
 		}
 		// Whole lists heal what single updates have missed.
@@ -139,7 +139,7 @@
 			}
 		}
 		for _, x := range tables {
-			if x.Digest() != tables[0].Digest() || len(x.Scope()) != n-1 {
+			if x.Digest() != tables[0].Digest() || len(x.ProbeScope()) != n-1 {
 				return false
 			}
 		}
--- a/test/slopes/fleet.go
+++ b/test/slopes/fleet.go
@@ -242,7 +242,7 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	for _, m := range c.members {
-		for m.Table().Due() > 0 {
+		for m.Table().PendingUpdates() > 0 {
 			time.Sleep(100 * time.Millisecond)
 		}
 	}
@@ -263,7 +263,7 @@
 		})
 	}
 	for _, m := range c.members {
-		m.Table().Learn(time.Now(), ghosts)
+		m.Table().AddMembers(time.Now(), ghosts)
 	}
 }
 
--- a/test/slopes/memory.go
+++ b/test/slopes/memory.go
@@ -108,6 +108,6 @@
 
 func memberTable(all []membership.Member) *membership.Table {
 	t := membership.NewTable(all[0], membership.DefaultConfig())
-	t.Learn(time.Time{}, all)
+	t.AddMembers(time.Time{}, all)
 	return t
 }
