--- a/cmd/loomkeel-agent/main.go
+++ b/cmd/loomkeel-agent/main.go
@@ -44,16 +44,16 @@
 	defer dialer.Close()
 	client := platform.NewClient(s.Platform.Address, s.Platform.Timeout)
 	a := agent.New(agent.Options{
-		Self:       self(s),
-		Seeds:      s.Agent.Seeds,
-		Store:      client,
-		List:       client,
-		Peers:      rpc.NewPeers(dialer),
-		Rand:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		Period:     agent.DefaultPeriod,
-		Machine:    bootclock.BootID(),
-		Boot:       bootclock.Now,
-		Membership: membership.DefaultConfig(),
+		Self:        self(s),
+		Seeds:       s.Agent.Seeds,
+		Store:       client,
+		List:        client,
+		Peers:       rpc.NewPeers(dialer),
+		Rand:        rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		ProbePeriod: agent.DefaultProbePeriod,
+		BootID:      bootclock.BootID(),
+		BootClock:   bootclock.Now,
+		Membership:  membership.DefaultConfig(),
 	})
 	mux, err := rpc.NewMux(a)
 	if err != nil {
--- a/cmd/loomkeel-director/main.go
+++ b/cmd/loomkeel-director/main.go
@@ -46,7 +46,7 @@
 	defer dialer.Close()
 	d := director.New(time.Now)
 	f := follow.New(follow.Options{
-		Dialer: dialer, Agent: s.Agent.Peer, Process: agent.ProcessDirector, Region: s.Instance.Region, Update: d.Update,
+		Dialer: dialer, Agent: s.Agent.Peer, Process: agent.ProcessDirector, Region: s.Instance.Region, OnUpdate: d.Update,
 	})
 	state := func() any { return dump{f.Status(), d.Dump()} }
 	metrics.Publish("director", state)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -23,9 +23,9 @@
 	"github.com/loomkeel/loomkeel/internal/share"
 )
 
-// Peers calls other agents by their addresses. Implementations are safe for
+// PeerClient calls other agents by their addresses. Implementations are safe for
 // concurrent use.
-type Peers interface {
+type PeerClient interface {
 	Exchange(ctx context.Context, addr string, req *pb.ExchangeRequest) (*pb.ExchangeReply, error)
 	Push(ctx context.Context, addr string, req *pb.PushRequest) (*pb.PushReply, error)
 	// Snapshot calls each with the parts of a peer's state, in order, or not at
@@ -42,22 +42,22 @@
 	Seeds []string
 	Store platform.Store
 	List  platform.Lister
-	Peers Peers
+	Peers PeerClient
 	// Rand is the source of all random choices of the agent.
 	Rand *rand.Rand
-	// Period is the time between probes.
-	Period time.Duration
-	// Machine tells the machine apart from another that takes itself for the
+	// ProbePeriod is the time between probes.
+	ProbePeriod time.Duration
+	// BootID tells the machine apart from another that takes itself for the
 	// same instance.
-	Machine string
-	// Boot is the machine's clock since boot.
-	Boot func() int64
+	BootID string
+	// BootClock is the machine's clock since boot.
+	BootClock func() int64
 	// Membership sets the times of the membership.
 	Membership membership.Config
 }
 
-// DefaultPeriod is the usual time between probes.
-const DefaultPeriod = time.Second
+// DefaultProbePeriod is the usual time between probes.
+const DefaultProbePeriod = time.Second
 
 // Agent is the control process of an instance. Its methods are safe for
 // concurrent use.
@@ -120,7 +120,7 @@
 		rnd:       opt.Rand,
 		processes: make(map[string]*process),
 	}
-	a.keeper = share.NewKeeper(opt.Store, opt.Self.ID+"@"+opt.Machine, opt.Self.Region, opt.Boot, time.Now)
+	a.keeper = share.NewKeeper(opt.Store, opt.Self.ID+"@"+opt.BootID, opt.Self.Region, opt.BootClock, time.Now)
 	a.committer = configlog.NewCommitter(opt.Store, a.log, time.Now)
 	a.prober = membership.NewProber(a.table, opt.Rand)
 	a.origin.Store("nothing yet")
--- a/internal/agent/dump.go
+++ b/internal/agent/dump.go
@@ -15,9 +15,9 @@
 	Plan      fanout.Plan         `json:"fanout"`
 	Members   []membership.Member `json:"members"`
 	Directory model.Directory     `json:"directory"`
-	// Due is how many members are still to be passed on.
-	Due       int               `json:"updates_due"`
-	Processes map[string]string `json:"processes"`
+	// PendingUpdates is how many members are still to be passed on.
+	PendingUpdates int               `json:"updates_due"`
+	Processes      map[string]string `json:"processes"`
 	// Shares are the caps and how they are divided, by region.
 	Shares map[string]share.RegionStatus `json:"shares"`
 	Stats  map[string]int64              `json:"stats"`
@@ -29,16 +29,16 @@
 	list, _ := a.directory.get()
 	origin, _ := a.origin.Load().(string)
 	return Dump{
-		Self:      a.table.Self(),
-		Revision:  a.log.Revision(),
-		Origin:    origin,
-		Plan:      a.plan(),
-		Members:   members,
-		Directory: list,
-		Due:       a.table.PendingUpdates(),
-		Processes: a.processStates(),
-		Shares:    a.keeper.Dump(),
-		Stats:     a.Counters(),
+		Self:           a.table.Self(),
+		Revision:       a.log.Revision(),
+		Origin:         origin,
+		Plan:           a.plan(),
+		Members:        members,
+		Directory:      list,
+		PendingUpdates: a.table.PendingUpdates(),
+		Processes:      a.processStates(),
+		Shares:         a.keeper.Dump(),
+		Stats:          a.Counters(),
 	}
 }
 
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -36,10 +36,10 @@
 
 // probeLoop probes one member each period.
 func (a *Agent) probeLoop(ctx context.Context) {
-	if !wait.For(ctx, time.Duration(a.intN(int(a.opt.Period)))) {
+	if !wait.For(ctx, time.Duration(a.intN(int(a.opt.ProbePeriod)))) {
 		return
 	}
-	tick := time.NewTicker(a.opt.Period)
+	tick := time.NewTicker(a.opt.ProbePeriod)
 	defer tick.Stop()
 	differing := 0
 	for period := 1; ; period++ {
--- a/internal/agent/network_test.go
+++ b/internal/agent/network_test.go
@@ -117,15 +117,15 @@
 func (n *network) run(t *testing.T, id, region, domain string, incarnation uint64) *node {
 	t.Helper()
 	a := New(Options{
-		Self:       membership.Member{ID: id, Incarnation: incarnation, Region: region, Domain: domain, Agent: id, Entry: "entry-" + id},
-		Seeds:      []string{"m0-a-0", "m1-a-0"},
-		Store:      storeOf{n.store, n, id},
-		List:       n.list,
-		Peers:      link{n, id},
-		Rand:       rand.New(rand.NewPCG(uint64(len(id)), hash(id))),
-		Period:     DefaultPeriod,
-		Boot:       func() int64 { return time.Now().UnixNano() },
-		Membership: membership.Config{SuspicionTimeout: 4 * time.Second, DeadRetention: keepDead, RetransmitLimit: 8},
+		Self:        membership.Member{ID: id, Incarnation: incarnation, Region: region, Domain: domain, Agent: id, Entry: "entry-" + id},
+		Seeds:       []string{"m0-a-0", "m1-a-0"},
+		Store:       storeOf{n.store, n, id},
+		List:        n.list,
+		Peers:       link{n, id},
+		Rand:        rand.New(rand.NewPCG(uint64(len(id)), hash(id))),
+		ProbePeriod: DefaultProbePeriod,
+		BootClock:   func() int64 { return time.Now().UnixNano() },
+		Membership:  membership.Config{SuspicionTimeout: 4 * time.Second, DeadRetention: keepDead, RetransmitLimit: 8},
 	})
 	n.mu.Lock()
 	n.agents[id] = a
--- a/internal/agent/push.go
+++ b/internal/agent/push.go
@@ -129,7 +129,7 @@
 
 func readersOf(domain string, ids []string) []string {
 	order := fanout.Order(domain, ids)
-	return order[:min(fanout.Readers, len(order))]
+	return order[:min(fanout.ReadersPerDomain, len(order))]
 }
 
 // HandlePush takes in what a peer hands on.
--- a/internal/fanout/fanout.go
+++ b/internal/fanout/fanout.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// Readers is how many members of a failure domain follow the log.
-	Readers = 2
+	// ReadersPerDomain is how many members of a failure domain follow the log.
+	ReadersPerDomain = 2
 	// Degree is how many members one member pushes to at most.
 	Degree = 6
 )
@@ -43,11 +43,11 @@
 		order = Order(domain, append(slices.Clone(ids), self))
 		rank = slices.Index(order, self)
 	}
-	p := Plan{Rank: rank, Reader: rank < Readers}
+	p := Plan{Rank: rank, Reader: rank < ReadersPerDomain}
 	if p.Reader {
-		p.Siblings = slices.DeleteFunc(slices.Clone(order[:min(Readers, len(order))]), func(id string) bool { return id == self })
+		p.Siblings = slices.DeleteFunc(slices.Clone(order[:min(ReadersPerDomain, len(order))]), func(id string) bool { return id == self })
 	}
-	first := Readers + rank*Degree
+	first := ReadersPerDomain + rank*Degree
 	if first < len(order) {
 		p.Children = slices.Clone(order[first:min(first+Degree, len(order))])
 	}
--- a/internal/fanout/fanout_test.go
+++ b/internal/fanout/fanout_test.go
@@ -31,7 +31,7 @@
 			if p.Reader {
 				reached[id]++
 			}
-			if len(p.Children) > Degree || p.Reader != (p.Rank < Readers) {
+			if len(p.Children) > Degree || p.Reader != (p.Rank < ReadersPerDomain) {
 				return false
 			}
 			for _, c := range p.Children {
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -54,10 +54,10 @@
 	// Agent is the agent's address, Process the name of the own process, Region
 	// the own region.
 	Agent, Process, Region string
-	// Update is called with each new snapshot, one call at a time.
-	Update func(*model.Snapshot)
-	// Skip is true for paths that the process has no use for; nil skips none.
-	Skip func(path string) bool
+	// OnUpdate is called with each new snapshot, one call at a time.
+	OnUpdate func(*model.Snapshot)
+	// SkipPath is true for paths that the process has no use for; nil skips none.
+	SkipPath func(path string) bool
 }
 
 // New returns a Follower.
@@ -67,8 +67,8 @@
 		agent:   opt.Agent,
 		process: opt.Process,
 		region:  opt.Region,
-		update:  opt.Update,
-		skip:    opt.Skip,
+		update:  opt.OnUpdate,
+		skip:    opt.SkipPath,
 		log:     configlog.NewLog(),
 	}
 }
