--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -1,13 +1,14 @@
-// Package membership tells which loomkeel instances are alive.
+// Package membership maintains the list of live loomkeel instances.
 //
-// Instances probe each other inside their failure domain and spread what they
-// learn with the probes, after the SWIM protocol (Das, Gupta and Motivala,
-// 2002): a member that answers neither a probe nor a relayed one is suspected,
-// and declared dead if it does not refute that in time by a higher incarnation.
-// The platform's instance list only names whom to ask; it lags, so it neither
-// declares a member alive nor dead.
+// Instances probe each other inside their failure domain and gossip state changes
+// with the probes, following the SWIM protocol (Das, Gupta and Motivala, 2002): a
+// member that answers neither a direct nor an indirect probe is suspected, and
+// declared dead if it does not refute the suspicion in time with a higher
+// incarnation. The platform's instance list only supplies addresses to contact.
+// Because it lags, it declares members neither alive nor dead.
 //
-// Table is the state and its rules, without sockets or clocks.
+// Table holds the state and its transition rules, without network access or
+// clocks.
 package membership
 
 import (
@@ -20,103 +21,109 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Config sets the times of a Table.
+// Config sets the timeouts and the gossip limit of a Table.
 type Config struct {
-	// SuspicionTimeout is how long a suspected member has to refute.
+	// SuspicionTimeout is how long a member stays suspected before it is declared
+	// dead.
 	SuspicionTimeout time.Duration
-	// DeadRetention is how long the dead and the departed are remembered, so that
-	// late gossip cannot bring them back.
+	// DeadRetention is how long dead and leaving members stay in the table, so that
+	// late gossip does not add them again.
 	DeadRetention time.Duration
-	// RetransmitLimit is how often an update is passed on.
+	// RetransmitLimit is the number of messages that carry each update.
 	RetransmitLimit int
 }
 
-// DefaultConfig returns the times for probes once a second.
+// DefaultConfig returns the configuration for a probe period of one second.
 func DefaultConfig() Config {
 	return Config{SuspicionTimeout: 4 * time.Second, DeadRetention: time.Hour, RetransmitLimit: 8}
 }
 
+// entry is a member with its local bookkeeping.
 type entry struct {
 	Member
-	// since is when the state was learnt.
-	since time.Time
-	// left is how often the state is still to be passed on.
-	left int
+	// changedAt is the local time of the last state change.
+	changedAt time.Time
+	// transmitsLeft is the number of messages that still have to carry the state.
+	transmitsLeft int
 }
 
-// Table holds what one instance believes of all. It is safe for concurrent use.
+// Table holds the state of all members as seen by one instance. It is safe for
+// concurrent use.
 type Table struct {
 	mu      sync.Mutex
 	cfg     Config
 	self    Member
 	entries map[string]*entry
+	// changed is closed and replaced when a member changes.
 	changed chan struct{}
-	// sorted is the list that All returns, nil when it has to be made anew.
+	// sorted caches the list that All returns; nil after a change.
 	sorted []Member
-	// digests are the checksums over the live members, by failure domain, and
-	// digest that over all.
-	digests map[string]uint64
-	digest  uint64
-	// due counts the entries that are still to be passed on.
-	due int
+	// domainDigests holds the checksum over the live members of each failure
+	// domain, and digest the checksum over all live members.
+	domainDigests map[string]uint64
+	digest        uint64
+	// pending is the number of entries whose transmitsLeft is above 0.
+	pending int
 }
 
-// NewTable returns a Table that knows only self.
+// NewTable returns a Table whose only member is self.
 func NewTable(self Member, cfg Config) *Table {
 	t := &Table{
-		cfg:     cfg,
-		self:    self,
-		entries: make(map[string]*entry),
-		changed: make(chan struct{}),
-		digests: make(map[string]uint64),
+		cfg:           cfg,
+		self:          self,
+		entries:       make(map[string]*entry),
+		changed:       make(chan struct{}),
+		domainDigests: make(map[string]uint64),
 	}
-	t.put(entry{Member: self, left: cfg.RetransmitLimit})
+	t.put(entry{Member: self, transmitsLeft: cfg.RetransmitLimit})
 	return t
 }
 
-// put replaces the entry of a member.
+// put adds the entry of a member or replaces it. The caller holds mu.
 func (t *Table) put(e entry) {
-	t.drop(e.ID)
+	t.remove(e.ID)
 	t.entries[e.ID] = &e
-	t.sum(&e)
-	if e.left > 0 {
-		t.due++
+	t.toggleDigest(&e)
+	if e.transmitsLeft > 0 {
+		t.pending++
 	}
 }
 
-// drop removes the entry of a member, if there is one.
-func (t *Table) drop(id string) {
+// remove deletes the entry of a member, if there is one. The caller holds mu.
+func (t *Table) remove(id string) {
 	t.sorted = nil
 	e := t.entries[id]
 	if e == nil {
 		return
 	}
-	t.sum(e)
-	if e.left > 0 {
-		t.due--
+	t.toggleDigest(e)
+	if e.transmitsLeft > 0 {
+		t.pending--
 	}
 	delete(t.entries, id)
 }
 
-// sum adds a live member to the digests, or takes it out again.
-func (t *Table) sum(e *entry) {
+// toggleDigest adds a live member to the digests, or removes it if it is included:
+// the digests are the XOR of the members' hashes.
+func (t *Table) toggleDigest(e *entry) {
 	if !e.Live() {
 		return
 	}
 	h := e.hash()
 	t.digest ^= h
-	t.digests[e.Domain] ^= h
-	if t.digests[e.Domain] == 0 {
-		delete(t.digests, e.Domain)
+	t.domainDigests[e.Domain] ^= h
+	if t.domainDigests[e.Domain] == 0 {
+		delete(t.domainDigests, e.Domain)
 	}
 }
 
-// setState changes what is believed of a member.
+// setState changes the state of a member and queues the change for gossip. The
+// caller holds mu.
 func (t *Table) setState(now time.Time, e *entry, s State) {
 	next := *e
-	next.State, next.since, next.left = s, now, t.cfg.RetransmitLimit
+	next.State, next.changedAt, next.transmitsLeft = s, now, t.cfg.RetransmitLimit
 	t.put(next)
-	t.wake()
+	t.notifyChanged()
 }
 
 // Self returns the own member.
@@ -126,10 +133,10 @@
 	return t.self
 }
 
-// Merge takes in what a peer believes. It returns beliefs that it did not take
-// in: that a member of the own scope has failed, from a peer outside the scope.
-// The peer may merely have been cut off from that member, so the member itself
-// has to be told, and will refute.
+// Merge applies the member states that the peer from has sent. It returns the
+// updates that it rejected because a peer outside the probe scope states that an
+// alive member inside the scope has failed. That peer may only be partitioned from
+// the member, so the caller sends the update to the member, which then refutes it.
 func (t *Table) Merge(now time.Time, from Member, updates ...Member) (disputed []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -145,13 +152,14 @@
 		}
 	}
 	if changed {
-		t.wake()
+		t.notifyChanged()
 	}
 	return disputed
 }
 
-// refute answers a belief about the own instance that is not so, also one left
-// over from an earlier life with a faster clock.
+// refute raises the own incarnation above that of an update about the own instance
+// that would override the own state. This includes updates from an earlier process
+// of the instance whose clock was ahead. The caller holds mu.
 func (t *Table) refute(now time.Time, u Member) {
 	if u.Incarnation < t.self.Incarnation {
 		return
@@ -163,42 +171,46 @@
 	t.setSelf(now)
 }
 
+// setSelf stores the own member and queues it for gossip. The caller holds mu.
 func (t *Table) setSelf(now time.Time) {
-	t.put(entry{Member: t.self, since: now, left: t.cfg.RetransmitLimit})
-	t.wake()
+	t.put(entry{Member: t.self, changedAt: now, transmitsLeft: t.cfg.RetransmitLimit})
+	t.notifyChanged()
 }
 
-// AddMembers takes in a member list that a peer holds, without passing it on: what is
-// new here is not new to others.
+// AddMembers adds the live members of a peer's list that are not in the table yet.
+// They are not queued for gossip, because they are new to this table only.
 func (t *Table) AddMembers(now time.Time, members []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, m := range members {
 		if m.Live() && t.entries[m.ID] == nil {
-			t.put(entry{Member: m, since: now})
+			t.put(entry{Member: m, changedAt: now})
 		}
 	}
-	t.wake()
+	t.notifyChanged()
 }
 
+// merge applies an update about another member if it takes precedence over the
+// entry, and reports whether it did. The caller holds mu.
 func (t *Table) merge(now time.Time, u Member) bool {
 	if u.ID == "" || u.ID == t.self.ID || u.State < Alive || u.State > Dead {
 		return false
 	}
 	e := t.entries[u.ID]
 	if e == nil && !u.Live() {
-		// Whoever has forgotten a dead member must not learn of it again, or no
-		// one ever would forget it.
+		// An expired dead member must not be added again: otherwise peers would keep
+		// restoring the entry in each other's tables and it would never expire.
 		return false
 	}
 	if e != nil && (u.Incarnation < e.Incarnation || u.Incarnation == e.Incarnation && u.State <= e.State) {
 		return false
 	}
-	t.put(entry{Member: u, since: now, left: t.cfg.RetransmitLimit})
+	t.put(entry{Member: u, changedAt: now, transmitsLeft: t.cfg.RetransmitLimit})
 	return true
 }
 
-// MarkSuspect records that a member answered neither a probe nor a relayed one.
+// MarkSuspect changes an alive member to Suspect, after it answered neither a
+// direct nor an indirect probe. It does nothing for members in other states.
 func (t *Table) MarkSuspect(now time.Time, id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -209,22 +221,23 @@
 	t.setState(now, e, Suspect)
 }
 
-// Tick declares dead who was suspected for too long, and forgets the dead.
+// Tick declares members dead whose suspicion has timed out, and removes dead and
+// leaving members after DeadRetention.
 func (t *Table) Tick(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, e := range t.entries {
-		age := now.Sub(e.since)
+		age := now.Sub(e.changedAt)
 		switch {
 		case e.State == Suspect && age >= t.cfg.SuspicionTimeout:
 			t.setState(now, e, Dead)
 		case id != t.self.ID && !e.Live() && age >= t.cfg.DeadRetention:
-			t.drop(id)
+			t.remove(id)
 		}
 	}
 }
 
-// Leave marks the own instance as leaving.
+// Leave changes the own state to Leaving and queues it for gossip.
 func (t *Table) Leave(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -232,7 +245,8 @@
 	t.setSelf(now)
 }
 
-// UpdateSelf changes the addresses of the own member under a new incarnation.
+// UpdateSelf applies change to the own member. If the member differs afterwards,
+// its incarnation is raised and it is queued for gossip.
 func (t *Table) UpdateSelf(now time.Time, change func(*Member)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -245,49 +259,51 @@
 	t.setSelf(now)
 }
 
-// NextUpdates returns what is still to be passed on, at most limit, the least
-// spread first. The caller sends them with its next message.
+// NextUpdates returns up to limit queued member states, those with the most
+// transmissions left first, and counts one transmission of each. The caller must
+// send them with its next message.
 func (t *Table) NextUpdates(limit int) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.due == 0 {
+	if t.pending == 0 {
 		return nil
 	}
 	var due []*entry
 	for _, e := range t.entries {
-		if e.left > 0 {
+		if e.transmitsLeft > 0 {
 			due = append(due, e)
 		}
 	}
 	slices.SortFunc(due, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(b.left, a.left), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(b.transmitsLeft, a.transmitsLeft), cmp.Compare(a.ID, b.ID))
 	})
 	var out []Member
 	for _, e := range due[:min(limit, len(due))] {
-		e.left--
-		if e.left == 0 {
-			t.due--
+		e.transmitsLeft--
+		if e.transmitsLeft == 0 {
+			t.pending--
 		}
 		out = append(out, e.Member)
 	}
 	return out
 }
 
-// PendingUpdates returns how many members are still to be passed on.
+// PendingUpdates returns the number of members whose state is queued for gossip.
 func (t *Table) PendingUpdates() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.due
+	return t.pending
 }
 
-// All returns every member, the dead ones too, in order of their ids, and a
-// channel that closes when one changes. The caller must not change the slice.
+// All returns all members, including dead ones, sorted by id, and a channel that
+// is closed at the next change. The caller must not modify the slice.
 func (t *Table) All() ([]Member, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.all(), t.changed
 }
 
+// all returns the cached sorted list of members. The caller holds mu.
 func (t *Table) all() []Member {
 	if t.sorted != nil {
 		return t.sorted
@@ -300,7 +316,7 @@
 	return t.sorted
 }
 
-// Select returns the members for which in is true, in order of their ids.
+// Select returns the members for which in is true, sorted by id.
 func (t *Table) Select(in func(Member) bool) []Member {
 	all, _ := t.All()
 	var out []Member
@@ -312,17 +328,19 @@
 	return out
 }
 
-// DomainMembers returns the members of a failure domain, the dead ones too.
+// DomainMembers returns the members of all failure domains with the given name,
+// including dead ones, sorted by id.
 func (t *Table) DomainMembers(domain string) []Member {
 	return t.Select(func(m Member) bool { return m.Domain == domain })
 }
 
-// DeadMembers returns the members that are believed to have failed without a farewell.
+// DeadMembers returns the members in state Dead: those that stopped answering
+// without announcing that they leave.
 func (t *Table) DeadMembers() []Member {
 	return t.Select(func(m Member) bool { return m.State == Dead })
 }
 
-// Get returns one member.
+// Get returns the member with the given id, or false if it is not in the table.
 func (t *Table) Get(id string) (Member, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -333,21 +351,23 @@
 	return e.Member, true
 }
 
-// Digest returns a checksum over the live members, which is equal at two tables
-// that believe the same.
+// Digest returns a checksum over the ids, states and incarnations of the live
+// members. Tables that agree on these have equal digests.
 func (t *Table) Digest() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.digest
 }
 
-// DomainDigests returns a checksum over the live members of each failure domain.
+// DomainDigests returns a copy of the checksums over the live members of each
+// failure domain, by the domain's name.
 func (t *Table) DomainDigests() map[string]uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return maps.Clone(t.digests)
+	return maps.Clone(t.domainDigests)
 }
 
+// hash returns a hash of the member's id, state and incarnation.
 func (e *entry) hash() uint64 {
 	var d xxhash.Digest
 	_, _ = d.WriteString(e.ID)
@@ -360,7 +380,9 @@
 	return d.Sum64()
 }
 
-func (t *Table) wake() {
+// notifyChanged closes the channel that All returned, and replaces it. The caller
+// holds mu.
+func (t *Table) notifyChanged() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -11,7 +11,7 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-var start = time.Unix(1_800_000_000, 0)
+var epoch = time.Unix(1_800_000_000, 0)
 
 func member(id string, incarnation uint64, s State) Member {
 	return Member{ID: id, Incarnation: incarnation, State: s, Region: "muscat", Domain: "muscat-a", Agent: id}
@@ -23,17 +23,17 @@
 		have, got Member
 		want      State
 	}{
-		{"suspicion beats alive", member("b", 1, Alive), member("b", 1, Suspect), Suspect},
-		{"alive of the same incarnation does not beat suspicion", member("b", 1, Suspect), member("b", 1, Alive), Suspect},
-		{"a refutation beats suspicion", member("b", 1, Suspect), member("b", 2, Alive), Alive},
-		{"an old death does not beat a restart", member("b", 2, Alive), member("b", 1, Dead), Alive},
-		{"a restart beats death", member("b", 1, Dead), member("b", 2, Alive), Alive},
-		{"nonsense is passed over", member("b", 1, Alive), member("b", 9, State(77)), Alive},
+		{"suspect overrides alive", member("b", 1, Alive), member("b", 1, Suspect), Suspect},
+		{"alive of the same incarnation does not override suspect", member("b", 1, Suspect), member("b", 1, Alive), Suspect},
+		{"alive of a higher incarnation overrides suspect", member("b", 1, Suspect), member("b", 2, Alive), Alive},
+		{"dead of an old incarnation does not override a restart", member("b", 2, Alive), member("b", 1, Dead), Alive},
+		{"a restart overrides dead", member("b", 1, Dead), member("b", 2, Alive), Alive},
+		{"an undefined state is ignored", member("b", 1, Alive), member("b", 9, State(77)), Alive},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			table := NewTable(member("a", 1, Alive), DefaultConfig())
-			table.Merge(start, member("c", 1, Alive), member("b", 1, Alive), tt.have, tt.got)
+			table.Merge(epoch, member("c", 1, Alive), member("b", 1, Alive), tt.have, tt.got)
 			if m, _ := table.Get("b"); m.State != tt.want {
 				t.Errorf("b is %v, want %v", m.State, tt.want)
 			}
@@ -46,72 +46,73 @@
 		text, _ := s.MarshalText()
 		var got State
 		if err := got.UnmarshalText(text); err != nil || got != s {
-			t.Errorf("%s read back as %v, %v", text, got, err)
+			t.Errorf("UnmarshalText(%q) = %v, %v, want the state with this name", text, got, err)
 		}
 	}
 	if new(State).UnmarshalText(nil) == nil || new(State).UnmarshalText([]byte("asleep")) == nil {
-		t.Error("a state that is none was read")
+		t.Error("UnmarshalText accepted an unknown state")
 	}
 }
 
 func TestRefute(t *testing.T) {
 	table := NewTable(member("a", 5, Alive), DefaultConfig())
-	table.Merge(start, member("b", 1, Alive), member("a", 5, Suspect))
+	table.Merge(epoch, member("b", 1, Alive), member("a", 5, Suspect))
 	if self := table.Self(); self.Incarnation != 6 || self.State != Alive {
-		t.Errorf("self is %+v after a suspicion", self)
+		t.Errorf("self is %+v after a suspicion, want alive in incarnation 6", self)
 	}
-	// An earlier life with a clock ahead of this one.
-	table.Merge(start, member("b", 1, Alive), member("a", 99, Dead))
+	// An update about an earlier process of the instance, whose clock was ahead.
+	table.Merge(epoch, member("b", 1, Alive), member("a", 99, Dead))
 	if self := table.Self(); self.Incarnation != 100 {
-		t.Errorf("self is %+v after news of an earlier life", self)
+		t.Errorf("self is %+v after an update about an earlier process, want incarnation 100", self)
 	}
 }
 
-func TestSuspectDies(t *testing.T) {
+func TestSuspicionTimeout(t *testing.T) {
 	cfg := DefaultConfig()
 	table := NewTable(member("a", 1, Alive), cfg)
-	table.Merge(start, member("b", 1, Alive))
-	table.MarkSuspect(start, "b")
-	table.Tick(start.Add(cfg.SuspicionTimeout - 1))
+	table.Merge(epoch, member("b", 1, Alive))
+	table.MarkSuspect(epoch, "b")
+	table.Tick(epoch.Add(cfg.SuspicionTimeout - 1))
 	if m, _ := table.Get("b"); m.State != Suspect {
-		t.Errorf("b is %v before its time", m.State)
+		t.Errorf("b is %v before the suspicion timeout, want suspect", m.State)
 	}
-	table.Tick(start.Add(cfg.SuspicionTimeout))
+	table.Tick(epoch.Add(cfg.SuspicionTimeout))
 	if m, _ := table.Get("b"); m.State != Dead {
-		t.Errorf("b is %v after its time", m.State)
+		t.Errorf("b is %v after the suspicion timeout, want dead", m.State)
 	}
-	table.Tick(start.Add(cfg.SuspicionTimeout + cfg.DeadRetention))
+	table.Tick(epoch.Add(cfg.SuspicionTimeout + cfg.DeadRetention))
 	if _, ok := table.Get("b"); ok {
-		t.Error("b is not forgotten")
+		t.Error("dead member b is still in the table after the retention time")
 	}
-	table.Merge(start, member("c", 1, Alive), member("b", 1, Dead))
+	table.Merge(epoch, member("c", 1, Alive), member("b", 1, Dead))
 	if _, ok := table.Get("b"); ok {
-		t.Error("a forgotten death came back")
+		t.Error("late gossip added the expired dead member b again")
 	}
 }
 
-// TestOutsideSuspicionIsDisputed keeps a live neighbour alive when a peer from
-// another failure domain, cut off from it, takes it for dead.
-func TestOutsideSuspicionIsDisputed(t *testing.T) {
+// TestSuspicionFromOutsideScopeIsDisputed checks that a peer of another failure
+// domain, which may be partitioned from an alive member of the own domain, cannot
+// declare that member dead, while a peer of the own domain can.
+func TestSuspicionFromOutsideScopeIsDisputed(t *testing.T) {
 	table := NewTable(member("a", 1, Alive), DefaultConfig())
-	table.Merge(start, member("b", 1, Alive), member("c", 1, Alive))
+	table.Merge(epoch, member("b", 1, Alive), member("c", 1, Alive))
 	far := Member{ID: "far", Incarnation: 1, State: Alive, Region: "sohar", Domain: "sohar-a"}
-	disputed := table.Merge(start, far, member("b", 1, Dead))
+	disputed := table.Merge(epoch, far, member("b", 1, Dead))
 	if m, _ := table.Get("b"); len(disputed) != 1 || m.State != Alive {
 		t.Errorf("b is %v, disputed %v", m.State, disputed)
 	}
-	if disputed = table.Merge(start, member("c", 1, Alive), member("b", 1, Dead)); len(disputed) != 0 {
-		t.Errorf("word from the own domain is disputed: %v", disputed)
+	if disputed = table.Merge(epoch, member("c", 1, Alive), member("b", 1, Dead)); len(disputed) != 0 {
+		t.Errorf("update from the own failure domain is disputed: %v", disputed)
 	}
 }
 
-// TestSpreadingConverges lets tables exchange beliefs in random order, with all
-// messages about some members lost for a while, and checks that they agree in
-// the end and that their digests say so.
-func TestSpreadingConverges(t *testing.T) {
+// TestGossipConverges exchanges updates between tables in random order, with false
+// suspicions in between, then exchanges whole member lists, and checks that all
+// tables end with equal digests and all members live.
+func TestGossipConverges(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(5)
 	props := gopter.NewProperties(params)
-	props.Property("tables agree after quiet", prop.ForAll(func(seed uint64) bool {
+	props.Property("tables agree after whole lists are exchanged", prop.ForAll(func(seed uint64) bool {
 		rnd := rand.New(rand.NewPCG(seed, 2))
 		const n = 6
 		tables := make([]*Table, n)
@@ -119,22 +120,22 @@
 			tables[i] = NewTable(member(fmt.Sprint("m", i), 1, Alive), DefaultConfig())
 		}
 		exchange := func(a, b *Table) {
-			b.Merge(start, a.Self(), a.NextUpdates(4)...)
-			a.Merge(start, b.Self(), b.NextUpdates(4)...)
+			b.Merge(epoch, a.Self(), a.NextUpdates(4)...)
+			a.Merge(epoch, b.Self(), b.NextUpdates(4)...)
 		}
 		for range 200 {
 			a, b := tables[rnd.IntN(n)], tables[rnd.IntN(n)]
 			exchange(a, b)
 			if rnd.IntN(10) == 0 {
-				a.MarkSuspect(start, b.Self().ID)
+				a.MarkSuspect(epoch, b.Self().ID)
 			}
 		}
-		// Whole lists heal what single updates have missed.
+		// Whole lists repair the differences that lost updates leave.
 		for range 3 {
 			for _, a := range tables {
 				for _, b := range tables {
 					list, _ := a.All()
-					b.Merge(start, a.Self(), list...)
+					b.Merge(epoch, a.Self(), list...)
 				}
 			}
 		}
