--- a/internal/fanout/fanout.go
+++ b/internal/fanout/fanout.go
@@ -1,11 +1,12 @@
-// Package fanout decides who reads the configuration log from the platform and
-// who passes its records on to whom.
+// Package fanout computes which members read the configuration log from the platform
+// and to which members each pushes new records.
 //
 // Rendezvous hashing orders the live members of a failure domain. The first
-// Readers of the order follow the log; the others form a tree of Degree under
-// them. All members compute the same order from the same membership, and a
-// member that believes otherwise for a moment does no harm: a second reader
-// costs a few calls, a missing push is healed by the next exchange.
+// ReadersPerDomain members of the order read the log; the others form a tree of
+// degree Degree below them. All members compute the same order from the same
+// membership. A member with a temporarily different membership does no harm: an
+// additional reader costs a few calls, and a missing push is made up for by the next
+// exchange.
 package fanout
 
 import (
@@ -16,26 +17,28 @@
 )
 
 const (
-	// ReadersPerDomain is how many members of a failure domain follow the log.
+	// ReadersPerDomain is the number of members of a failure domain that read the
+	// log.
 	ReadersPerDomain = 2
-	// Degree is how many members one member pushes to at most.
+	// Degree is the largest number of children of a member in the tree.
 	Degree = 6
 )
 
-// Plan is one member's part.
+// Plan is the role of one member in the fan-out of its failure domain.
 type Plan struct {
-	// Reader is true for the members that follow the log in the platform.
+	// Reader is true for a member that reads the log from the platform.
 	Reader bool
-	// Rank is the member's place in the domain's order.
+	// Rank is the member's position in the domain's order, starting at 0.
 	Rank int
-	// Children are the ids to push new records to.
+	// Children are the ids of the members to push new records to.
 	Children []string
-	// Siblings are the other readers of the domain, for a reader.
+	// Siblings are the ids of the other readers of the domain if the member is a
+	// reader, and empty otherwise.
 	Siblings []string
 }
 
-// New returns the part of self among the live members of its failure domain.
-// The ids may come in any order; self is added if it is not among them.
+// New returns the role of self among ids, the live members of its failure domain. The
+// ids may be in any order; self is added if it is missing.
 func New(domain, self string, ids []string) Plan {
 	order := Order(domain, ids)
 	rank := slices.Index(order, self)
@@ -54,7 +57,8 @@
 	return p
 }
 
-// Order returns ids in the rendezvous order of a domain.
+// Order returns the ids sorted in the rendezvous order of a failure domain: by
+// descending hash of domain and id. The argument is not modified.
 func Order(domain string, ids []string) []string {
 	type scored struct {
 		id    string
--- a/internal/fanout/fanout_test.go
+++ b/internal/fanout/fanout_test.go
@@ -18,8 +18,8 @@
 	return out
 }
 
-// TestTreeReachesAll walks the pushes from the readers and checks that each
-// member is reached exactly once, whatever the size.
+// TestTreeReachesAll checks for domains of 1 to 200 members that each member is
+// either a reader or the child of exactly one other member.
 func TestTreeReachesAll(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(1)
 	props := gopter.NewProperties(params)
@@ -53,22 +53,23 @@
 	b := slices.Clone(a)
 	slices.Reverse(b)
 	if !slices.Equal(Order("d", a), Order("d", b)) {
-		t.Error("order depends on the order of the ids")
+		t.Error("Order depends on the order of its argument")
 	}
 }
 
-// TestFailureMovesFew removes a member: only its place in the order is filled.
-func TestFailureMovesFew(t *testing.T) {
+// TestRemovalKeepsOrder checks that the removal of a member does not reorder the
+// others.
+func TestRemovalKeepsOrder(t *testing.T) {
 	all := ids(40)
 	order := Order("d", all)
 	without := Order("d", slices.DeleteFunc(slices.Clone(all), func(id string) bool { return id == order[5] }))
 	if !slices.Equal(without, slices.Concat(order[:5], order[6:])) {
-		t.Error("a failure reordered the others")
+		t.Error("the removal of one member reordered the others")
 	}
 }
 
-func TestSelfIsAlwaysPlaced(t *testing.T) {
+func TestSelfIsAdded(t *testing.T) {
 	if p := New("d", "lonely", nil); !p.Reader || len(p.Children) != 0 {
-		t.Errorf("plan of the only member: %+v", p)
+		t.Errorf("plan of the only member is %+v, want a reader without children", p)
 	}
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,8 +1,8 @@
-// Package follow keeps the director and the entry supplied with the state of
-// the agent beside them.
+// Package follow streams the state of the local agent to the director and the entry
+// of the same instance.
 //
-// When the agent is away, the process goes on with its last snapshot and says
-// so in its dump and metrics.
+// While the agent is not reachable, the process continues with its last snapshot and
+// shows the lost connection in its dump and metrics.
 package follow
 
 import (
@@ -22,71 +22,75 @@
 )
 
 const (
-	// retryEvery is the pause before an agent that is away is called again.
-	retryEvery = 200 * time.Millisecond
-	// reportTimeout bounds one report.
+	// retryInterval is the pause before a new attempt to connect to the agent.
+	retryInterval = 200 * time.Millisecond
+	// reportTimeout is the timeout of one report.
 	reportTimeout = time.Second
 )
 
-// Follower receives an agent's state.
+// Follower receives the state of the local agent and compiles it into snapshots.
 type Follower struct {
-	dialer  *rpc.Dialer
-	agent   string
-	process string
-	region  string
-	update  func(*model.Snapshot)
-	// skip leaves out edits to paths that the process has no use for.
-	skip func(path string) bool
-
-	log       *configlog.Log
-	parts     *configlog.Assembler
-	directory model.Directory
-	members   []membership.Member
-	draining  []string
-	connected atomic.Bool
-	updates   atomic.Int64
-	lastView  atomic.Int64
+	dialer   *rpc.Dialer
+	agent    string
+	process  string
+	region   string
+	onUpdate func(*model.Snapshot)
+	// skipPath returns true for paths whose edits are left out; nil leaves out none.
+	skipPath func(path string) bool
+
+	log        *configlog.Log
+	assembler  *configlog.Assembler
+	directory  model.Directory
+	members    []membership.Member
+	draining   []string
+	connected  atomic.Bool
+	updates    atomic.Int64
+	lastUpdate atomic.Int64
 }
 
-// Options sets up a Follower.
+// Options configures a Follower.
 type Options struct {
+	// Dialer opens connections to the agent.
 	Dialer *rpc.Dialer
-	// Agent is the agent's address, Process the name of the own process, Region
+	// Agent is the agent's address, Process the name of the own process, and Region
 	// the own region.
 	Agent, Process, Region string
 	// OnUpdate is called with each new snapshot, one call at a time.
 	OnUpdate func(*model.Snapshot)
-	// SkipPath is true for paths that the process has no use for; nil skips none.
+	// SkipPath returns true for configuration paths that the process does not use;
+	// nil skips none.
 	SkipPath func(path string) bool
 }
 
-// New returns a Follower.
+// New returns a Follower with the given options. It is inactive until Run is called.
 func New(opt Options) *Follower {
 	return &Follower{
-		dialer:  opt.Dialer,
-		agent:   opt.Agent,
-		process: opt.Process,
-		region:  opt.Region,
-		update:  opt.OnUpdate,
-		skip:    opt.SkipPath,
-		log:     configlog.NewLog(),
+		dialer:   opt.Dialer,
+		agent:    opt.Agent,
+		process:  opt.Process,
+		region:   opt.Region,
+		onUpdate: opt.OnUpdate,
+		skipPath: opt.SkipPath,
+		log:      configlog.NewLog(),
 	}
 }
 
-// Run follows until ctx ends.
+// Run receives the agent's state until ctx ends, and reconnects when the stream
+// breaks.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := f.follow(ctx)
 		if f.connected.Swap(false) {
-			klog.InfoS("agent lost, going on with the last state", "agent", f.agent, "err", err)
+			klog.InfoS("lost connection to agent, continuing with the last state", "agent", f.agent, "err", err)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(retryEvery):
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
+// follow opens one stream and applies its views until the stream breaks.
 func (f *Follower) follow(ctx context.Context) error {
 	conn := f.dialer.Conn(f.agent)
 	defer conn.Close()
@@ -101,25 +105,26 @@
 			return err
 		}
 		f.connected.Store(true)
-		f.take(v)
+		f.applyView(v)
 	}
 }
 
-// take applies a view. A revision older than the own never replaces it.
-func (f *Follower) take(v *pb.View) {
+// applyView applies a view and publishes the result once the view is complete. An
+// older revision or directory version never replaces a newer one.
+func (f *Follower) applyView(v *pb.View) {
 	if p := v.GetSnapshot(); p != nil {
-		f.assemble(p, v.GetFirst())
+		f.addSnapshotPart(p, v.GetFirst())
 	}
 	if v.GetMore() {
 		return
 	}
-	f.restore()
+	f.restoreSnapshot()
 	records, err := rpc.RecordsFromProto(v.GetRecords())
 	if err != nil {
-		klog.ErrorS(err, "record refused", "from", f.agent)
+		klog.ErrorS(err, "rejected invalid record from agent", "from", f.agent)
 	}
-	if _, err := f.log.Append(f.needed(records)...); err != nil {
-		klog.ErrorS(err, "records do not follow", "from", f.agent)
+	if _, err := f.log.Append(f.dropSkipped(records)...); err != nil {
+		klog.ErrorS(err, "rejected records that do not continue the log", "from", f.agent)
 	}
 	if d := v.GetDirectory(); d != nil && d.GetVersion() >= f.directory.Version {
 		f.directory = rpc.DirectoryFromProto(d)
@@ -129,47 +134,51 @@
 	f.publish()
 }
 
-// needed leaves out the edits that the process has no use for.
-func (f *Follower) needed(records []configlog.Record) []configlog.Record {
-	if f.skip == nil {
+// dropSkipped removes the edits to paths that the process does not use. It modifies
+// records in place and returns it.
+func (f *Follower) dropSkipped(records []configlog.Record) []configlog.Record {
+	if f.skipPath == nil {
 		return records
 	}
 	for i := range records {
 		edits := records[i].Edits
-		records[i].Edits = slices.DeleteFunc(edits, func(e tree.Edit) bool { return f.skip(e.Path) })
+		records[i].Edits = slices.DeleteFunc(edits, func(e tree.Edit) bool { return f.skipPath(e.Path) })
 	}
 	return records
 }
 
-// assemble takes in a part of a snapshot. A part that does not fit drops the
-// whole.
-func (f *Follower) assemble(p *pb.SnapshotPart, first bool) {
+// addSnapshotPart adds a part of a snapshot. If the part does not match the previous
+// ones, the whole snapshot is dropped.
+func (f *Follower) addSnapshotPart(p *pb.SnapshotPart, first bool) {
 	if first {
-		f.parts = new(configlog.Assembler)
+		f.assembler = new(configlog.Assembler)
 	}
-	if f.parts == nil {
+	if f.assembler == nil {
 		return
 	}
-	if err := f.parts.Add(p); err != nil {
-		klog.ErrorS(err, "snapshot refused", "from", f.agent)
-		f.parts = nil
+	if err := f.assembler.Add(p); err != nil {
+		klog.ErrorS(err, "rejected snapshot from agent", "from", f.agent)
+		f.assembler = nil
 	}
 }
 
-func (f *Follower) restore() {
-	if f.parts == nil {
+// restoreSnapshot replaces the log with the received snapshot, if there is one and it
+// is complete.
+func (f *Follower) restoreSnapshot() {
+	if f.assembler == nil {
 		return
 	}
-	s, err := f.parts.Snapshot()
-	f.parts = nil
+	s, err := f.assembler.Snapshot()
+	f.assembler = nil
 	if err == nil {
 		f.log.Restore(s)
 	}
 }
 
+// publish compiles the current state into a snapshot and passes it to onUpdate.
 func (f *Follower) publish() {
 	revision, t, _ := f.log.View()
-	f.update(model.Compile(model.Input{
+	f.onUpdate(model.Compile(model.Input{
 		Region:    f.region,
 		Revision:  revision,
 		Tree:      t,
@@ -178,10 +187,11 @@
 		Members:   f.members,
 	}))
 	f.updates.Add(1)
-	f.lastView.Store(time.Now().UnixMilli())
+	f.lastUpdate.Store(time.Now().UnixMilli())
 }
 
-// Report tells the agent how the process fares, and returns its answer.
+// Report sends the state of the process to the agent, with reportTimeout, and returns
+// the agent's reply. It sets req.Process.
 func (f *Follower) Report(ctx context.Context, req *pb.ReportRequest) (*pb.ReportReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -193,14 +203,18 @@
 
 // Status is the state of the connection to the agent.
 type Status struct {
-	Agent     string `json:"agent"`
-	Connected bool   `json:"connected"`
-	Updates   int64  `json:"updates"`
-	// LastUpdate is when the last snapshot came, in Unix milliseconds.
+	// Agent is the agent's address.
+	Agent string `json:"agent"`
+	// Connected is true while the agent sends its state.
+	Connected bool `json:"connected"`
+	// Updates is the number of snapshots published since the start.
+	Updates int64 `json:"updates"`
+	// LastUpdate is the time of the last published snapshot in Unix milliseconds; 0
+	// if there was none.
 	LastUpdate int64 `json:"last_update_unix_ms"`
 }
 
 // Status returns the state of the connection.
 func (f *Follower) Status() Status {
-	return Status{f.agent, f.connected.Load(), f.updates.Load(), f.lastView.Load()}
+	return Status{f.agent, f.connected.Load(), f.updates.Load(), f.lastUpdate.Load()}
 }
