--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,9 +1,9 @@
-// Package agent is the control process of an instance.
+// Package agent implements the control process of an instance.
 //
-// An agent follows the configuration log, takes part in membership and fan-out,
-// and hands the director and the entry beside it everything they decide by. All
-// agents are alike; which of them read the platform follows from the
-// membership alone.
+// An agent replicates the configuration log and the list of upstreams, takes part
+// in membership and fan-out, and streams this state to the director and the entry
+// of its instance. All agents run the same code; the membership alone determines
+// which of them read from the platform.
 package agent
 
 import (
@@ -26,37 +26,43 @@
 // PeerClient calls other agents by their addresses. Implementations are safe for
 // concurrent use.
 type PeerClient interface {
+	// Exchange sends the own state to a peer as a probe, and returns the state that
+	// the own instance lacks.
 	Exchange(ctx context.Context, addr string, req *pb.ExchangeRequest) (*pb.ExchangeReply, error)
+	// Push sends new records and upstreams to a peer.
 	Push(ctx context.Context, addr string, req *pb.PushRequest) (*pb.PushReply, error)
-	// Snapshot calls each with the parts of a peer's state, in order, or not at
-	// all if the state is not newer than above.
+	// Snapshot calls each with the parts of a peer's snapshot, in order, or not at
+	// all if the snapshot's revision is not higher than above.
 	Snapshot(ctx context.Context, addr string, above uint64, each func(*pb.SnapshotPart) error) error
 }
 
-// Options sets up an Agent.
+// Options configures an Agent.
 type Options struct {
-	// Self is the own member; its Entry and Director are announced only while
-	// those processes are connected.
+	// Self is the own member. Its Entry and Director are announced to peers only
+	// while those processes are connected.
 	Self membership.Member
-	// Seeds are addresses of agents to start from.
+	// Seeds are the addresses of agents to contact at the start.
 	Seeds []string
+	// Store is the platform's key-value store, which holds the configuration log.
 	Store platform.Store
-	List  platform.Lister
+	// List returns the platform's list of instances.
+	List platform.Lister
+	// Peers calls other agents.
 	Peers PeerClient
 	// Rand is the source of all random choices of the agent.
 	Rand *rand.Rand
-	// ProbePeriod is the time between probes.
+	// ProbePeriod is the time between two rounds of probes.
 	ProbePeriod time.Duration
-	// BootID tells the machine apart from another that takes itself for the
-	// same instance.
+	// BootID identifies the current boot of the machine. It distinguishes two
+	// machines that run under the same instance id.
 	BootID string
-	// BootClock is the machine's clock since boot.
+	// BootClock returns the time since the machine's boot, in nanoseconds.
 	BootClock func() int64
-	// Membership sets the times of the membership.
+	// Membership configures the membership table.
 	Membership membership.Config
 }
 
-// DefaultProbePeriod is the usual time between probes.
+// DefaultProbePeriod is the usual value of Options.ProbePeriod.
 const DefaultProbePeriod = time.Second
 
 // Agent is the control process of an instance. Its methods are safe for
@@ -71,39 +77,51 @@
 	keeper    *share.Keeper
 	stats     Stats
 
-	// proberMu guards prober and rnd, which are not safe for concurrent use.
+	// proberMu protects prober and rnd, which are not safe for concurrent use.
 	proberMu sync.Mutex
 	prober   *membership.Prober
 	rnd      *rand.Rand
 
-	// rumor is set when a record came from an operator, or at a reader from a
-	// peer rather than from the store, so that it is passed on to other failure
-	// domains too.
-	rumor   atomic.Bool
+	// pushToReaders is set when new records must also be pushed to the members from
+	// readerTargets: a change was committed at this agent, or this agent is a reader
+	// that received records from a peer instead of the store.
+	pushToReaders atomic.Bool
+	// pulling is true while a pull runs.
 	pulling atomic.Bool
-	// serving counts the snapshots being handed to peers.
-	serving atomic.Int32
-	// origin says where the state came from at the start.
+	// activeSnapshots is the number of snapshots that are being sent to peers.
+	activeSnapshots atomic.Int32
+	// origin describes where the state was loaded from at the start.
 	origin atomic.Value
 
-	// localMu guards processes.
-	localMu   sync.Mutex
-	processes map[string]*process
+	// processesMu protects processes.
+	processesMu sync.Mutex
+	processes   map[string]*process
 }
 
-// Stats counts what an agent did.
+// Stats holds an agent's counters since its start.
 type Stats struct {
-	Exchanges       atomic.Int64
-	ExchangeFailed  atomic.Int64
-	Pushes          atomic.Int64
-	PushFailed      atomic.Int64
-	RecordsApplied  atomic.Int64
-	RecordsRefused  atomic.Int64
-	StoreFailed     atomic.Int64
+	// Exchanges and ExchangeFailed count the calls of PeerClient.Exchange, except
+	// indirect probes and joins, and those of them that failed.
+	Exchanges      atomic.Int64
+	ExchangeFailed atomic.Int64
+	// Pushes and PushFailed count the calls of PeerClient.Push and those of them
+	// that failed.
+	Pushes     atomic.Int64
+	PushFailed atomic.Int64
+	// RecordsApplied and RecordsRefused count the records from peers that were
+	// applied, and those that were invalid.
+	RecordsApplied atomic.Int64
+	RecordsRefused atomic.Int64
+	// StoreFailed counts failed reads of the platform and failed rounds of dividing
+	// the caps.
+	StoreFailed atomic.Int64
+	// SnapshotsServed counts the snapshots sent to peers.
 	SnapshotsServed atomic.Int64
 }
 
-// New returns an Agent that does nothing until Run.
+// New returns an Agent with the given options. It is inactive until Run is called.
+// If the incarnation in Options.Self is 0, the current time in Unix milliseconds is
+// used.
 func New(opt Options) *Agent {
 	if opt.Self.Incarnation == 0 {
 		opt.Self.Incarnation = uint64(time.Now().UnixMilli())
@@ -127,7 +145,7 @@
 	return a
 }
 
-// Run works until ctx ends.
+// Run loads the initial state and runs the agent until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
 	a.start(ctx)
 	var wg sync.WaitGroup
@@ -137,39 +155,43 @@
 	wg.Wait()
 }
 
-// Commit has a change accepted, refused or left unknown.
+// Commit submits a change to the configuration log and returns whether it was
+// accepted or refused, or that the outcome is unknown.
 func (a *Agent) Commit(ctx context.Context, c configlog.Change) configlog.Result {
 	before := a.log.Revision()
 	r := a.committer.Commit(ctx, c)
 	if r.Outcome == configlog.Accepted && r.Revision > before {
-		a.rumor.Store(true)
+		a.pushToReaders.Store(true)
 	}
 	return r
 }
 
-// Log returns the configuration's state.
+// Log returns the agent's replica of the configuration log.
 func (a *Agent) Log() *configlog.Log { return a.log }
 
-// Table returns the membership.
+// Table returns the membership table.
 func (a *Agent) Table() *membership.Table { return a.table }
 
-// Leave tells the peers that the instance stops.
+// Leave marks the own instance as leaving and announces this to peers. It returns
+// when the announcement is done.
 func (a *Agent) Leave(ctx context.Context) {
 	a.table.Leave(time.Now())
 	a.announce(ctx)
 }
 
-// plan returns the own part in the fan-out.
+// plan returns the own role in the fan-out of the own failure domain.
 func (a *Agent) plan() fanout.Plan {
 	self := a.table.Self()
-	return fanout.New(domainName(self), self.ID, liveIDs(a.table.DomainMembers(self.Domain), self))
+	return fanout.New(domainKey(self), self.ID, aliveIDs(a.table.DomainMembers(self.Domain), self))
 }
 
-// domainName is unique among all failure domains, also if two regions use one
-// name.
-func domainName(m membership.Member) string { return m.Region + "/" + m.Domain }
+// domainKey returns a name for the member's failure domain that is unique even if
+// two regions use the same domain name.
+func domainKey(m membership.Member) string { return m.Region + "/" + m.Domain }
 
-func liveIDs(ms []membership.Member, of membership.Member) []string {
+// aliveIDs returns the ids of the members in state Alive that are in the same region
+// as of and have an agent address.
+func aliveIDs(ms []membership.Member, of membership.Member) []string {
 	var ids []string
 	for _, m := range ms {
 		if m.State == membership.Alive && m.Region == of.Region && m.Agent != "" {
@@ -179,39 +201,39 @@
 	return ids
 }
 
-// intN returns a random number below n.
+// intN returns a random number in [0, n).
 func (a *Agent) intN(n int) int {
 	a.proberMu.Lock()
 	defer a.proberMu.Unlock()
 	return a.rnd.IntN(n)
 }
 
-// jitter returns d lengthened by up to half.
+// jitter returns a random duration between d and 1.5 d.
 func (a *Agent) jitter(d time.Duration) time.Duration {
 	return d + time.Duration(a.intN(int(d/2)+1))
 }
 
-// apply takes in records that came from a peer. It reports false if some are
-// missing before them.
-func (a *Agent) apply(ms []*pb.Record, from string) bool {
-	whole, applied := true, 0
+// applyRecords appends records from a peer to the log. It returns false if records
+// before them are missing.
+func (a *Agent) applyRecords(ms []*pb.Record, from string) bool {
+	complete, applied := true, 0
 	for _, m := range ms {
 		rec, err := configlog.FromProto(m)
 		if err != nil {
 			a.stats.RecordsRefused.Add(1)
-			klog.ErrorS(err, "record refused", "from", from)
+			klog.ErrorS(err, "rejected invalid record from peer", "from", from)
 			break
 		}
 		n, err := a.log.Append(rec)
 		applied += n
 		if err != nil {
-			whole = false
+			complete = false
 			break
 		}
 	}
 	a.stats.RecordsApplied.Add(int64(applied))
 	if applied > 0 && a.plan().Reader {
-		a.rumor.Store(true)
+		a.pushToReaders.Store(true)
 	}
-	return whole
+	return complete
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -12,30 +12,32 @@
 	"github.com/loomkeel/loomkeel/internal/tree"
 )
 
-// inForce is the users' bound on the time from acceptance to being in force
-// everywhere.
-const inForce = 6 * time.Second
+// propagationBound is the longest allowed time, as required by users, from the
+// acceptance of a change until it is in force at all agents.
+const propagationBound = 6 * time.Second
 
-// rumorReach bounds how long a record takes to all agents when it travels by
-// pushes alone. Healing by probes takes some periods more.
-const rumorReach = 200 * time.Millisecond
+// pushBound is the longest time in which pushes alone deliver a record to all agents.
+// Repair by probes takes several probe periods more.
+const pushBound = 200 * time.Millisecond
 
+// storeDown makes every store operation fail.
 func storeDown(standin.Op, string) standin.Fault { return standin.Fault{Down: true} }
 
 func TestChangeReachesAll(t *testing.T) {
 	simulate(t, func(t *testing.T, n *network) {
-		nodes := grid(t, n, 3, 2, 4)
+		nodes := startGrid(t, n, 3, 2, 4)
 		rev := commit(t, nodes[5], change("c1", "2s"))
-		took := waitUntil(t, "in force", inForce, allAt(nodes, rev))
+		took := waitUntil(t, "change in force", propagationBound, allAt(nodes, rev))
 		t.Logf("in force at %d agents after %v", len(nodes), took)
 	})
 }
 
-// TestStoreKilledAfterAcceptance takes the store away in the moment that a
-// change is accepted, at an agent that is no reader and at one that is.
+// TestStoreKilledAfterAcceptance checks that a change reaches all agents by pushes
+// alone if the store fails right after accepting it, both when a reader committed the
+// change and when another agent did.
 func TestStoreKilledAfterAcceptance(t *testing.T) {
 	simulate(t, func(t *testing.T, n *network) {
-		nodes := grid(t, n, 3, 2, 4)
+		nodes := startGrid(t, n, 3, 2, 4)
 		for _, reader := range []bool{false, true} {
 			for _, x := range nodes {
 				if x.plan().Reader != reader {
@@ -50,7 +52,7 @@
 					return standin.Fault{Down: accepted}
 				})
 				rev := commit(t, x, change("c-"+x.opt.Self.ID, "2s"))
-				took := waitUntil(t, "in force without the store", rumorReach, allAt(nodes, rev))
+				took := waitUntil(t, "change in force without the store", pushBound, allAt(nodes, rev))
 				t.Logf("reader %v: in force after %v", reader, took)
 				n.store.SetFault(nil)
 				break
@@ -59,10 +61,11 @@
 	})
 }
 
-// TestReadersKilled kills every reader together with the change's acceptance.
+// TestReadersKilled checks that a change reaches all remaining agents if every reader
+// fails just before the change is committed.
 func TestReadersKilled(t *testing.T) {
 	simulate(t, func(t *testing.T, n *network) {
-		nodes := grid(t, n, 2, 2, 6)
+		nodes := startGrid(t, n, 2, 2, 6)
 		var readers, others []*node
 		for _, x := range nodes {
 			if x.plan().Reader {
@@ -75,64 +78,67 @@
 			n.kill(x)
 		}
 		rev := commit(t, others[0], change("c1", "2s"))
-		took := waitUntil(t, "in force without the readers", inForce, allAt(others, rev))
+		took := waitUntil(t, "change in force without the readers", propagationBound, allAt(others, rev))
 		t.Logf("%d readers killed, in force at the %d others after %v", len(readers), len(others), took)
 	})
 }
 
-// TestRegionsCutApart cuts one region off from the others and from the store,
-// changes the configuration, and heals the cut.
+// TestRegionsCutApart partitions one region from the others and from the store for
+// longer than dead members are retained, and changes the configuration meanwhile.
+// After the partition the change must reach all agents, all must become live members
+// of each other again, and no member may be suspected by its own probe scope.
 func TestRegionsCutApart(t *testing.T) {
 	simulate(t, func(t *testing.T, n *network) {
-		nodes := grid(t, n, 3, 2, 2)
+		nodes := startGrid(t, n, 3, 2, 2)
 		alone := func(addr string) bool { return strings.HasPrefix(addr, "m2-") }
 		n.setCut(func(from, to string) bool { return alone(from) != alone(to) })
 		time.Sleep(2 * keepDead)
 		rev := commit(t, nodes[0], change("c1", "2s"))
-		time.Sleep(inForce)
+		time.Sleep(propagationBound)
 		for _, x := range nodes {
 			if got := x.log.Revision(); alone(x.opt.Self.ID) != (got < rev) {
-				t.Errorf("%s is at revision %d during the cut", x.opt.Self.ID, got)
+				t.Errorf("%s is at revision %d during the partition", x.opt.Self.ID, got)
 			}
 		}
 		n.setCut(nil)
-		took := waitUntil(t, "in force after the cut", inForce, allAt(nodes, rev))
-		joined := waitUntil(t, "all know all again", time.Minute, func() bool {
+		took := waitUntil(t, "change in force after the partition", propagationBound, allAt(nodes, rev))
+		joined := waitUntil(t, "full membership after the partition", time.Minute, func() bool {
 			for _, x := range nodes {
 				for _, m := range x.table.ProbeScope() {
 					if m.State != membership.Alive {
-						t.Errorf("%s took its neighbour %s for %v while the cut healed", x.opt.Self.ID, m.ID, m.State)
+						t.Errorf("%s has %s of its probe scope as %v after the partition, want alive", x.opt.Self.ID, m.ID, m.State)
 					}
 				}
-				if live(x) != len(nodes) {
+				if liveCount(x) != len(nodes) {
 					return false
 				}
 			}
 			return true
 		})
-		t.Logf("healed: in force after %v, members joined after %v", took, took+joined)
+		t.Logf("partition ended: in force after %v, full membership after %v", took, took+joined)
 	})
 }
 
-// TestNewcomerWhileStoreIsAway starts an instance during an outage.
-func TestNewcomerWhileStoreIsAway(t *testing.T) {
+// TestStartWithoutPlatform checks that an instance that starts while the store and the
+// instance list are down loads its state from a peer.
+func TestStartWithoutPlatform(t *testing.T) {
 	simulate(t, func(t *testing.T, n *network) {
-		nodes := grid(t, n, 2, 2, 2)
+		nodes := startGrid(t, n, 2, 2, 2)
 		rev := commit(t, nodes[0], change("c1", "2s"))
-		waitUntil(t, "in force", inForce, allAt(nodes, rev))
+		waitUntil(t, "change in force", propagationBound, allAt(nodes, rev))
 		n.store.SetFault(storeDown)
 		n.list.SetDown(true)
 		fresh := n.run(t, "m0-a-9", "m0", "m0-a", 1)
-		took := waitUntil(t, "newcomer has the state", 2*time.Second, func() bool { return fresh.log.Revision() == rev })
-		t.Logf("state after %v from %v", took, fresh.origin.Load())
+		took := waitUntil(t, "state loaded at the new instance", 2*time.Second, func() bool { return fresh.log.Revision() == rev })
+		t.Logf("state loaded after %v from %v", took, fresh.origin.Load())
 	})
 }
 
-// TestRackFails kills many members of a failure domain at once: all others must
-// agree on exactly those, and no live one may be declared dead.
+// TestRackFails kills 10 of the 12 members of a failure domain at once. All others
+// must detect exactly these failures and declare no live member dead.
 func TestRackFails(t *testing.T) {
 	simulate(t, func(t *testing.T, n *network) {
-		nodes := grid(t, n, 2, 2, 12)
+		nodes := startGrid(t, n, 2, 2, 12)
 		dead := make(map[string]bool)
 		var left []*node
 		for i, x := range nodes {
@@ -143,49 +149,50 @@
 				left = append(left, x)
 			}
 		}
-		took := waitUntil(t, "all know the failure", time.Minute, func() bool {
+		took := waitUntil(t, "failures detected by all others", time.Minute, func() bool {
 			for _, x := range left {
-				if live(x) != len(left) {
+				if liveCount(x) != len(left) {
 					return false
 				}
 			}
 			return true
 		})
-		time.Sleep(quiet)
+		time.Sleep(stablePeriod)
 		for _, x := range left {
 			all, _ := x.table.All()
 			for _, m := range all {
 				if m.Live() == dead[m.ID] {
-					t.Errorf("%s believes that %s is %v", x.opt.Self.ID, m.ID, m.State)
+					t.Errorf("%s has %s as %v", x.opt.Self.ID, m.ID, m.State)
 				}
 			}
 		}
-		t.Logf("%d of %d killed, known to all others after %v", len(dead), len(nodes), took)
+		t.Logf("%d of %d killed, detected by all others after %v", len(dead), len(nodes), took)
 	})
 }
 
-// TestRestartAndReplacement restarts an instance under its name, also with a
-// clock that was set back.
-func TestRestartAndReplacement(t *testing.T) {
+// TestRestartUnderSameID checks that an instance that restarts under the same id is
+// live again, with a higher incarnation, and with a lower one as after a clock was
+// set back.
+func TestRestartUnderSameID(t *testing.T) {
 	simulate(t, func(t *testing.T, n *network) {
-		nodes := grid(t, n, 2, 1, 3)
+		nodes := startGrid(t, n, 2, 1, 3)
 		for _, incarnation := range []uint64{5, 2} {
 			n.kill(nodes[1])
-			waitUntil(t, "failure known", time.Minute, func() bool { m, _ := nodes[4].table.Get("m0-a-1"); return !m.Live() })
+			waitUntil(t, "failure detected", time.Minute, func() bool { m, _ := nodes[4].table.Get("m0-a-1"); return !m.Live() })
 			nodes[1] = n.run(t, "m0-a-1", "m0", "m0-a", incarnation)
-			waitUntil(t, "restart known", time.Minute, func() bool { m, _ := nodes[4].table.Get("m0-a-1"); return m.State == membership.Alive })
+			waitUntil(t, "restart detected", time.Minute, func() bool { m, _ := nodes[4].table.Get("m0-a-1"); return m.State == membership.Alive })
 		}
 	})
 }
 
-// TestLeavingIsKnown takes a leaving instance out without waiting for a probe
-// to fail, and never back in.
-func TestLeavingIsKnown(t *testing.T) {
+// TestLeave checks that all others stop counting a leaving instance as live within 3 s,
+// sooner than failed probes would show it.
+func TestLeave(t *testing.T) {
 	simulate(t, func(t *testing.T, n *network) {
-		nodes := grid(t, n, 2, 2, 2)
+		nodes := startGrid(t, n, 2, 2, 2)
 		nodes[0].Leave(t.Context())
 		n.kill(nodes[0])
-		took := waitUntil(t, "leaving known", 3*time.Second, func() bool {
+		took := waitUntil(t, "leaving detected by all others", 3*time.Second, func() bool {
 			for _, x := range nodes[1:] {
 				if m, _ := x.table.Get("m0-a-0"); m.Live() {
 					return false
@@ -193,30 +200,31 @@
 			}
 			return true
 		})
-		t.Logf("known after %v", took)
+		t.Logf("leaving detected by all others after %v", took)
 	})
 }
 
-// TestNewcomerTakesLargeState starts an instance when no agent holds the records
-// any more, so that it needs a snapshot.
-func TestNewcomerTakesLargeState(t *testing.T) {
+// TestStartFromSnapshot checks that an instance that starts when no agent holds the
+// first records any more loads a snapshot.
+func TestStartFromSnapshot(t *testing.T) {
 	simulate(t, func(t *testing.T, n *network) {
-		nodes := grid(t, n, 1, 2, 2)
+		nodes := startGrid(t, n, 1, 2, 2)
 		rev := importBlocks(t, nodes[0], 30, 1000)
-		waitUntil(t, "in force", inForce, allAt(nodes, rev))
+		waitUntil(t, "change in force", propagationBound, allAt(nodes, rev))
 		fresh := n.run(t, "m0-a-9", "m0", "m0-a", 1)
-		waitUntil(t, "newcomer has the state", 2*time.Second, func() bool { return fresh.log.Revision() == rev })
+		waitUntil(t, "state loaded at the new instance", 2*time.Second, func() bool { return fresh.log.Revision() == rev })
 		if _, whole := fresh.log.Since(0, 1); whole {
-			t.Error("the newcomer got the records, not a snapshot")
+			t.Error("the new instance has the records since revision 0, so it did not load a snapshot")
 		}
 		_, tr, _ := fresh.log.View()
 		if got := len(tr.BlockPaths()); got != 30 {
-			t.Errorf("newcomer has %d paths of blocks", got)
+			t.Errorf("the new instance has %d paths of blocks, want 30", got)
 		}
 	})
 }
 
-// importBlocks makes changes with many edits each.
+// importBlocks commits the given number of changes at x, each with edits blocks of
+// client addresses under one path, and returns the last revision.
 func importBlocks(t *testing.T, x *node, changes, edits int) uint64 {
 	t.Helper()
 	var rev uint64
--- a/internal/agent/directory.go
+++ b/internal/agent/directory.go
@@ -7,31 +7,34 @@
 	"github.com/loomkeel/loomkeel/internal/platform"
 )
 
-// directory holds the newest list of upstreams. It is safe for concurrent use.
+// directory holds the newest known list of upstreams. It is safe for concurrent use.
 type directory struct {
-	mu      sync.Mutex
-	list    model.Directory
+	mu   sync.Mutex
+	list model.Directory
+	// changed is closed and replaced when list is replaced.
 	changed chan struct{}
-	// addrs are the agents that the platform's list names.
+	// addrs are the addresses of the agents in the platform's list.
 	addrs []string
 }
 
 func newDirectory() *directory { return &directory{changed: make(chan struct{})} }
 
-// get returns the list and a channel that closes when there is a newer one.
+// get returns the list and a channel that is closed when a newer list is set.
 func (d *directory) get() (model.Directory, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.list, d.changed
 }
 
+// version returns the version of the list.
 func (d *directory) version() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.list.Version
 }
 
-// set takes in a list if it is newer.
+// set replaces the list if the given one has a higher version, and reports whether
+// it did.
 func (d *directory) set(list model.Directory) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -44,8 +47,9 @@
 	return true
 }
 
-// take takes in the platform's list.
-func (d *directory) take(l platform.List) {
+// applyPlatformList stores the agent addresses of the platform's list, and its
+// upstreams if the list is newer.
+func (d *directory) applyPlatformList(l platform.List) {
 	var addrs []string
 	for _, i := range l.Instances {
 		if i.Kind == platform.KindNode && !i.Leaving {
@@ -55,18 +59,19 @@
 	d.mu.Lock()
 	d.addrs = addrs
 	d.mu.Unlock()
-	d.set(fromPlatform(l))
+	d.set(directoryFromPlatform(l))
 }
 
-// nodes returns the addresses of the agents that the platform's list names.
-func (d *directory) nodes() []string {
+// agentAddresses returns the addresses of the agents in the platform's list.
+func (d *directory) agentAddresses() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]string(nil), d.addrs...)
 }
 
-// fromPlatform returns the upstreams of the platform's list.
-func fromPlatform(l platform.List) model.Directory {
+// directoryFromPlatform returns the upstreams in the platform's list, with the
+// list's version.
+func directoryFromPlatform(l platform.List) model.Directory {
 	d := model.Directory{Version: l.Version}
 	for _, i := range l.Instances {
 		if i.Kind != platform.KindUpstream {
--- a/internal/agent/draining.go
+++ b/internal/agent/draining.go
@@ -7,19 +7,21 @@
 )
 
 const (
-	// drainingFor is how long an upstream's word that it drains is believed. By
-	// then the platform's list has it, or it has come back.
-	drainingFor = 5 * time.Minute
-	// maxDraining bounds the ids on one message.
+	// drainingTTL is how long an upstream counts as draining after its report. By
+	// then the platform's list shows it as leaving, or it serves again.
+	drainingTTL = 5 * time.Minute
+	// maxDraining is the largest number of ids in one message.
 	maxDraining = 64
 )
 
-// draining holds the upstreams that said of themselves that they drain. An entry
-// hears it only from those that it sends to, so agents tell each other. It is
-// safe for concurrent use.
+// draining holds the upstreams that reported that they are draining. An entry
+// receives such reports only from upstreams it sends requests to, so agents forward
+// them to each other. It is safe for concurrent use.
 type draining struct {
-	mu      sync.Mutex
-	until   map[string]time.Time
+	mu sync.Mutex
+	// until is when the report about each upstream id expires.
+	until map[string]time.Time
+	// changed is closed and replaced when ids are added.
 	changed chan struct{}
 }
 
@@ -27,27 +29,28 @@
 	return &draining{until: make(map[string]time.Time), changed: make(chan struct{})}
 }
 
-// hear takes in ids of draining upstreams. What is known already is not
-// prolonged, or agents would keep each other's belief alive for ever.
-func (d *draining) hear(now time.Time, ids []string) {
+// apply adds received ids of draining upstreams, at most maxDraining. The expiry of
+// known ids is not extended: otherwise agents would keep renewing each other's
+// entries and these would never expire.
+func (d *draining) apply(now time.Time, ids []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	news := false
+	added := false
 	for _, id := range ids[:min(maxDraining, len(ids))] {
 		if _, known := d.until[id]; !known {
-			d.until[id] = now.Add(drainingFor)
-			news = true
+			d.until[id] = now.Add(drainingTTL)
+			added = true
 		}
 	}
-	if news {
+	if added {
 		close(d.changed)
 		d.changed = make(chan struct{})
 	}
 }
 
-// list returns the ids that are believed to drain, in order, and a channel that
-// closes when there are more. Ids are kept for twice the time that they are
-// believed, so that late talk does not bring them back.
+// list returns up to maxDraining ids of upstreams that count as draining, sorted,
+// and a channel that is closed when ids are added. Ids are kept for twice
+// drainingTTL, so that a late message does not add an expired id again.
 func (d *draining) list(now time.Time) ([]string, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -56,7 +59,7 @@
 		switch {
 		case now.Before(until):
 			ids = append(ids, id)
-		case now.After(until.Add(drainingFor)):
+		case now.After(until.Add(drainingTTL)):
 			delete(d.until, id)
 		}
 	}
@@ -64,8 +67,8 @@
 	return ids[:min(maxDraining, len(ids))], d.changed
 }
 
-// drainingNow returns the ids for a message.
-func (a *Agent) drainingNow() []string {
+// drainingIDs returns the ids of draining upstreams to send in a message.
+func (a *Agent) drainingIDs() []string {
 	ids, _ := a.draining.list(time.Now())
 	return ids
 }
--- a/internal/agent/dump.go
+++ b/internal/agent/dump.go
@@ -7,23 +7,29 @@
 	"github.com/loomkeel/loomkeel/internal/share"
 )
 
-// Dump is everything that an agent decides by.
+// Dump is a copy of an agent's state for the debug interface.
 type Dump struct {
-	Self      membership.Member   `json:"self"`
-	Revision  uint64              `json:"revision"`
-	Origin    string              `json:"origin"`
+	Self membership.Member `json:"self"`
+	// Revision is the revision of the agent's configuration.
+	Revision uint64 `json:"revision"`
+	// Origin describes where the state was loaded from at the start.
+	Origin string `json:"origin"`
+	// Plan is the agent's role in the fan-out of its failure domain.
 	Plan      fanout.Plan         `json:"fanout"`
 	Members   []membership.Member `json:"members"`
 	Directory model.Directory     `json:"directory"`
-	// PendingUpdates is how many members are still to be passed on.
-	PendingUpdates int               `json:"updates_due"`
-	Processes      map[string]string `json:"processes"`
-	// Shares are the caps and how they are divided, by region.
+	// PendingUpdates is the number of members whose state is queued for gossip.
+	PendingUpdates int `json:"updates_due"`
+	// Processes is the state of each process of the instance by name: "up",
+	// "leaving" or "down".
+	Processes map[string]string `json:"processes"`
+	// Shares are the caps and their division among entries, by region.
 	Shares map[string]share.RegionStatus `json:"shares"`
-	Stats  map[string]int64              `json:"stats"`
+	// Stats are the agent's counters by name.
+	Stats map[string]int64 `json:"stats"`
 }
 
-// Dump returns the agent's state.
+// Dump returns a copy of the agent's state.
 func (a *Agent) Dump() Dump {
 	members, _ := a.table.All()
 	list, _ := a.directory.get()
@@ -42,13 +48,14 @@
 	}
 }
 
+// processStates returns the state of each process of the instance by name.
 func (a *Agent) processStates() map[string]string {
-	a.localMu.Lock()
-	defer a.localMu.Unlock()
+	a.processesMu.Lock()
+	defer a.processesMu.Unlock()
 	out := make(map[string]string)
 	for name, p := range a.processes {
 		switch {
-		case p.following == 0:
+		case p.streams == 0:
 			out[name] = "down"
 		case p.leaving:
 			out[name] = "leaving"
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -13,28 +13,33 @@
 )
 
 const (
-	// probeTimeout bounds one probe, and then one round of relayed probes.
+	// probeTimeout is the timeout of one direct exchange. Indirect probes take up to
+	// twice as long, because the relay's own probe has the same timeout.
 	probeTimeout = 400 * time.Millisecond
-	// maxUpdates is how many member updates ride on one message.
+	// maxUpdates is the largest number of gossiped member updates in one message.
 	maxUpdates = 8
-	// maxRecords is how many records one reply carries.
+	// maxRecords is the largest number of records in one message.
 	maxRecords = 64
-	// syncAfter is how many differing digests in a row start a comparison of
-	// whole failure domains; one or two are usual while an update spreads.
-	syncAfter = 3
-	// syncDomains is how many failure domains one comparison covers.
-	syncDomains = 4
-	// announceTo is how many members hear at once of a change of the own.
-	announceTo = 8
-	// maxFollowUps is how many more members of a failure domain are probed in
-	// the period in which one of it did not answer.
+	// syncThreshold is the number of consecutive peers with a differing digest that
+	// starts a comparison of whole failure domains. One or two are usual while an
+	// update propagates.
+	syncThreshold = 3
+	// maxSyncDomains is the largest number of failure domains that one comparison
+	// covers.
+	maxSyncDomains = 4
+	// maxAnnounced is the number of members to which a change of the own member is
+	// sent at once.
+	maxAnnounced = 8
+	// maxFollowUps is the largest number of additional probes in a period in which
+	// a member did not answer; they go to members of the same failure domain.
 	maxFollowUps = 4
-	// rejoinEvery is the number of periods between attempts of a reader to reach
-	// an instance that is believed dead or was never heard of.
+	// rejoinEvery is the number of probe periods between a reader's attempts to
+	// reach an instance that is dead or not in the membership table.
 	rejoinEvery = 5
 )
 
-// probeLoop probes one member each period.
+// probeLoop runs a round of probes each period, after a random initial delay of up
+// to one period, until ctx ends.
 func (a *Agent) probeLoop(ctx context.Context) {
 	if !wait.For(ctx, time.Duration(a.intN(int(a.opt.ProbePeriod)))) {
 		return
@@ -56,8 +61,9 @@
 	}
 }
 
-// probePeriod probes the members that are due, and others beside those that do
-// not answer. Differing counts the peers in a row that hold other members.
+// probePeriod probes the targets of this period and, for each that does not answer,
+// another member of its failure domain. The argument differing is the number of
+// consecutive peers whose digest differed so far; the updated number is returned.
 func (a *Agent) probePeriod(ctx context.Context, differing int) int {
 	due := a.probeTargets()
 	followUps := 0
@@ -72,9 +78,9 @@
 			differing++
 		case followUps < maxFollowUps:
 			followUps++
-			due = append(due, a.beside(m)...)
+			due = append(due, a.domainNeighbour(m)...)
 		}
-		if differing >= syncAfter {
+		if differing >= syncThreshold {
 			differing = 0
 			a.syncDomains(ctx, m)
 		}
@@ -82,7 +88,9 @@
 	return differing
 }
 
-func (a *Agent) beside(m membership.Member) []membership.Member {
+// domainNeighbour returns a random alive member of m's failure domain, or nothing if
+// there is none.
+func (a *Agent) domainNeighbour(m membership.Member) []membership.Member {
 	a.proberMu.Lock()
 	defer a.proberMu.Unlock()
 	if next, ok := a.prober.RandomInDomain(m); ok {
@@ -91,9 +99,9 @@
 	return nil
 }
 
-// rejoin lets a reader try to reach an instance that is believed dead, or that
-// only the seeds or the platform's list name. Without it two parts that were
-// cut apart for long would each take the other for dead for ever.
+// rejoin lets a reader exchange state with a random instance that is dead, or that
+// is in the seeds or the platform's list but not in the membership table. Without
+// it, two sides of a long network partition would consider each other dead for ever.
 func (a *Agent) rejoin(ctx context.Context) {
 	if !a.plan().Reader {
 		return
@@ -108,7 +116,7 @@
 	for _, m := range a.table.DeadMembers() {
 		addrs = append(addrs, m.Agent)
 	}
-	for _, addr := range slices.Concat(a.opt.Seeds, a.directory.nodes()) {
+	for _, addr := range slices.Concat(a.opt.Seeds, a.directory.agentAddresses()) {
 		if !known[addr] {
 			addrs = append(addrs, addr)
 		}
@@ -117,16 +125,16 @@
 		return
 	}
 	addr := addrs[a.intN(len(addrs))]
-	lost := a.table.DeadMembers()
-	req := a.exchangeRequest(lost[:min(maxUpdates, len(lost))])
+	dead := a.table.DeadMembers()
+	req := a.exchangeRequest(dead[:min(maxUpdates, len(dead))])
 	req.Want = []string{a.table.Self().Domain}
 	if reply, err := a.exchange(ctx, addr, req); err == nil {
-		a.takeReply(ctx, reply)
+		a.applyReply(ctx, reply)
 	}
 }
 
-// probeTargets returns the next member of the own scope and, for a reader, one
-// of another failure domain.
+// probeTargets returns the next member of the probe scope and, for a reader, a
+// random member of another failure domain.
 func (a *Agent) probeTargets() []membership.Member {
 	reader := a.plan().Reader
 	a.proberMu.Lock()
@@ -141,49 +149,54 @@
 	return out
 }
 
-// probe exchanges with a member, over others if it does not answer. It reports
-// whether both hold the same members, and whether the member answered at all.
+// probe exchanges state with a member. If the member does not answer, it is probed
+// indirectly and, if that fails too, marked as suspect. The results are whether both
+// sides have the same live members, and whether the member answered the direct probe.
 func (a *Agent) probe(ctx context.Context, m membership.Member) (same, ok bool) {
 	req := a.exchangeRequest(a.table.NextUpdates(maxUpdates))
-	req.Updates = append(req.Updates, a.doubts(m.ID)...)
+	req.Updates = append(req.Updates, a.notAliveState(m.ID)...)
 	reply, err := a.exchange(ctx, m.Agent, req)
 	if err == nil {
-		a.takeReply(ctx, reply)
+		a.applyReply(ctx, reply)
 		return a.table.Digest() == reply.GetDigest(), true
 	}
-	if ctx.Err() != nil || a.relayed(ctx, m) {
+	if ctx.Err() != nil || a.probeIndirectly(ctx, m) {
 		return false, false
 	}
 	a.table.MarkSuspect(time.Now(), m.ID)
 	return false, false
 }
 
-// relayed asks others to probe a member, and reports whether one got through.
-func (a *Agent) relayed(ctx context.Context, m membership.Member) bool {
+// probeIndirectly asks up to membership.MaxRelays peers to probe m, and reports
+// whether m answered one of them.
+func (a *Agent) probeIndirectly(ctx context.Context, m membership.Member) bool {
 	a.proberMu.Lock()
 	relays := a.prober.RelaysFor(m.ID)
 	a.proberMu.Unlock()
 	var wg sync.WaitGroup
-	got := make([]bool, len(relays))
+	reached := make([]bool, len(relays))
 	for i, r := range relays {
 		wg.Go(func() {
 			req := a.exchangeRequest(nil)
 			req.Relay = rpc.MemberToProto(m)
 			reply, err := a.opt.Peers.Exchange(withTimeout(ctx, 2*probeTimeout), r.Agent, req)
-			got[i] = err == nil && reply.GetRelayed()
+			reached[i] = err == nil && reply.GetRelayed()
 		})
 	}
 	wg.Wait()
-	return slices.Contains(got, true)
+	return slices.Contains(reached, true)
 }
 
-// withTimeout is context.WithTimeout for calls that end with the timeout.
+// withTimeout is context.WithTimeout without a cancel function. The context's
+// resources are released when d has passed or ctx ends.
 func withTimeout(ctx context.Context, d time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(ctx, d)
 	context.AfterFunc(ctx, cancel)
 	return ctx
 }
 
+// exchange sends an exchange request to the agent at addr, with probeTimeout, and
+// counts the result.
 func (a *Agent) exchange(ctx context.Context, addr string, req *pb.ExchangeRequest) (*pb.ExchangeReply, error) {
 	call, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -195,6 +208,8 @@
 	return reply, err
 }
 
+// exchangeRequest returns a request with the versions of the own state and the given
+// member updates.
 func (a *Agent) exchangeRequest(updates []membership.Member) *pb.ExchangeRequest {
 	return &pb.ExchangeRequest{
 		From:      rpc.MemberToProto(a.table.Self()),
@@ -202,23 +217,26 @@
 		Directory: a.directory.version(),
 		Digest:    a.table.Digest(),
 		Updates:   rpc.MembersToProto(updates),
-		Draining:  a.drainingNow(),
+		Draining:  a.drainingIDs(),
 	}
 }
 
-// HandleExchange answers a peer's probe with whatever the peer lacks.
+// HandleExchange applies the member updates in a peer's probe and returns a reply
+// with the state that the peer lacks. If the request names a member to relay a probe
+// to, that member is probed first. If the peer has newer state, it is fetched in the
+// background.
 func (a *Agent) HandleExchange(ctx context.Context, req *pb.ExchangeRequest) *pb.ExchangeReply {
 	from := rpc.MemberFromProto(req.GetFrom())
-	a.merge(ctx, from, req.GetUpdates())
+	a.mergeMembers(ctx, from, req.GetUpdates())
 	reply := &pb.ExchangeReply{
 		From:      rpc.MemberToProto(a.table.Self()),
 		Revision:  a.log.Revision(),
 		Directory: a.directory.version(),
 		Updates:   rpc.MembersToProto(a.updatesFor(req)),
-		Draining:  a.drainingNow(),
+		Draining:  a.drainingIDs(),
 	}
-	a.draining.hear(time.Now(), req.GetDraining())
-	reply.Updates = append(reply.Updates, a.doubts(from.ID)...)
+	a.draining.apply(time.Now(), req.GetDraining())
+	reply.Updates = append(reply.Updates, a.notAliveState(from.ID)...)
 	reply.Digest = a.table.Digest()
 	if reply.Digest != req.GetDigest() && len(req.GetWant()) > 0 {
 		reply.Domains = digestsToProto(a.table.DomainDigests())
@@ -230,7 +248,7 @@
 		reply.Upstreams = rpc.DirectoryToProto(list)
 	}
 	if req.GetRelay() != nil {
-		reply.Relayed = a.relayFor(ctx, rpc.MemberFromProto(req.GetRelay()))
+		reply.Relayed = a.relayProbe(ctx, rpc.MemberFromProto(req.GetRelay()))
 	}
 	if req.GetRevision() > a.log.Revision() || req.GetDirectory() > a.directory.version() {
 		go a.pull(context.WithoutCancel(ctx), from)
@@ -238,9 +256,9 @@
 	return reply
 }
 
-// doubts returns the own belief about a member if it is not that the member is
-// alive, so that the member can refute it.
-func (a *Agent) doubts(id string) []*pb.Member {
+// notAliveState returns the own entry for the member with the given id if its state
+// is not Alive, so that the member can refute it when the entry is sent to it.
+func (a *Agent) notAliveState(id string) []*pb.Member {
 	m, ok := a.table.Get(id)
 	if !ok || m.State == membership.Alive {
 		return nil
@@ -248,26 +266,27 @@
 	return []*pb.Member{rpc.MemberToProto(m)}
 }
 
-// merge takes in what a peer believes. Members whom it wrongly takes for failed
-// are told, and refute.
-func (a *Agent) merge(ctx context.Context, from membership.Member, updates []*pb.Member) {
+// mergeMembers applies member updates from a peer. Updates that the table disputes
+// are sent to the members they are about, which refute them if they are live.
+func (a *Agent) mergeMembers(ctx context.Context, from membership.Member, updates []*pb.Member) {
 	disputed := a.table.Merge(time.Now(), from, rpc.MembersFromProto(updates)...)
 	for _, m := range disputed {
-		go a.challenge(context.WithoutCancel(ctx), m)
+		go a.requestRefutation(context.WithoutCancel(ctx), m)
 	}
 }
 
-// challenge tells a member that others take it for failed.
-func (a *Agent) challenge(ctx context.Context, m membership.Member) {
+// requestRefutation sends m's disputed state to m and applies its reply, in which a
+// live member refutes that state with a higher incarnation.
+func (a *Agent) requestRefutation(ctx context.Context, m membership.Member) {
 	req := a.exchangeRequest(nil)
 	req.Updates = []*pb.Member{rpc.MemberToProto(m)}
 	if reply, err := a.exchange(ctx, m.Agent, req); err == nil {
-		a.takeReply(ctx, reply)
+		a.applyReply(ctx, reply)
 	}
 }
 
-// updatesFor returns the members that a request asks for, or else what is to be
-// passed on.
+// updatesFor returns the members of the failure domains that a request wants, or, if
+// it names none, the member updates that are next for gossip.
 func (a *Agent) updatesFor(req *pb.ExchangeRequest) []membership.Member {
 	want := req.GetWant()
 	if len(want) == 0 {
@@ -278,6 +297,7 @@
 	})
 }
 
+// digestsToProto converts the digests by failure domain to messages.
 func digestsToProto(domains map[string]uint64) []*pb.DomainDigest {
 	var out []*pb.DomainDigest
 	for d, h := range domains {
@@ -286,32 +306,34 @@
 	return out
 }
 
-func (a *Agent) relayFor(ctx context.Context, m membership.Member) bool {
+// relayProbe probes m on behalf of a peer and reports whether m answered.
+func (a *Agent) relayProbe(ctx context.Context, m membership.Member) bool {
 	reply, err := a.exchange(ctx, m.Agent, a.exchangeRequest(nil))
 	if err != nil {
 		return false
 	}
-	a.takeReply(ctx, reply)
+	a.applyReply(ctx, reply)
 	return true
 }
 
-// takeReply takes in what a peer holds, and fetches the rest if the peer is
-// further ahead than one reply can carry.
-func (a *Agent) takeReply(ctx context.Context, reply *pb.ExchangeReply) {
+// applyReply applies the state in a peer's reply, and fetches the rest in the
+// background if the peer's revision is still higher afterwards.
+func (a *Agent) applyReply(ctx context.Context, reply *pb.ExchangeReply) {
 	from := rpc.MemberFromProto(reply.GetFrom())
-	a.merge(ctx, from, reply.GetUpdates())
-	a.draining.hear(time.Now(), reply.GetDraining())
+	a.mergeMembers(ctx, from, reply.GetUpdates())
+	a.draining.apply(time.Now(), reply.GetDraining())
 	if reply.GetUpstreams() != nil {
 		a.directory.set(rpc.DirectoryFromProto(reply.GetUpstreams()))
 	}
-	a.apply(reply.GetRecords(), from.ID)
+	a.applyRecords(reply.GetRecords(), from.ID)
 	if reply.GetRevision() > a.log.Revision() {
 		go a.pull(context.WithoutCancel(ctx), from)
 	}
 }
 
-// pull fetches records from a peer that is ahead, or its whole state if it no
-// longer holds the records. One pull runs at a time.
+// pull fetches records from a peer with a higher revision, or a snapshot if the peer
+// no longer has the next records. Only one pull runs at a time; further calls return
+// at once.
 func (a *Agent) pull(ctx context.Context, from membership.Member) {
 	if !a.pulling.CompareAndSwap(false, true) {
 		return
@@ -323,7 +345,7 @@
 		if err != nil {
 			return
 		}
-		a.apply(reply.GetRecords(), from.ID)
+		a.applyRecords(reply.GetRecords(), from.ID)
 		if reply.GetUpstreams() != nil {
 			a.directory.set(rpc.DirectoryFromProto(reply.GetUpstreams()))
 		}
@@ -336,8 +358,9 @@
 	}
 }
 
-// syncDomains compares the members of whole failure domains with a peer. This
-// heals what the spreading of single updates has missed.
+// syncDomains compares the digests of all failure domains with a peer and exchanges
+// the full member lists of up to maxSyncDomains that differ. This repairs
+// differences left by lost gossip updates (anti-entropy).
 func (a *Agent) syncDomains(ctx context.Context, m membership.Member) {
 	req := a.exchangeRequest(nil)
 	req.Want = []string{a.table.Self().Domain}
@@ -345,11 +368,11 @@
 	if err != nil {
 		return
 	}
-	a.takeReply(ctx, reply)
-	mine := a.table.DomainDigests()
+	a.applyReply(ctx, reply)
+	own := a.table.DomainDigests()
 	var want []string
 	for _, d := range reply.GetDomains() {
-		if mine[d.GetDomain()] != d.GetDigest() && len(want) < syncDomains {
+		if own[d.GetDomain()] != d.GetDigest() && len(want) < maxSyncDomains {
 			want = append(want, d.GetDomain())
 		}
 	}
@@ -363,21 +386,22 @@
 	req = a.exchangeRequest(updates)
 	req.Want = want
 	if reply, err = a.exchange(ctx, m.Agent, req); err == nil {
-		a.takeReply(ctx, reply)
+		a.applyReply(ctx, reply)
 	}
 }
 
-// announce tells some members at once of a change of the own.
+// announce sends the own state to up to maxAnnounced members at once, and returns
+// when all calls have ended.
 func (a *Agent) announce(ctx context.Context) {
 	var wg sync.WaitGroup
-	for i, m := range a.neighbours() {
-		if i == announceTo {
+	for i, m := range a.shuffledPeers() {
+		if i == maxAnnounced {
 			break
 		}
 		wg.Go(func() {
 			reply, err := a.exchange(ctx, m.Agent, a.exchangeRequest(nil))
 			if err == nil {
-				a.takeReply(ctx, reply)
+				a.applyReply(ctx, reply)
 			}
 		})
 	}
--- a/internal/agent/network_test.go
+++ b/internal/agent/network_test.go
@@ -19,25 +19,25 @@
 )
 
 const (
-	// keepDead is how long the dead are remembered in tests.
+	// keepDead is the retention time of dead members in tests.
 	keepDead = time.Minute
-	// linkDelay is how long a call between agents takes.
+	// linkDelay is the duration of a call between agents.
 	linkDelay = time.Millisecond
-	// quiet is how long a state is watched that should not change.
-	quiet = time.Minute
+	// stablePeriod is how long a test waits to detect an unwanted change of state.
+	stablePeriod = time.Minute
 )
 
-// network joins agents in memory; it can cut pairs of them apart.
+// network connects agents in memory and can simulate partitions between them.
 type network struct {
 	mu     sync.Mutex
 	agents map[string]*Agent
-	cut    func(from, to string) bool
+	cut    func(from, to string) bool // true for messages that are lost
 	store  *standin.Store
 	list   *standin.List
 	ctx    context.Context
 }
 
-// simulate runs a test with a network in virtual time, and ends every agent
+// simulate runs a test with a network in virtual time and stops all agents
 // afterwards.
 func simulate(t *testing.T, test func(t *testing.T, n *network)) {
 	synctest.Test(t, func(t *testing.T) {
@@ -47,22 +47,24 @@
 		n.setCut(nil)
 		n.store.SetFault(nil)
 		stop()
-		// Calls that were under way run into their timeouts.
+		// Calls that are still in progress end with their timeouts.
 		time.Sleep(time.Minute)
 	})
 }
 
-// setCut installs which messages are lost; nil means none.
+// setCut sets the function that returns true for messages that are lost; nil means
+// that none are.
 func (n *network) setCut(cut func(from, to string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut = cut
 }
 
-var errNoPeer = errors.New("no such peer")
+var errNoPeer = errors.New("no agent is running at the address")
 
-// reach returns the agent at an address, or waits out the call if it is cut off.
-func (n *network) reach(ctx context.Context, from, to string) (*Agent, error) {
+// call returns the agent at the address to after linkDelay. If the message is lost, it
+// waits for the end of ctx and returns its error.
+func (n *network) call(ctx context.Context, from, to string) (*Agent, error) {
 	n.mu.Lock()
 	a, lost := n.agents[to], n.cut != nil && n.cut(from, to)
 	n.mu.Unlock()
@@ -77,30 +79,30 @@
 	return a, ctx.Err()
 }
 
-// link is the side of one agent.
-type link struct {
+// peerClient is the PeerClient of one agent in a network.
+type peerClient struct {
 	net  *network
 	self string
 }
 
-func (l link) Exchange(ctx context.Context, addr string, req *pb.ExchangeRequest) (*pb.ExchangeReply, error) {
-	a, err := l.net.reach(ctx, l.self, addr)
+func (l peerClient) Exchange(ctx context.Context, addr string, req *pb.ExchangeRequest) (*pb.ExchangeReply, error) {
+	a, err := l.net.call(ctx, l.self, addr)
 	if err != nil {
 		return nil, err
 	}
 	return a.HandleExchange(ctx, req), nil
 }
 
-func (l link) Push(ctx context.Context, addr string, req *pb.PushRequest) (*pb.PushReply, error) {
-	a, err := l.net.reach(ctx, l.self, addr)
+func (l peerClient) Push(ctx context.Context, addr string, req *pb.PushRequest) (*pb.PushReply, error) {
+	a, err := l.net.call(ctx, l.self, addr)
 	if err != nil {
 		return nil, err
 	}
 	return a.HandlePush(ctx, req), nil
 }
 
-func (l link) Snapshot(ctx context.Context, addr string, above uint64, each func(*pb.SnapshotPart) error) error {
-	a, err := l.net.reach(ctx, l.self, addr)
+func (l peerClient) Snapshot(ctx context.Context, addr string, above uint64, each func(*pb.SnapshotPart) error) error {
+	a, err := l.net.call(ctx, l.self, addr)
 	if err != nil {
 		return err
 	}
@@ -113,15 +115,15 @@
 	stop context.CancelFunc
 }
 
-// run starts an agent that knows the network's first agent.
+// run starts an agent whose seeds are the first agents of the regions m0 and m1.
 func (n *network) run(t *testing.T, id, region, domain string, incarnation uint64) *node {
 	t.Helper()
 	a := New(Options{
 		Self:        membership.Member{ID: id, Incarnation: incarnation, Region: region, Domain: domain, Agent: id, Entry: "entry-" + id},
 		Seeds:       []string{"m0-a-0", "m1-a-0"},
-		Store:       storeOf{n.store, n, id},
+		Store:       agentStore{n.store, n, id},
 		List:        n.list,
-		Peers:       link{n, id},
+		Peers:       peerClient{n, id},
 		Rand:        rand.New(rand.NewPCG(uint64(len(id)), hash(id))),
 		ProbePeriod: DefaultProbePeriod,
 		BootClock:   func() int64 { return time.Now().UnixNano() },
@@ -135,6 +137,7 @@
 	return &node{a, stop}
 }
 
+// hash returns the 64-bit FNV-1a hash of s.
 func hash(s string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(s) {
@@ -143,7 +146,7 @@
 	return h
 }
 
-// kill ends an agent without a farewell.
+// kill stops an agent without a leave message.
 func (n *network) kill(x *node) {
 	x.stop()
 	n.mu.Lock()
@@ -151,38 +154,40 @@
 	delete(n.agents, x.opt.Self.ID)
 }
 
-// storeAddr is the address of the store in cuts.
+// storeAddr is the address that network.cut receives for the store.
 const storeAddr = "store"
 
-// storeOf is the store as one agent reaches it.
-type storeOf struct {
+// agentStore is the store as seen by one agent, subject to the network's cut.
+type agentStore struct {
 	*standin.Store
 	net  *network
 	self string
 }
 
-func (s storeOf) lost() bool {
+// lost reports whether the agent is cut off from the store.
+func (s agentStore) lost() bool {
 	s.net.mu.Lock()
 	defer s.net.mu.Unlock()
 	return s.net.cut != nil && s.net.cut(s.self, storeAddr)
 }
 
-func (s storeOf) Get(ctx context.Context, key string) (platform.Entry, error) {
+func (s agentStore) Get(ctx context.Context, key string) (platform.Entry, error) {
 	if s.lost() {
 		return platform.Entry{}, standin.ErrUnavailable
 	}
 	return s.Store.Get(ctx, key)
 }
 
-func (s storeOf) Watch(ctx context.Context, key string, version uint64, wait time.Duration) (platform.Entry, error) {
+func (s agentStore) Watch(ctx context.Context, key string, version uint64, wait time.Duration) (platform.Entry, error) {
 	if s.lost() {
 		return platform.Entry{}, standin.ErrUnavailable
 	}
 	return s.Store.Watch(ctx, key, version, wait)
 }
 
-// grid starts regions x domains x per agents and waits until all know all.
-func grid(t *testing.T, n *network, regions, domains, per int) []*node {
+// startGrid starts per agents in each of domains failure domains in each of regions
+// regions, and waits until every agent has all as live members.
+func startGrid(t *testing.T, n *network, regions, domains, per int) []*node {
 	t.Helper()
 	var nodes []*node
 	for r := range regions {
@@ -194,9 +199,9 @@
 			}
 		}
 	}
-	waitUntil(t, "all know all", time.Minute, func() bool {
+	waitUntil(t, "full membership at all agents", time.Minute, func() bool {
 		for _, x := range nodes {
-			if live(x) != len(nodes) {
+			if liveCount(x) != len(nodes) {
 				return false
 			}
 		}
@@ -205,7 +210,8 @@
 	return nodes
 }
 
-func live(x *node) int {
+// liveCount returns the number of live members in x's table, including x.
+func liveCount(x *node) int {
 	all, _ := x.table.All()
 	count := 0
 	for _, m := range all {
@@ -216,23 +222,27 @@
 	return count
 }
 
-// waitUntil waits in virtual time and returns how long it took.
+// waitUntil waits until ok returns true and returns the virtual time that this took.
+// It fails the test after limit.
 func waitUntil(t *testing.T, what string, limit time.Duration, ok func() bool) time.Duration {
 	t.Helper()
 	start := time.Now()
 	for !ok() {
 		if time.Since(start) > limit {
-			t.Fatalf("%s: not within %v", what, limit)
+			t.Fatalf("%s: condition not met within %v", what, limit)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	return time.Since(start)
 }
 
+// change returns a change that sets the deadline of a service to value.
 func change(id, value string) configlog.Change {
 	return configlog.Change{ID: id, Author: "op", Edits: []tree.Edit{{Path: "/services/stock", Key: tree.KeyDeadline, Value: value}}}
 }
 
+// commit commits c at x, fails the test if it is not accepted, and returns its
+// revision.
 func commit(t *testing.T, x *node, c configlog.Change) uint64 {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
@@ -244,6 +254,7 @@
 	return r.Revision
 }
 
+// allAt returns a condition that is true once all nodes have reached revision.
 func allAt(nodes []*node, revision uint64) func() bool {
 	return func() bool {
 		for _, x := range nodes {
--- a/internal/agent/processes.go
+++ b/internal/agent/processes.go
@@ -14,65 +14,74 @@
 	"github.com/loomkeel/loomkeel/internal/wait"
 )
 
-// Names of the processes beside an agent.
+// Names of the other processes of an instance, as they state them in FollowRequest
+// and ReportRequest.
 const (
-	ProcessEntry    = "entry"
+	// ProcessEntry is the name of the entry.
+	ProcessEntry = "entry"
+	// ProcessDirector is the name of the director.
 	ProcessDirector = "director"
 )
 
-// process is what the agent knows of a process beside it.
+// process is the state of another process of the instance.
 type process struct {
-	// following counts its open streams.
-	following int
-	leaving   bool
+	// streams is the number of the process's open streams.
+	streams int
+	// leaving is whether the process reported that it stops.
+	leaving bool
 }
 
-// viewEvery joins changes in a burst into one view.
-const viewEvery = 20 * time.Millisecond
+// viewInterval is the pause after a change before the next view is sent, so that one
+// view covers a burst of changes.
+const viewInterval = 20 * time.Millisecond
 
-// HandleFollow sends the state and then every change of it, until ctx ends or
-// send fails. While a process follows, its address is announced to the peers.
+// HandleFollow sends the state to another process of the instance, and then every
+// change, until ctx ends or send fails. It returns the error of ctx or of send. The
+// address of a process is announced to peers while it has a stream open.
 func (a *Agent) HandleFollow(ctx context.Context, req *pb.FollowRequest, send func(*pb.View) error) error {
-	a.follows(req.GetProcess(), 1)
-	defer a.follows(req.GetProcess(), -1)
-	f := follower{process: req.GetProcess()}
+	a.countStream(req.GetProcess(), 1)
+	defer a.countStream(req.GetProcess(), -1)
+	f := viewStream{process: req.GetProcess()}
 	for {
-		newest, _, advanced := a.log.View()
-		list, listed := a.directory.get()
-		members, joined := a.table.All()
-		_, heard := a.draining.list(time.Now())
+		newest, _, logChanged := a.log.View()
+		list, directoryChanged := a.directory.get()
+		members, membersChanged := a.table.All()
+		_, drainingChanged := a.draining.list(time.Now())
 		if err := f.send(a, newest, list, members, send); err != nil {
 			return err
 		}
 		select {
-		case <-advanced:
-		case <-listed:
-		case <-joined:
-		case <-heard:
+		case <-logChanged:
+		case <-directoryChanged:
+		case <-membersChanged:
+		case <-drainingChanged:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if !wait.For(ctx, viewEvery) {
+		if !wait.For(ctx, viewInterval) {
 			return ctx.Err()
 		}
 	}
 }
 
-// follower is what one stream has been sent.
-type follower struct {
-	process  string
-	started  bool
-	revision uint64
-	list     uint64
-	// upstreams is how many upstreams were sent; a change of the settings can
-	// change which ones the process needs.
-	upstreams int
+// viewStream is the state of one stream of views: what was sent on it.
+type viewStream struct {
+	process     string
+	started     bool
+	revision    uint64
+	listVersion uint64
+	// upstreamCount is the number of upstreams that the process needed at the last
+	// view. A change of the configuration can change which ones it needs.
+	upstreamCount int
 }
 
-func (f *follower) send(a *Agent, newest uint64, list model.Directory, members []membership.Member, send func(*pb.View) error) error {
-	v := &pb.View{Revision: f.revision, Members: rpc.MembersToProto(members), Draining: a.drainingNow()}
-	records, whole := a.log.Since(f.revision, maxRecords)
-	if f.started && whole {
+// send sends a view with everything that has changed since the last one, and repeats
+// this until the stream has reached the revision newest. It sends a snapshot first
+// on a new stream, or if the records since the last view are no longer available.
+func (f *viewStream) send(a *Agent, newest uint64, list model.Directory, members []membership.Member, send func(*pb.View) error) error {
+	v := &pb.View{Revision: f.revision, Members: rpc.MembersToProto(members), Draining: a.drainingIDs()}
+	records, complete := a.log.Since(f.revision, maxRecords)
+	if f.started && complete {
 		v.Records = rpc.RecordsToProto(records)
 		if n := len(records); n > 0 {
 			v.Revision = records[n-1].Revision
@@ -84,15 +93,15 @@
 		}
 		v.Revision = revision
 	}
-	// Which upstreams are needed follows from the list and the settings alone.
-	if !f.started || list.Version > f.list || v.Revision > f.revision {
-		needed := f.needed(a, list)
-		if !f.started || list.Version > f.list || len(needed.Upstreams) != f.upstreams {
+	// The needed upstreams depend on the list and the configuration only.
+	if !f.started || list.Version > f.listVersion || v.Revision > f.revision {
+		needed := f.neededUpstreams(a, list)
+		if !f.started || list.Version > f.listVersion || len(needed.Upstreams) != f.upstreamCount {
 			v.Directory = rpc.DirectoryToProto(needed)
 		}
-		f.upstreams = len(needed.Upstreams)
+		f.upstreamCount = len(needed.Upstreams)
 	}
-	f.started, f.revision, f.list = true, v.Revision, list.Version
+	f.started, f.revision, f.listVersion = true, v.Revision, list.Version
 	if err := send(v); err != nil {
 		return err
 	}
@@ -102,10 +111,10 @@
 	return nil
 }
 
-// needed returns the part of the directory that the process decides by. A
-// director only needs to know which services there are and where; an entry the
-// upstreams of the regions that it may send to.
-func (f *follower) needed(a *Agent, list model.Directory) model.Directory {
+// neededUpstreams returns the part of list that the process uses: for a director, one
+// upstream per service and region, because it only needs to know where services
+// exist; for an entry, the upstreams of the regions that it may send requests to.
+func (f *viewStream) neededUpstreams(a *Agent, list model.Directory) model.Directory {
 	_, t, _ := a.log.View()
 	switch f.process {
 	case ProcessDirector:
@@ -116,9 +125,10 @@
 	return list
 }
 
-// sendSnapshot sends the state in parts and returns its revision. An entry has no
-// use for the blocks of client addresses, which are by far the most of it.
-func (f *follower) sendSnapshot(a *Agent, send func(*pb.View) error) (uint64, error) {
+// sendSnapshot sends a snapshot in parts and returns its revision. For an entry the
+// blocks of client addresses are left out: it does not use them, and they are by far
+// the largest part.
+func (f *viewStream) sendSnapshot(a *Agent, send func(*pb.View) error) (uint64, error) {
 	s := a.log.Snapshot()
 	s.Changes = nil
 	var skip func(string) bool
@@ -135,19 +145,21 @@
 	return s.Revision, nil
 }
 
-// follows counts a stream and announces whether the process can be used.
-func (a *Agent) follows(name string, by int) {
-	a.localMu.Lock()
+// countStream adds delta to the number of open streams of a process and announces its
+// availability to peers. A new stream ends the process's leaving state.
+func (a *Agent) countStream(name string, delta int) {
+	a.processesMu.Lock()
 	p := a.process(name)
-	p.following += by
-	if by > 0 {
+	p.streams += delta
+	if delta > 0 {
 		p.leaving = false
 	}
-	a.localMu.Unlock()
+	a.processesMu.Unlock()
 	a.announceProcesses()
 }
 
-// process returns the state of a process. The caller holds localMu.
+// process returns the state of the process with the given name, and adds it if it is
+// new. The caller holds processesMu.
 func (a *Agent) process(name string) *process {
 	p := a.processes[name]
 	if p == nil {
@@ -157,34 +169,37 @@
 	return p
 }
 
-// HandleReport takes in how a process beside the agent fares.
+// HandleReport applies a report from another process of the instance: whether it is
+// leaving, its usage of the caps and the draining upstreams. It returns the own
+// revision and the limits of the entry.
 func (a *Agent) HandleReport(req *pb.ReportRequest) *pb.ReportReply {
-	a.localMu.Lock()
+	a.processesMu.Lock()
 	p := a.process(req.GetProcess())
 	p.leaving = req.GetLeaving()
-	a.localMu.Unlock()
+	a.processesMu.Unlock()
 	a.announceProcesses()
-	a.draining.hear(time.Now(), req.GetDraining())
-	return &pb.ReportReply{Revision: a.log.Revision(), Limits: a.limits(req.GetUsage())}
+	a.draining.apply(time.Now(), req.GetDraining())
+	return &pb.ReportReply{Revision: a.log.Revision(), Limits: a.capLimits(req.GetUsage())}
 }
 
-// announceProcesses tells the peers which processes can be used, if that has
-// changed.
+// announceProcesses updates the addresses of the own processes in the membership and,
+// if they have changed, announces them to peers.
 func (a *Agent) announceProcesses() {
-	a.localMu.Lock()
-	entry, director := a.address(ProcessEntry, a.opt.Self.Entry), a.address(ProcessDirector, a.opt.Self.Director)
+	a.processesMu.Lock()
+	entry, director := a.announcedAddress(ProcessEntry, a.opt.Self.Entry), a.announcedAddress(ProcessDirector, a.opt.Self.Director)
 	before := a.table.Self()
 	a.table.UpdateSelf(time.Now(), func(m *membership.Member) { m.Entry, m.Director = entry, director })
-	a.localMu.Unlock()
+	a.processesMu.Unlock()
 	if after := a.table.Self(); after.Incarnation != before.Incarnation {
-		klog.InfoS("processes changed", "entry", entry, "director", director)
+		klog.InfoS("announced process addresses changed", "entry", entry, "director", director)
 		go a.announce(context.Background())
 	}
 }
 
-// address returns the address of a process if it can be used.
-func (a *Agent) address(name, addr string) string {
-	if p := a.processes[name]; p != nil && p.following > 0 && !p.leaving {
+// announcedAddress returns addr if the process has a stream open and is not leaving,
+// and "" otherwise. The caller holds processesMu.
+func (a *Agent) announcedAddress(name, addr string) string {
+	if p := a.processes[name]; p != nil && p.streams > 0 && !p.leaving {
 		return addr
 	}
 	return ""
--- a/internal/agent/push.go
+++ b/internal/agent/push.go
@@ -14,60 +14,64 @@
 )
 
 const (
-	// pushTimeout bounds one push.
+	// pushTimeout is the timeout of one push.
 	pushTimeout = time.Second
-	// pushEvery joins changes in a burst into one push.
-	pushEvery = 50 * time.Millisecond
-	// rumorTo is how many other failure domains a record that did not come from
-	// the store is passed on to by each reader.
-	rumorTo = 4
+	// pushInterval is the pause after a push, so that the next push covers a burst of
+	// changes.
+	pushInterval = 50 * time.Millisecond
+	// maxDomainsPushed is the number of other failure domains to which an agent
+	// pushes a record that was committed at it, or that it received as a reader from
+	// a peer instead of the store.
+	maxDomainsPushed = 4
 )
 
-// pushLoop hands on new records and newer directories as they come.
+// pushLoop pushes new records and upstream lists to peers as they arrive.
 func (a *Agent) pushLoop(ctx context.Context) {
-	revision, list := a.log.Revision(), a.directory.version()
+	revision, listVersion := a.log.Revision(), a.directory.version()
 	for {
-		newest, _, advanced := a.log.View()
-		upstreams, changed := a.directory.get()
-		if newest > revision || upstreams.Version > list {
-			revision = a.push(ctx, revision, list)
-			list = upstreams.Version
-			if !wait.For(ctx, pushEvery) {
+		newest, _, logChanged := a.log.View()
+		upstreams, directoryChanged := a.directory.get()
+		if newest > revision || upstreams.Version > listVersion {
+			revision = a.push(ctx, revision, listVersion)
+			listVersion = upstreams.Version
+			if !wait.For(ctx, pushInterval) {
 				return
 			}
 			continue
 		}
 		select {
-		case <-advanced:
-		case <-changed:
+		case <-logChanged:
+		case <-directoryChanged:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// push sends what is newer than revision and list to the targets of the plan.
-// It returns the revision up to which it got. After a restored snapshot the
-// records between are not there; peers notice and fetch it themselves.
-func (a *Agent) push(ctx context.Context, revision, list uint64) uint64 {
+// push sends the records after revision, and the upstreams if their version is
+// higher than listVersion, to the targets of the plan. It returns the revision up to
+// which records were sent. If a snapshot was restored in between, the records before
+// it are not available; peers detect the gap and fetch the snapshot.
+func (a *Agent) push(ctx context.Context, revision, listVersion uint64) uint64 {
 	req := &pb.PushRequest{From: a.table.Self().Agent}
 	newest := a.log.Revision()
 	if records, ok := a.log.Since(revision, maxRecords); ok && len(records) > 0 {
 		req.Records = rpc.RecordsToProto(records)
 		newest = records[len(records)-1].Revision
 	}
-	if d, _ := a.directory.get(); d.Version > list {
+	if d, _ := a.directory.get(); d.Version > listVersion {
 		req.Upstreams = rpc.DirectoryToProto(d)
 	}
-	rumor := a.rumor.Swap(false) && len(req.Records) > 0
+	toReaders := a.pushToReaders.Swap(false) && len(req.Records) > 0
 	var wg sync.WaitGroup
-	for _, m := range a.pushTargets(rumor) {
+	for _, m := range a.pushTargets(toReaders) {
 		wg.Go(func() { a.pushTo(ctx, m, req) })
 	}
 	wg.Wait()
 	return newest
 }
 
+// pushTo sends one push to m and counts the result.
 func (a *Agent) pushTo(ctx context.Context, m membership.Member, req *pb.PushRequest) {
 	call, cancel := context.WithTimeout(ctx, pushTimeout)
 	defer cancel()
@@ -77,13 +81,13 @@
 	}
 }
 
-// pushTargets returns the own children, the other reader, and for a rumor also
-// the readers of the own failure domain and some of others.
-func (a *Agent) pushTargets(rumor bool) []membership.Member {
+// pushTargets returns the members to push to: the children and the other readers of
+// the plan, and with toReaders also the members from readerTargets.
+func (a *Agent) pushTargets(toReaders bool) []membership.Member {
 	p := a.plan()
 	ids := slices.Concat(p.Children, p.Siblings)
-	if rumor {
-		ids = append(ids, a.rumorTargets(p)...)
+	if toReaders {
+		ids = append(ids, a.readerTargets(p)...)
 	}
 	slices.Sort(ids)
 	var out []membership.Member
@@ -95,22 +99,23 @@
 	return out
 }
 
-// rumorTargets returns the readers of the own failure domain, for one that is
-// no reader, and one reader each of some other domains.
-func (a *Agent) rumorTargets(p fanout.Plan) []string {
+// readerTargets returns the ids of one random reader in each of up to
+// maxDomainsPushed other failure domains, and, if the own instance is not a reader,
+// the readers of the own failure domain.
+func (a *Agent) readerTargets(p fanout.Plan) []string {
 	self := a.table.Self()
 	all, _ := a.table.All()
 	byDomain := make(map[string][]string)
 	for _, m := range all {
 		if m.Live() {
-			byDomain[domainName(m)] = append(byDomain[domainName(m)], m.ID)
+			byDomain[domainKey(m)] = append(byDomain[domainKey(m)], m.ID)
 		}
 	}
-	own := byDomain[domainName(self)]
-	delete(byDomain, domainName(self))
+	own := byDomain[domainKey(self)]
+	delete(byDomain, domainKey(self))
 	var ids []string
 	if !p.Reader {
-		ids = readersOf(domainName(self), own)
+		ids = readersOf(domainKey(self), own)
 	}
 	domains := make([]string, 0, len(byDomain))
 	for d := range byDomain {
@@ -120,24 +125,27 @@
 	a.proberMu.Lock()
 	a.rnd.Shuffle(len(domains), func(i, j int) { domains[i], domains[j] = domains[j], domains[i] })
 	a.proberMu.Unlock()
-	for _, d := range domains[:min(rumorTo, len(domains))] {
+	for _, d := range domains[:min(maxDomainsPushed, len(domains))] {
 		readers := readersOf(d, byDomain[d])
 		ids = append(ids, readers[a.intN(len(readers))])
 	}
 	return ids
 }
 
+// readersOf returns the readers among the members ids of a failure domain.
 func readersOf(domain string, ids []string) []string {
 	order := fanout.Order(domain, ids)
 	return order[:min(fanout.ReadersPerDomain, len(order))]
 }
 
-// HandlePush takes in what a peer hands on.
+// HandlePush applies the records and upstreams that a peer pushed. If records before
+// them are missing, it fetches these from the peer in the background. It returns the
+// own revision.
 func (a *Agent) HandlePush(ctx context.Context, req *pb.PushRequest) *pb.PushReply {
 	if req.GetUpstreams() != nil {
 		a.directory.set(rpc.DirectoryFromProto(req.GetUpstreams()))
 	}
-	if !a.apply(req.GetRecords(), req.GetFrom()) {
+	if !a.applyRecords(req.GetRecords(), req.GetFrom()) {
 		go a.pull(context.WithoutCancel(ctx), membership.Member{Agent: req.GetFrom()})
 	}
 	return &pb.PushReply{Revision: a.log.Revision()}
--- a/internal/agent/readers.go
+++ b/internal/agent/readers.go
@@ -11,25 +11,27 @@
 )
 
 const (
-	// watchFor is how long one watch of the log or the list waits. After each,
-	// a reader also looks at the next slot itself, which finds a record whose
-	// writer died before it raised the head.
-	watchFor = 3 * time.Second
-	// firstBackoff and lastBackoff bound the pause after a failed call.
-	firstBackoff = 200 * time.Millisecond
-	lastBackoff  = 5 * time.Second
-	// wakeEvery joins changes in a burst into one wake.
-	wakeEvery = 500 * time.Millisecond
-	// idleCheck is how often one that is no reader looks whether it has become one.
-	idleCheck = time.Second
+	// watchTimeout is the longest duration of one watch of the log or the list.
+	// After each watch of the log, a reader also reads the next slot, which finds a
+	// record whose writer failed before it raised the head.
+	watchTimeout = 3 * time.Second
+	// minBackoff and maxBackoff are the limits of the pause after a failed call.
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 5 * time.Second
+	// minReadInterval is the shortest time from the start of a successful read to the
+	// next read, so that one read covers a burst of changes.
+	minReadInterval = 500 * time.Millisecond
+	// roleCheckInterval is the time between checks whether the agent has become a
+	// reader.
+	roleCheckInterval = time.Second
 )
 
-// logLoop follows the configuration log in the store while the agent is a
-// reader.
+// logLoop appends the records of the store's configuration log to the own replica
+// while the agent is a reader.
 func (a *Agent) logLoop(ctx context.Context) {
 	r := configlog.NewReader(a.opt.Store, a.log)
 	a.readerLoop(ctx, "log", func(ctx context.Context) error {
-		if err := r.Wait(ctx, watchFor); err != nil {
+		if err := r.Wait(ctx, watchTimeout); err != nil {
 			return err
 		}
 		before := a.log.Revision()
@@ -43,40 +45,40 @@
 	})
 }
 
-// listLoop follows the platform's instance list while the agent is a reader.
+// listLoop watches the platform's instance list while the agent is a reader.
 func (a *Agent) listLoop(ctx context.Context) {
 	a.readerLoop(ctx, "instance list", func(ctx context.Context) error {
-		l, err := a.opt.List.Instances(ctx, a.directory.version(), watchFor)
+		l, err := a.opt.List.Instances(ctx, a.directory.version(), watchTimeout)
 		if err != nil {
 			return err
 		}
-		a.directory.take(l)
+		a.directory.applyPlatformList(l)
 		return nil
 	})
 }
 
-// readerLoop calls read again and again while the agent is a reader, slower
-// after failures.
+// readerLoop calls read repeatedly while the agent is a reader, with exponential
+// backoff after failures. The name what describes the source in log lines.
 func (a *Agent) readerLoop(ctx context.Context, what string, read func(context.Context) error) {
-	backoff := firstBackoff
+	backoff := minBackoff
 	for ctx.Err() == nil {
 		if !a.plan().Reader {
-			wait.For(ctx, idleCheck)
+			wait.For(ctx, roleCheckInterval)
 			continue
 		}
 		started := time.Now()
 		err := read(ctx)
 		if err == nil {
-			backoff = firstBackoff
-			wait.For(ctx, max(0, wakeEvery-time.Since(started)))
+			backoff = minBackoff
+			wait.For(ctx, max(0, minReadInterval-time.Since(started)))
 			continue
 		}
 		if ctx.Err() != nil {
 			return
 		}
 		a.stats.StoreFailed.Add(1)
-		klog.V(1).InfoS("platform call failed", "what", what, "err", err)
+		klog.V(1).InfoS("platform read failed", "what", what, "err", err)
 		wait.For(ctx, a.jitter(backoff))
-		backoff = min(2*backoff, lastBackoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
--- a/internal/agent/shares.go
+++ b/internal/agent/shares.go
@@ -16,15 +16,16 @@
 )
 
 const (
-	// shareEvery is the time between two rounds of dividing the caps.
-	shareEvery = time.Second
-	// shareTimeout bounds one round.
+	// shareInterval is the time between two rounds of dividing the caps, before
+	// jitter.
+	shareInterval = time.Second
+	// shareTimeout is the longest duration of one round.
 	shareTimeout = 5 * time.Second
 )
 
-// shareLoop takes part in the division of the caps.
+// shareLoop renews the instance's shares of the caps at intervals until ctx ends.
 func (a *Agent) shareLoop(ctx context.Context) {
-	for wait.For(ctx, a.jitter(shareEvery)) {
+	for wait.For(ctx, a.jitter(shareInterval)) {
 		terms, hold := a.terms()
 		if len(terms) == 0 {
 			continue
@@ -32,14 +33,14 @@
 		call, cancel := context.WithTimeout(ctx, shareTimeout)
 		if err := a.keeper.Round(call, terms, hold); err != nil && ctx.Err() == nil {
 			a.stats.StoreFailed.Add(1)
-			klog.V(1).InfoS("shares not renewed", "err", err)
+			klog.V(1).InfoS("renewal of shares failed", "err", err)
 		}
 		cancel()
 	}
 }
 
-// terms returns the caps that the operators have set, by region, and the longest
-// time that a request of those services may take.
+// terms returns the configured caps on requests in flight, by region, and the
+// longest deadline of a request to any listed service.
 func (a *Agent) terms() ([]share.Terms, time.Duration) {
 	_, t, _ := a.log.View()
 	list, _ := a.directory.get()
@@ -47,11 +48,11 @@
 	seen := make(map[[2]string]bool)
 	var hold time.Duration
 	for _, u := range list.Upstreams {
-		at := [2]string{u.Service, u.Region}
-		if seen[at] {
+		key := [2]string{u.Service, u.Region}
+		if seen[key] {
 			continue
 		}
-		seen[at] = true
+		seen[key] = true
 		path := tree.ServicePath(u.Service) + "/regions/" + u.Region
 		hold = max(hold, t.Duration(path, tree.KeyDeadline))
 		if total := t.Int(path, tree.KeyMaxInFlight); total > 0 {
@@ -67,6 +68,7 @@
 	return out, hold
 }
 
+// addCap adds the cap total for the upstream's service to its region's terms.
 func addCap(byRegion map[string]*share.Terms, t *tree.Tree, u model.Upstream, total int) {
 	terms := byRegion[u.Region]
 	if terms == nil {
@@ -77,8 +79,9 @@
 	terms.Caps = append(terms.Caps, share.Cap{Service: u.Service, Total: total})
 }
 
-// limits takes in what the entry uses of the caps and returns what it may use.
-func (a *Agent) limits(usage []*pb.CapUsage) []*pb.CapLimit {
+// capLimits reports the entry's usage of the caps to the keeper and returns the
+// entry's limits.
+func (a *Agent) capLimits(usage []*pb.CapUsage) []*pb.CapLimit {
 	reported := make([]share.Reported, len(usage))
 	for i, u := range usage {
 		reported[i] = share.Reported{Service: u.GetService(), Region: u.GetRegion(), Usage: share.Usage{
--- a/internal/agent/start.go
+++ b/internal/agent/start.go
@@ -13,19 +13,20 @@
 )
 
 const (
-	// startCall bounds one call during the start.
-	startCall = time.Second
-	// startTries is how many neighbours are asked for their state.
-	startTries = 4
-	// maxServing is how many snapshots an agent hands out at one time, so that a
-	// rack that starts at once spreads over many neighbours.
-	maxServing = 2
-	// allDomains asks for every member.
+	// startCallTimeout is the timeout of one call during the start.
+	startCallTimeout = time.Second
+	// maxSnapshotPeers is the number of peers that are asked for a snapshot.
+	maxSnapshotPeers = 4
+	// maxActiveSnapshots is the number of snapshots that an agent sends at one time,
+	// so that when a whole rack starts, its requests spread over many peers.
+	maxActiveSnapshots = 2
+	// allDomains in ExchangeRequest.Want requests the members of all failure domains.
 	allDomains = "*"
 )
 
-// start joins the other agents and takes over their state; without any it reads
-// the store. It returns when it has tried once, and the loops do the rest.
+// start joins the other agents and loads a snapshot from one of them, or from the
+// store if no peer supplies one. It makes one attempt; the agent's loops fetch what
+// is missing afterwards.
 func (a *Agent) start(ctx context.Context) {
 	for _, addr := range a.startAddresses(ctx) {
 		if addr == a.opt.Self.Agent {
@@ -41,25 +42,25 @@
 	if a.snapshotFromPeers(ctx) {
 		return
 	}
-	call, cancel := context.WithTimeout(ctx, 5*startCall)
+	call, cancel := context.WithTimeout(ctx, 5*startCallTimeout)
 	defer cancel()
 	if err := configlog.NewReader(a.opt.Store, a.log).Start(call); err != nil {
-		klog.InfoS("start without configuration", "err", err)
+		klog.InfoS("started without configuration", "err", err)
 		return
 	}
 	a.origin.Store("store")
 }
 
-// startAddresses returns agents to ask, in random order: the seeds, and those
-// of the platform's list.
+// startAddresses returns the addresses of agents to contact at the start, in random
+// order: the seeds and the agents in the platform's list.
 func (a *Agent) startAddresses(ctx context.Context) []string {
 	addrs := append([]string(nil), a.opt.Seeds...)
-	call, cancel := context.WithTimeout(ctx, startCall)
+	call, cancel := context.WithTimeout(ctx, startCallTimeout)
 	defer cancel()
 	l, err := a.opt.List.Instances(call, 0, 0)
 	if err == nil {
-		a.directory.take(l)
-		addrs = append(addrs, a.directory.nodes()...)
+		a.directory.applyPlatformList(l)
+		addrs = append(addrs, a.directory.agentAddresses()...)
 	}
 	a.proberMu.Lock()
 	defer a.proberMu.Unlock()
@@ -67,9 +68,10 @@
 	return addrs
 }
 
-// join asks one agent for all members.
+// join requests the full member list from the agent at addr and adds it to the
+// table.
 func (a *Agent) join(ctx context.Context, addr string) error {
-	call, cancel := context.WithTimeout(ctx, startCall)
+	call, cancel := context.WithTimeout(ctx, startCallTimeout)
 	defer cancel()
 	req := a.exchangeRequest(nil)
 	req.Want = []string{allDomains}
@@ -79,14 +81,15 @@
 	}
 	a.table.AddMembers(time.Now(), rpc.MembersFromProto(reply.GetUpdates()))
 	reply.Updates = nil
-	a.takeReply(ctx, reply)
+	a.applyReply(ctx, reply)
 	return nil
 }
 
-// snapshotFromPeers loads the state from a random live member, near ones first.
+// snapshotFromPeers loads a snapshot from a random live member, those of the own
+// region first, and reports whether one was loaded.
 func (a *Agent) snapshotFromPeers(ctx context.Context) bool {
-	for i, m := range a.neighbours() {
-		if i == startTries || ctx.Err() != nil {
+	for i, m := range a.shuffledPeers() {
+		if i == maxSnapshotPeers || ctx.Err() != nil {
 			return false
 		}
 		if a.snapshotFrom(ctx, m) {
@@ -97,22 +100,23 @@
 	return false
 }
 
-// snapshotFrom takes over a member's state if it is newer.
+// snapshotFrom loads a snapshot from m if it is newer than the own state, and reports
+// whether it did.
 func (a *Agent) snapshotFrom(ctx context.Context, m membership.Member) bool {
-	call, cancel := context.WithTimeout(ctx, 5*startCall)
+	call, cancel := context.WithTimeout(ctx, 5*startCallTimeout)
 	defer cancel()
 	var parts configlog.Assembler
 	if err := a.opt.Peers.Snapshot(call, m.Agent, a.log.Revision(), parts.Add); err != nil {
-		klog.V(1).InfoS("no snapshot", "from", m.ID, "err", err)
+		klog.V(1).InfoS("snapshot fetch failed", "from", m.ID, "err", err)
 		return false
 	}
 	s, err := parts.Snapshot()
 	return err == nil && a.log.Restore(s)
 }
 
-// neighbours returns the live members in random order, those of the own region
-// first.
-func (a *Agent) neighbours() []membership.Member {
+// shuffledPeers returns the other live members in random order, those of the own
+// region first.
+func (a *Agent) shuffledPeers() []membership.Member {
 	self := a.table.Self()
 	all := a.table.Select(func(m membership.Member) bool { return m.ID != self.ID && m.Live() })
 	a.proberMu.Lock()
@@ -129,17 +133,18 @@
 	return append(near, far...)
 }
 
-// HandleSnapshot returns the parts of the own state if it is newer than above,
-// or none while too many peers are being served.
+// HandleSnapshot sends the parts of a snapshot if its revision is higher than the
+// request's Above, and nothing otherwise. It returns rpc.ErrBusy while
+// maxActiveSnapshots other snapshots are being sent, or the error of send.
 func (a *Agent) HandleSnapshot(req *pb.SnapshotRequest, send func(*pb.SnapshotPart) error) error {
 	if a.log.Revision() <= req.GetAbove() {
 		return nil
 	}
-	if a.serving.Add(1) > maxServing {
-		a.serving.Add(-1)
+	if a.activeSnapshots.Add(1) > maxActiveSnapshots {
+		a.activeSnapshots.Add(-1)
 		return rpc.ErrBusy
 	}
-	defer a.serving.Add(-1)
+	defer a.activeSnapshots.Add(-1)
 	a.stats.SnapshotsServed.Add(1)
 	for p := range a.log.Snapshot().Parts(nil) {
 		if err := send(p); err != nil {
--- a/test/ablate/table.go
+++ b/test/ablate/table.go
@@ -34,7 +34,7 @@
 		"func (r *Reader) CatchUp(ctx context.Context) error { return catchUp(ctx, r.store, r.log) }",
 		"func (r *Reader) CatchUp(ctx context.Context) error { return nil }", pkgLog, "HeadMissing", nil},
 	{"records passed on agent to agent", "internal/agent/push.go",
-		"ids = append(ids, a.rumorTargets(p)...)", "", pkgAgent, "StoreKilled", nil},
+		"ids = append(ids, a.readerTargets(p)...)", "", pkgAgent, "StoreKilled", nil},
 	{"healing by probes", "internal/agent/exchange.go",
 		"reply.Records = rpc.RecordsToProto(records)", "_ = records", pkgAgent, "ReadersKilled|RegionsCutApart",
 		[]string{"if !a.pulling.CompareAndSwap(false, true) {", "if a.pulling.Load() || true {"}},
