--- a/internal/model/capacity.go
+++ b/internal/model/capacity.go
@@ -1,44 +1,45 @@
 package model
 
 const (
-	// enoughStrong is how many members stand in for each other at least, if only strong
-	// ones are to carry requests.
-	enoughStrong = 2
-	// alike is from what part of the strongest member's strength on another one counts
-	// as strong. Callers choose evenly among those they are told of, so that a weak one
-	// would get as many requests as a strong one.
-	alike = 0.5
-	// fairShare is what part of the strength of all the strong members must have to carry
-	// the requests alone. They then have at most three times the load that they would
-	// have if all carried requests by their strength.
-	fairShare = 1.0 / 3
+	// minHighCapacity is the smallest number of members that HighCapacity selects, so
+	// that they can take over each other's requests.
+	minHighCapacity = 2
+	// highCapacityRatio is the part of the largest capacity from which on a member
+	// counts as high-capacity. Callers choose evenly among the advertised members, so
+	// a smaller member would get as many requests as a larger one.
+	highCapacityRatio = 0.5
+	// minCapacityShare is the part of the capacity of all members that the selected
+	// members must have. Their load is then at most three times the load under a
+	// distribution over all members in proportion to capacity.
+	minCapacityShare = 1.0 / 3
 )
 
-// HighCapacity returns the members that are about as strong as the strongest, if there are
-// enough of them and they hold a fair share of the strength of all; else all. Callers are
-// told of these alone: few members that see many requests each know the upstreams better
-// and use connections to them again, where each of many would open one for nearly every
-// request.
+// HighCapacity returns the members whose capacity is close to the largest, if they are at
+// least minHighCapacity and have at least minCapacityShare of the capacity of all; else it
+// returns all members. Few entries with many requests each have recent load reports of the
+// upstreams and reuse connections to them, where each of many entries would open a
+// connection for nearly every request.
 func HighCapacity(members []Member) []Member {
-	best := best(members)
+	best := maxResources(members)
 	var out []Member
 	sum, total := 0.0, 0.0
 	for _, m := range members {
-		s := strength(m, best)
-		total += s
-		if s >= alike {
-			sum += s
+		c := relativeCapacity(m, best)
+		total += c
+		if c >= highCapacityRatio {
+			sum += c
 			out = append(out, m)
 		}
 	}
-	if len(out) < enoughStrong || sum < fairShare*total {
+	if len(out) < minHighCapacity || sum < minCapacityShare*total {
 		return members
 	}
 	return out
 }
 
-// best returns the most of each resource that a member has.
-func best(members []Member) (b Member) {
+// maxResources returns a Member with the largest link rate and the largest number of
+// cores of any member.
+func maxResources(members []Member) (b Member) {
 	for _, m := range members {
 		b.LinkMbps = max(b.LinkMbps, m.LinkMbps)
 		b.Cores = max(b.Cores, m.Cores)
@@ -46,22 +47,23 @@
 	return b
 }
 
-// strength is what a member can carry as a part of the best: the least of its resources
-// decides. One that a member does not tell is taken to be no less than the best's, or in
-// an upgrade the first members that tell it would be named alone and get all requests.
-func strength(m, best Member) float64 {
-	s := 1.0
+// relativeCapacity returns the capacity of a member in relation to the largest resources
+// of any member, from 0 to 1. The scarcest resource decides. A resource that a member
+// does not report counts as the largest: otherwise, during an upgrade, the first members
+// that report it would be advertised alone and get all requests.
+func relativeCapacity(m, best Member) float64 {
+	c := 1.0
 	if m.LinkMbps > 0 {
-		s = min(s, m.LinkMbps/best.LinkMbps)
+		c = min(c, m.LinkMbps/best.LinkMbps)
 	}
 	if m.Cores > 0 {
-		s = min(s, m.Cores/best.Cores)
+		c = min(c, m.Cores/best.Cores)
 	}
-	return s
+	return c
 }
 
-// Advertised returns the strongest members of each failure domain, which carry nearly all
-// requests.
+// Advertised returns the high-capacity members of each failure domain, which look-ups
+// return and which serve nearly all requests.
 func Advertised(members []Member) []Member {
 	byDomain := make(map[string][]Member)
 	var domains []string
--- a/internal/model/capacity_test.go
+++ b/internal/model/capacity_test.go
@@ -7,8 +7,9 @@
 	"github.com/loomkeel/loomkeel/internal/membership"
 )
 
-// unlike returns the members of two failure domains, three strong ones in each.
-func unlike() []Member {
+// mixedCapacities returns the members of two failure domains, each with three of high
+// capacity and 27 of low capacity.
+func mixedCapacities() []Member {
 	var out []Member
 	for _, domain := range []string{"a", "b"} {
 		for i := range 30 {
@@ -22,21 +23,21 @@
 	return out
 }
 
-func TestCarriersOfEachDomain(t *testing.T) {
-	got := Advertised(unlike())
+func TestAdvertisedOfEachDomain(t *testing.T) {
+	got := Advertised(mixedCapacities())
 	if len(got) != 6 {
-		t.Fatalf("%d carriers", len(got))
+		t.Fatalf("%d members advertised, want 6", len(got))
 	}
 	for _, m := range got {
 		if m.LinkMbps != 200 {
-			t.Errorf("%s carries", m.ID)
+			t.Errorf("%s is advertised, a member of low capacity", m.ID)
 		}
 	}
 }
 
-// TestUpgradedMembersAreNotNamedAlone has half of the members of a domain not tell what
-// processor they have.
-func TestUpgradedMembersAreNotNamedAlone(t *testing.T) {
+// TestMembersOfUnknownCoresAreAdvertised has half of the members of a domain report no
+// number of cores, as during an upgrade to a version that reports it.
+func TestMembersOfUnknownCoresAreAdvertised(t *testing.T) {
 	var members []Member
 	for i := range 6 {
 		m := Member{ID: fmt.Sprint(i), Domain: "a", LinkMbps: 200}
@@ -46,15 +47,15 @@
 		members = append(members, m)
 	}
 	if got := HighCapacity(members); len(got) != len(members) {
-		t.Errorf("%d of %d named", len(got), len(members))
+		t.Errorf("%d of %d members selected", len(got), len(members))
 	}
 }
 
-// TestRetriesOfAll adds up the retries that all members may make at once: those that
-// carry most requests may make most, and all together no more than the bound.
-func TestRetriesOfAll(t *testing.T) {
-	members := unlike()
-	sum, strong := 0.0, 0.0
+// TestRetryBurstOverAllMembers adds up the retry bursts of all members: the members of
+// high capacity get most of them, and the sum is the configured burst.
+func TestRetryBurstOverAllMembers(t *testing.T) {
+	members := mixedCapacities()
+	sum, high := 0.0, 0.0
 	for _, m := range members {
 		s := CompileRouted(RoutedInput{
 			Self: m.ID, Region: "m", Members: members, RetryBurst: 100,
@@ -63,10 +64,10 @@
 		burst := s.Services["s"].RetryBurst
 		sum += burst
 		if m.LinkMbps == 200 {
-			strong += burst
+			high += burst
 		}
 	}
-	if sum > 100.001 || sum < 99.999 || strong < 70 {
-		t.Errorf("all may make %.1f, the strong ones %.1f", sum, strong)
+	if sum > 100.001 || sum < 99.999 || high < 70 {
+		t.Errorf("the bursts add up to %.1f, those of high capacity to %.1f; want 100 and at least 70", sum, high)
 	}
 }
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -1,5 +1,6 @@
-// Package model compiles the settings tree, the upstream directory and the
-// membership into one immutable snapshot that the data path decides by.
+// Package model defines services, routes, organisations and upstreams, and compiles
+// the configuration, the upstream directory and the membership list into the
+// immutable Snapshot by which the data path serves requests.
 package model
 
 import (
@@ -12,7 +13,7 @@
 	"github.com/loomkeel/loomkeel/internal/tree"
 )
 
-// Upstream is one back end.
+// Upstream is one backend instance of a service.
 type Upstream struct {
 	ID          string `json:"id"`
 	Service     string `json:"service"`
@@ -21,21 +22,23 @@
 	Address     string `json:"address"`
 	Slots       int    `json:"slots"`
 	Connections int    `json:"connections"`
-	// Leaving is set when the platform's list says so, or the upstream itself.
+	// Leaving is set when the platform's list or the upstream itself announces
+	// that the upstream is shutting down.
 	Leaving bool `json:"leaving,omitempty"`
-	// StartedAt is the Unix millisecond at which the upstream started; 0 if it does not tell.
-	// One that starts again under its id knows nothing of its earlier life.
+	// StartedAt is the start time of the upstream in Unix milliseconds; 0 if unknown.
+	// An upstream that restarts under the same id has lost all state of its
+	// previous run.
 	StartedAt int64 `json:"born,omitempty"`
-	// ColdUntil is until when the upstream is known to be cold; zero if it is not.
+	// ColdUntil is the end of the upstream's warm-up; zero if no warm-up is known.
 	ColdUntil time.Time `json:"cold_until,omitzero"`
 }
 
-// RestartOf reports whether u is a later life of an upstream than known is.
+// RestartOf reports whether u describes a later run of the upstream than known does.
 func (u *Upstream) RestartOf(known *Upstream) bool {
 	return known.StartedAt > 0 && u.StartedAt > known.StartedAt
 }
 
-// Drain and Member are used throughout the snapshot.
+// Drain and Member are the types of other packages that a Snapshot holds.
 type (
 	Drain  = tree.Drain
 	Member = membership.Member
@@ -47,7 +50,7 @@
 	Upstreams []Upstream `json:"upstreams"`
 }
 
-// Service is what the own region needs to know of a service.
+// Service holds the settings and upstreams of a service as seen from the own region.
 type Service struct {
 	Name           string
 	Repeat         string
@@ -62,34 +65,35 @@
 	Lifetime       time.Duration
 	ShiftCap       float64
 	ShiftRate      float64
-	// Overflow lists the regions that may take requests, in order.
+	// Overflow lists the other regions that may take requests, in order of preference.
 	Overflow []string
-	// MaxInFlight caps the requests in flight per region; 0 means none but the
-	// slots there.
+	// MaxInFlight is the largest number of requests in flight by region; 0 means
+	// that only the upstreams' slots limit it.
 	MaxInFlight map[string]int
 	Upstreams   []Upstream
-	// Routed is set if the service is reached by routes, which then say how a
-	// request is served, rather than by its name.
+	// Routed is set if requests select the service by a Route, which also holds
+	// their timeout, attempts and priority, rather than by the service's name.
 	Routed bool
-	// HealthPath is where an upstream answers for its health.
+	// HealthPath is the HTTP path of the upstreams' health check.
 	HealthPath string
-	// MaxConnections is how many connections an upstream takes from all callers;
-	// 0 if unknown.
+	// MaxConnections is the largest number of connections that an upstream accepts
+	// from all clients together; 0 if unknown.
 	MaxConnections int
-	// ColdRate is how many requests a cold upstream may get in one second from
-	// all entries together; 0 means no bound.
+	// ColdRate is the largest number of requests per second from all entries
+	// together to an upstream that is warming up; 0 means no limit.
 	ColdRate float64
-	// RetryBurst is how many retries an entry may make before it has earned any.
+	// RetryBurst is the initial number of retries in an entry's retry budget.
 	RetryBurst float64
 }
 
-// Link is the way from the own region to another.
+// Link describes the network path from the own region to another region.
 type Link struct {
 	Region  string
 	Latency time.Duration
 }
 
-// Snapshot is everything that the data path decides by. It is immutable.
+// Snapshot is the compiled state from which the data path routes and balances
+// requests. It is immutable.
 type Snapshot struct {
 	Revision  uint64
 	Directory uint64
@@ -98,36 +102,38 @@
 	Services  map[string]*Service
 	// Hosts maps host names to services.
 	Hosts map[string]string
-	// Routes select the service of a request by host and path; nil if services
-	// are named by the request itself.
+	// Routes select the service of a request by host and path; nil if requests
+	// name their service themselves.
 	Routes *Routes
 	Limits Limits
-	// Organisations are those whose keys requests must carry; nil if none are needed.
+	// Organisations are the organisations whose keys requests must carry; nil if
+	// requests need no key.
 	Organisations *Organisations
-	// LimitSlack is how many requests of an organisation may run beyond its limit.
+	// LimitSlack is the number of requests of an organisation that may run beyond its limit.
 	LimitSlack float64
 	Links      map[string]Link
 	Drains     []tree.Drain
 	Moves      []tree.Move
-	// Members are the live instances, and Carriers those of them that callers are told of.
+	// Members are the live instances, and Advertised those of them that look-ups
+	// return to callers.
 	Members    []membership.Member
 	Advertised []membership.Member
-	// Regions lists the regions by the latency from the own one, which is first.
+	// Regions lists the regions in order of latency from the own region, which is first.
 	Regions []string
 }
 
-// Input is what a Snapshot is compiled from.
+// Input holds the state from which Compile makes a Snapshot.
 type Input struct {
 	Region    string
 	Revision  uint64
 	Tree      *tree.Tree
 	Directory Directory
-	// Draining are the ids of upstreams that said of themselves that they drain.
+	// Draining are the ids of upstreams that announced themselves that they are draining.
 	Draining []string
 	Members  []membership.Member
 }
 
-// Compile returns the snapshot for a region.
+// Compile returns the snapshot for the region of the input.
 func Compile(in Input) *Snapshot {
 	s := &Snapshot{
 		Revision:  in.Revision,
@@ -158,7 +164,8 @@
 	return s
 }
 
-// compileRegions finds all regions and orders them by latency.
+// compileRegions collects the regions of the upstreams and members, and sorts them
+// by latency from the own region.
 func (s *Snapshot) compileRegions(in Input) {
 	s.Links = make(map[string]Link)
 	add := func(region string) {
@@ -188,6 +195,7 @@
 	})
 }
 
+// boolInt returns 1 for true and 0 for false.
 func boolInt(b bool) int {
 	if b {
 		return 1
@@ -195,6 +203,8 @@
 	return 0
 }
 
+// compileService returns the settings of a service, and adds the service's host names
+// to s.Hosts.
 func (s *Snapshot) compileService(name string) *Service {
 	path := tree.ServicePath(name) + "/regions/" + s.Region
 	t := s.Tree
@@ -231,7 +241,7 @@
 	return svc
 }
 
-// LocalEntries returns the live instances of the own region whose entry is up.
+// LocalEntries returns the live instances of the own region that run an entry.
 func (s *Snapshot) LocalEntries() []membership.Member {
 	var out []membership.Member
 	for _, m := range s.Members {
@@ -242,11 +252,10 @@
 	return out
 }
 
-// Capped reports whether a service has a cap on its requests in flight in a
-// region.
+// Capped reports whether the service's requests in flight are limited in a region.
 func (s *Service) Capped(region string) bool { return s.MaxInFlight[region] > 0 }
 
-// Draining reports whether an upstream is to get no new work at a time.
+// Draining reports whether an upstream must get no new requests at the given time.
 func (s *Snapshot) Draining(u *Upstream, now time.Time) bool {
 	if u.Leaving {
 		return true
--- a/internal/model/organisation.go
+++ b/internal/model/organisation.go
@@ -9,60 +9,62 @@
 // Organisation is a customer on whose behalf callers send requests. It is immutable.
 type Organisation struct {
 	Name string
-	// Priority is the rank of its requests in place of their routes'; 0 is the most urgent,
-	// RoutePriority leaves it to the route.
+	// Priority replaces the priority of the routes for the organisation's requests;
+	// 0 is the most urgent, PriorityFromRoute keeps the route's.
 	Priority int
 	Limit    Limit
-	// Regions are those that may serve its requests; empty means all.
+	// Regions are the regions that may serve the organisation's requests; empty means all.
 	Regions []string
 }
 
-// PriorityFromRoute is the priority of an organisation that does not set one.
+// PriorityFromRoute is the Priority of an organisation that sets none.
 const PriorityFromRoute = -1
 
-// Limit bounds the requests of an organisation that upstreams run, over all entries together.
+// Limit bounds the rate at which all entries together send an organisation's requests
+// to upstreams.
 type Limit struct {
 	// Rate is in requests per second; 0 means no limit.
 	Rate float64
-	// Burst is how many requests beyond the rate may run at once.
+	// Burst is the number of requests beyond the rate that may run at once.
 	Burst float64
 }
 
-// Anonymous stands for callers without a key on routes that ask for none.
+// Anonymous is the organisation of callers without a key on routes that need none.
 var Anonymous = &Organisation{Priority: PriorityFromRoute}
 
-// Allows reports whether a region may serve the organisation's requests. Nil allows all.
+// Allows reports whether a region may serve the organisation's requests. A nil
+// Organisation allows all regions.
 func (o *Organisation) Allows(region string) bool {
 	return o == nil || len(o.Regions) == 0 || slices.Contains(o.Regions, region)
 }
 
-// Key is what a caller proves its organisation by. It is a secret: however a Key is
-// printed, or encoded as a value, it does not show.
+// Key is the secret by which a caller authenticates as an organisation. Printing a Key,
+// or encoding it as a value (not as a map key), writes a placeholder.
 type Key string
 
-// hiddenKey stands in for a key's value.
-const hiddenKey = "(key)"
+// redactedKey is the placeholder for a key's value.
+const redactedKey = "(key)"
 
-// MaxKeyBytes is the longest key.
+// MaxKeyBytes is the largest length of a key in bytes.
 const MaxKeyBytes = 512
 
 // String implements fmt.Stringer.
-func (Key) String() string { return hiddenKey }
+func (Key) String() string { return redactedKey }
 
 // GoString implements fmt.GoStringer.
-func (Key) GoString() string { return hiddenKey }
+func (Key) GoString() string { return redactedKey }
 
 // MarshalText implements encoding.TextMarshaler.
-func (Key) MarshalText() ([]byte, error) { return []byte(hiddenKey), nil }
+func (Key) MarshalText() ([]byte, error) { return []byte(redactedKey), nil }
 
-// Organisations finds the organisation of a key. It is immutable.
+// Organisations maps keys to organisations. It is immutable.
 type Organisations struct {
 	list  []*Organisation
 	byKey map[Key]*Organisation
 }
 
-// NewOrganisations returns a table of organisations with their keys, by name. The error
-// names every fault, and no key.
+// NewOrganisations returns the table of a list of organisations and their keys, which
+// are given by the organisation's name. The error joins all faults and contains no key.
 func NewOrganisations(list []*Organisation, keys map[string][]Key) (*Organisations, error) {
 	t := &Organisations{list: list, byKey: make(map[Key]*Organisation)}
 	var faults []error
@@ -76,6 +78,8 @@
 	return t, errors.Join(faults...)
 }
 
+// add maps a key to an organisation. It fails if the key's length is out of range or the
+// key belongs to another organisation.
 func (t *Organisations) add(o *Organisation, k Key) error {
 	if len(k) == 0 || len(k) > MaxKeyBytes {
 		return fmt.Errorf("has %d bytes; allowed: 1 to %d", len(k), MaxKeyBytes)
@@ -87,10 +91,10 @@
 	return nil
 }
 
-// ByKey returns the organisation of a key, or nil if it has none.
+// ByKey returns the organisation of a key, or nil if the key is unknown.
 func (t *Organisations) ByKey(k Key) *Organisation { return t.byKey[k] }
 
-// All returns the organisations.
+// All returns the organisations in the order given to NewOrganisations.
 func (t *Organisations) All() []*Organisation {
 	if t == nil {
 		return nil
--- a/internal/model/organisation_test.go
+++ b/internal/model/organisation_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestKeysArePrintedWithoutTheirValue(t *testing.T) {
+func TestKeyIsRedactedWhenPrinted(t *testing.T) {
 	k := Key("secret")
 	encoded, err := json.Marshal(map[string]any{"key": k, "keys": []Key{k}})
 	if err != nil {
@@ -23,14 +23,14 @@
 func TestOrganisationAllows(t *testing.T) {
 	var none *Organisation
 	if !none.Allows("a") || !Anonymous.Allows("a") {
-		t.Error("who has no homes is bound to some")
+		t.Error("an organisation without regions is restricted to some")
 	}
 	if o := (&Organisation{Regions: []string{"a", "b"}}); !o.Allows("b") || o.Allows("c") {
-		t.Error("homes do not bind")
+		t.Error("the organisation's regions are not enforced")
 	}
 }
 
-// BenchmarkByKey finds the organisation of a key among 10,000 with ten keys each.
+// BenchmarkByKey looks up keys in a table of 10,000 organisations with ten keys each.
 func BenchmarkByKey(b *testing.B) {
 	var list []*Organisation
 	keys := make(map[string][]Key)
--- a/internal/model/reachable.go
+++ b/internal/model/reachable.go
@@ -8,27 +8,28 @@
 	"github.com/loomkeel/loomkeel/internal/tree"
 )
 
-// maxOverflow is how many of the nearest other regions an entry may send to,
-// beside those that an overflow list or a move names. With few regions it is
-// all of them; with many it bounds what an entry has to hold.
+// maxOverflow is the number of nearest other regions to which an entry may send
+// requests, beside the regions of overflow lists and moves. It bounds the number of
+// upstreams that an entry holds where there are many regions.
 const maxOverflow = 8
 
-// OnePerServiceRegion returns a directory with one upstream of each service in each region.
+// OnePerServiceRegion returns the directory reduced to the first upstream of each
+// service in each region.
 func OnePerServiceRegion(list Directory) Directory {
 	out := Directory{Version: list.Version}
 	seen := make(map[[2]string]bool)
 	for _, u := range list.Upstreams {
-		place := [2]string{u.Service, u.Region}
-		if !seen[place] {
-			seen[place] = true
+		key := [2]string{u.Service, u.Region}
+		if !seen[key] {
+			seen[key] = true
 			out.Upstreams = append(out.Upstreams, u)
 		}
 	}
 	return out
 }
 
-// Reachable returns the upstreams of the regions that the entries of a region
-// may send to.
+// Reachable returns the directory reduced to the upstreams of the regions to which
+// the entries of a region may send requests.
 func Reachable(t *tree.Tree, from string, list Directory) Directory {
 	regions := reachableRegions(t, from, list)
 	out := Directory{Version: list.Version}
@@ -40,8 +41,10 @@
 	return out
 }
 
+// reachableRegions returns the own region, the nearest maxOverflow other regions, and
+// the regions that overflow settings and moves name for the own region.
 func reachableRegions(t *tree.Tree, from string, list Directory) map[string]bool {
-	in := map[string]bool{from: true}
+	reachable := map[string]bool{from: true}
 	services := make(map[string]bool)
 	latency := make(map[string]time.Duration)
 	for _, u := range list.Upstreams {
@@ -50,21 +53,21 @@
 			latency[u.Region] = t.Duration(tree.LinkPath(from, u.Region), tree.KeyLatency)
 		}
 	}
-	near := make([]string, 0, len(latency))
+	byLatency := make([]string, 0, len(latency))
 	for r := range latency {
-		near = append(near, r)
+		byLatency = append(byLatency, r)
 	}
-	slices.SortFunc(near, func(a, b string) int { return cmp.Or(cmp.Compare(latency[a], latency[b]), cmp.Compare(a, b)) })
-	for _, r := range near[:min(maxOverflow, len(near))] {
-		in[r] = true
+	slices.SortFunc(byLatency, func(a, b string) int { return cmp.Or(cmp.Compare(latency[a], latency[b]), cmp.Compare(a, b)) })
+	for _, r := range byLatency[:min(maxOverflow, len(byLatency))] {
+		reachable[r] = true
 	}
 	for s := range services {
 		for _, r := range t.List(tree.ServicePath(s)+"/regions/"+from, tree.KeyOverflow) {
-			in[r] = true
+			reachable[r] = true
 		}
 	}
 	for _, m := range t.Moves() {
-		in[m.To] = in[m.To] || m.From == from
+		reachable[m.To] = reachable[m.To] || m.From == from
 	}
-	return in
+	return reachable
 }
--- a/internal/model/reachable_test.go
+++ b/internal/model/reachable_test.go
@@ -33,9 +33,9 @@
 	}
 }
 
-func TestPlaces(t *testing.T) {
+func TestOnePerServiceRegion(t *testing.T) {
 	list := Directory{Upstreams: []Upstream{{ID: "a", Service: "s", Region: "r"}, {ID: "b", Service: "s", Region: "r"}, {ID: "c", Service: "s", Region: "q"}}}
 	if got := len(OnePerServiceRegion(list).Upstreams); got != 2 {
-		t.Errorf("%d places, want 2", got)
+		t.Errorf("%d upstreams, want 2", got)
 	}
 }
--- a/internal/model/route.go
+++ b/internal/model/route.go
@@ -8,39 +8,39 @@
 	"time"
 )
 
-// Route says which service takes the requests of a host and path, and how they
-// are to be served.
+// Route selects requests by host and path prefix, and holds their service, limits and
+// retry rules.
 type Route struct {
 	Name string
-	// Host and Prefix select the requests; the longest prefix of a host wins.
+	// Host and Prefix select the requests; the longest matching prefix of a host wins.
 	Host   string
 	Prefix string
-	// Services are the services that share the requests. There is at least one.
+	// Services are the services that share the requests by weight. There is at least one.
 	Services []WeightedService
 	// Idempotent is set if a request may run more than once.
 	Idempotent bool
-	// Timeout is the longest time that a request may take; 0 means no bound but
-	// the caller's own.
+	// Timeout is the longest time that a request may take; 0 means that only the
+	// caller's own deadline applies.
 	Timeout time.Duration
-	// Objective is the latency within which an answer has its full worth.
+	// Objective is the latency objective: a response is of full value up to it.
 	Objective time.Duration
-	// Attempts is how many upstreams one request may be sent to.
+	// Attempts is the largest number of upstreams to which one request may be sent.
 	Attempts int
 	// Priority is the rank of the requests; 0 is the most urgent.
 	Priority int
-	// Affinity is set if an upstream serves an object faster that it has served
-	// not long ago.
+	// Affinity is set if upstreams serve an object faster when they have served it
+	// recently.
 	Affinity bool
-	// Regions are those that may serve the requests; empty means all.
+	// Regions are the regions that may serve the requests; empty means all.
 	Regions []string
-	// AllowAnonymous is set if a request needs no key.
+	// AllowAnonymous is set if requests need no key.
 	AllowAnonymous bool
 }
 
-// WeightedService is one service's share of a route.
+// WeightedService is a service with its share of the requests of a route.
 type WeightedService struct {
 	Service string
-	// Weight is relative to the other parts of the route.
+	// Weight is relative to the weights of the route's other services.
 	Weight float64
 }
 
@@ -49,12 +49,13 @@
 	return len(r.Regions) == 0 || slices.Contains(r.Regions, region)
 }
 
-// Routes finds the route of a request. It is immutable.
+// Routes is the table in which requests find their route. It is immutable.
 type Routes struct {
+	// byHost has the routes of each host in lower case, longest prefix first.
 	byHost map[string][]*Route
 }
 
-// NewRoutes returns a table of routes.
+// NewRoutes returns the table of a list of routes.
 func NewRoutes(routes []*Route) *Routes {
 	t := &Routes{byHost: make(map[string][]*Route)}
 	for _, r := range routes {
@@ -70,7 +71,7 @@
 }
 
 // Match returns the route of a request by its host, with or without a port, and
-// its path, or nil if there is none.
+// its path, or nil if no route matches.
 func (t *Routes) Match(host, path string) *Route {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
@@ -83,9 +84,10 @@
 	return nil
 }
 
-// ServingRegions returns the regions that may serve the requests of a host: those that all of its
-// routes allow which do not allow every region, or if they have none in common those that any
-// of them allows. It is empty if every route allows every region.
+// ServingRegions returns the regions, sorted by name, that may serve the requests of a host.
+// Of the host's routes that are restricted to some regions it returns the regions common to
+// all, or, if there are none in common, the regions of any. The result is empty if no route
+// of the host is restricted.
 func (t *Routes) ServingRegions(host string) []string {
 	var all, common []string
 	first := true
@@ -107,60 +109,62 @@
 	return slices.Compact(slices.Sorted(slices.Values(common)))
 }
 
-// Config is one whole version of a routed configuration.
+// Config is a complete version of a routed configuration.
 type Config struct {
-	// Version orders the configurations; a larger one is newer.
+	// Version increases with each version of the configuration.
 	Version  uint64
 	Routes   []*Route
 	Services map[string]ServiceConfig
 	Limits   Limits
-	// Organisations are those whose keys requests must carry; nil if none are needed.
+	// Organisations are the organisations whose keys requests must carry; nil if
+	// requests need no key.
 	Organisations *Organisations
 }
 
-// ServiceConfig is what a routed configuration says of a service.
+// ServiceConfig holds the settings of a service in a routed configuration.
 type ServiceConfig struct {
-	// HealthPath is where an upstream answers for its health.
+	// HealthPath is the HTTP path of the upstreams' health check.
 	HealthPath string
-	// MaxConnections is how many connections an upstream takes from all callers.
+	// MaxConnections is the largest number of connections that an upstream accepts
+	// from all clients together.
 	MaxConnections int
-	// Warmup is how long an upstream stays cold after a start.
+	// Warmup is the time for which an upstream is cold after its start.
 	Warmup time.Duration
-	// WarmupRate is how many requests per second a cold upstream bears.
+	// WarmupRate is the number of requests per second that a cold upstream can serve.
 	WarmupRate float64
 }
 
-// Limits bound what callers may send.
+// Limits bounds what callers may send.
 type Limits struct {
-	// MaxBody is the largest body in bytes; 0 means no bound.
+	// MaxBody is the largest request body in bytes; 0 means no limit.
 	MaxBody int64
 }
 
-// RoutedInput is what the snapshot of a routed configuration is compiled from.
+// RoutedInput holds the state from which CompileRouted makes a Snapshot.
 type RoutedInput struct {
-	// Self is the id of the own instance, Region its region.
+	// Self is the id of the own instance, Region the region of the instance.
 	Self   string
 	Region string
 	Config *Config
-	// Routes are those of Config; nil has them made.
+	// Routes is the table of Config.Routes; if nil, CompileRouted makes it.
 	Routes    *Routes
 	Upstreams []Upstream
 	Drains    []Drain
 	Members   []Member
-	// RetryBudget is how many retries each request earns, and RetryBurst how
-	// many may be made at once, over all entries together.
+	// RetryBudget is the number of retries that each request adds to the budget, and
+	// RetryBurst the number that all entries together may make at once.
 	RetryBudget float64
 	RetryBurst  float64
-	// ColdBurst is how many requests beyond its rate a cold upstream may get in
-	// one second from all entries together, and ColdFactor what its rate is
-	// multiplied by for that bound.
+	// All entries together may send a cold upstream ColdFactor times its WarmupRate
+	// plus ColdBurst requests in one second.
 	ColdBurst  float64
 	ColdFactor float64
-	// LimitSlack is how many requests of an organisation may run beyond its limit.
+	// LimitSlack is the number of requests of an organisation that may run beyond its limit.
 	LimitSlack float64
 }
 
-// CompileRouted returns the snapshot of a routed configuration.
+// CompileRouted returns the snapshot of a routed configuration. Overflow of each
+// service lists all other regions by name.
 func CompileRouted(in RoutedInput) *Snapshot {
 	if in.Routes == nil {
 		in.Routes = NewRoutes(in.Config.Routes)
@@ -197,24 +201,26 @@
 	return s
 }
 
-// weakShare is the part of the retries that the members which carry few requests may make
-// together. They carry some while those that callers are told of are lost.
-const weakShare = 0.25
+// unadvertisedShare is the part of the retries that the members which look-ups do not
+// return may make together. They serve requests while advertised members are lost.
+const unadvertisedShare = 0.25
 
-// retryBurst is the part of a member in the retries that all may make at once.
-func retryBurst(in RoutedInput, carriers []Member) float64 {
-	weak := len(in.Members) - len(carriers)
-	isCarrier := slices.ContainsFunc(carriers, func(m Member) bool { return m.ID == in.Self })
+// retryBurst returns the own member's part of in.RetryBurst.
+func retryBurst(in RoutedInput, advertised []Member) float64 {
+	unadvertised := len(in.Members) - len(advertised)
+	selfAdvertised := slices.ContainsFunc(advertised, func(m Member) bool { return m.ID == in.Self })
 	switch {
-	case weak == 0:
-		return in.RetryBurst / float64(max(1, len(carriers)))
-	case isCarrier:
-		return in.RetryBurst * (1 - weakShare) / float64(len(carriers))
+	case unadvertised == 0:
+		return in.RetryBurst / float64(max(1, len(advertised)))
+	case selfAdvertised:
+		return in.RetryBurst * (1 - unadvertisedShare) / float64(len(advertised))
 	}
-	return in.RetryBurst * weakShare / float64(weak)
+	return in.RetryBurst * unadvertisedShare / float64(unadvertised)
 }
 
-func routedService(name string, c ServiceConfig, in RoutedInput, carriers []Member) *Service {
+// routedService returns a service of a routed configuration without its upstreams and
+// overflow regions.
+func routedService(name string, c ServiceConfig, in RoutedInput, advertised []Member) *Service {
 	return &Service{
 		Name:           name,
 		HealthPath:     c.HealthPath,
@@ -222,7 +228,7 @@
 		Warmup:         c.Warmup,
 		ColdRate:       c.WarmupRate*in.ColdFactor + in.ColdBurst,
 		RetryBudget:    in.RetryBudget,
-		RetryBurst:     retryBurst(in, carriers),
+		RetryBurst:     retryBurst(in, advertised),
 		Routed:         true,
 	}
 }
--- a/test/ablate/table.go
+++ b/test/ablate/table.go
@@ -118,7 +118,7 @@
 	{"idle entries are told who is absent", "internal/inflight/exchange.go",
 		"x.tell(idle, toReporters,", "x.tell(nil, toReporters,", "./internal/inflight", "HubTellsWhoIsAbsent", nil},
 	{"strong members are named alone", "internal/model/capacity.go",
-		"if s >= alike {", "if s >= 0 {", "./internal/route", "StrongMembers", nil},
+		"if c >= highCapacityRatio {", "if c >= 0 {", "./internal/route", "HighCapacityMembers", nil},
 	{"cold upstreams come last", "internal/balance/affinity.go",
 		"return g.cold(c.m, now) || c.rateWait(now) > 0", "return c.rateWait(now) > 0", pkgBalance, "JoiningUpstreams", nil},
 	{"nothing holds of an earlier life", "internal/balance/group.go",
