--- a/internal/route/blocks.go
+++ b/internal/route/blocks.go
@@ -1,8 +1,8 @@
-// Package route decides which entry instances a caller is told to use.
+// Package route selects the entry instances that a look-up returns to a caller.
 //
-// A caller's address falls into a block, the block names regions in order, and
-// weighted rendezvous hashing orders the entries of a region for that caller,
-// so that a change of weights or members moves only the callers that it must.
+// The caller's address belongs to an address block, the block lists regions in order of
+// preference, and weighted rendezvous hashing ranks the entries of a region for the
+// caller, so that a change of weights or members moves as few callers as possible.
 package route
 
 import (
@@ -13,27 +13,27 @@
 	"github.com/loomkeel/loomkeel/internal/tree"
 )
 
-// Blocks maps blocks of client addresses to regions. It is immutable.
+// Blocks maps blocks of caller addresses (prefixes) to lists of regions. It is immutable.
 type Blocks struct {
 	table bart.Table[*[]string]
-	// marks are the revisions of the paths that the table was built from.
-	marks map[string]uint64
+	// revisions has the revision of each settings path that the table was built from.
+	revisions map[string]uint64
 }
 
-// NewBlocks returns the table of a tree. It returns old itself if no block has
-// changed since old was built.
+// NewBlocks returns the table of the blocks in a settings tree. It returns old itself
+// if no block has changed since old was built.
 func NewBlocks(t *tree.Tree, old *Blocks) *Blocks {
-	marks := make(map[string]uint64)
+	revisions := make(map[string]uint64)
 	for _, p := range t.BlockPaths() {
-		marks[p] = t.Revision(p)
+		revisions[p] = t.Revision(p)
 	}
-	if old != nil && sameMarks(old.marks, marks) {
+	if old != nil && equalRevisions(old.revisions, revisions) {
 		return old
 	}
-	b := &Blocks{marks: marks}
-	// Few distinct lists of regions stand behind very many blocks.
+	b := &Blocks{revisions: revisions}
+	// Very many blocks share few distinct lists of regions; each list is kept once.
 	lists := make(map[string]*[]string)
-	for p := range marks {
+	for p := range revisions {
 		t.Blocks(p, func(prefix netip.Prefix, regions string) {
 			l := lists[regions]
 			if l == nil {
@@ -47,7 +47,8 @@
 	return b
 }
 
-func sameMarks(a, b map[string]uint64) bool {
+// equalRevisions reports whether two maps have the same paths with the same revisions.
+func equalRevisions(a, b map[string]uint64) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -59,8 +60,8 @@
 	return true
 }
 
-// Regions returns the regions of the longest block that holds an address, or
-// nil. The caller must not change the slice.
+// Regions returns the regions of the longest prefix that contains an address, or nil if
+// no block contains it. The returned slice must not be modified.
 func (b *Blocks) Regions(addr netip.Addr) []string {
 	l, ok := b.table.Lookup(addr.Unmap())
 	if !ok {
--- a/internal/route/lookup.go
+++ b/internal/route/lookup.go
@@ -12,16 +12,16 @@
 	"github.com/loomkeel/loomkeel/internal/tree"
 )
 
-// MaxEntries is how many entries an answer names at most.
+// MaxEntries is the largest number of entries in an answer.
 const MaxEntries = 3
 
-// leadTime is how long before an announced change answers get a short lifetime.
+// leadTime is the time before a scheduled change in which answers get a shorter lifetime.
 const leadTime = 5 * time.Minute
 
-// shortLifetime is the lifetime of answers given just before a change.
+// shortLifetime is the lifetime of answers just before a scheduled change.
 const shortLifetime = 2 * time.Second
 
-// Entry is one entry instance with its weight.
+// Entry is an entry instance with its weight.
 type Entry struct {
 	ID     string
 	Addr   string
@@ -30,22 +30,24 @@
 	hash   uint64
 }
 
-// Answer is what a caller is told: entries in order of preference. The array
-// keeps a look-up free of allocations.
+// Answer is the result of a look-up: N entries in order of preference. Entries is an
+// array so that a look-up allocates no memory.
 type Answer struct {
-	Entries  [MaxEntries]*Entry
-	N        int
+	Entries [MaxEntries]*Entry
+	N       int
+	// Lifetime is the time for which a caller may cache the answer.
 	Lifetime time.Duration
 	Revision uint64
 }
 
-// group is the entries of one failure domain, which have one weight.
+// group holds the entries of one failure domain of a region, which share a weight.
 type group struct {
 	domain  string
 	weight  float64
 	entries []Entry
 }
 
+// region holds the entries of a region by failure domain.
 type region struct {
 	name   string
 	groups []group
@@ -53,12 +55,15 @@
 
 // Table answers look-ups. It is immutable.
 type Table struct {
-	blocks   *Blocks
-	regions  map[string]*region
+	blocks  *Blocks
+	regions map[string]*region
+	// order lists all regions, nearest first.
 	order    []string
 	revision uint64
+	// services has the usual lifetime of answers for each service.
 	services map[string]time.Duration
-	changes  []time.Time
+	// changes are the start times of drains and moves.
+	changes []time.Time
 }
 
 // NewTable returns the table for a snapshot.
@@ -85,6 +90,8 @@
 	return t
 }
 
+// add adds the entry of a member. Members without an entry and members of failure domains
+// with weight 0 are skipped.
 func (t *Table) add(settings *tree.Tree, m membership.Member) {
 	if m.Entry == "" {
 		return
@@ -102,6 +109,8 @@
 	g.entries = append(g.entries, Entry{m.ID, m.Entry, m.Region, weight, xxhash.Sum64String(m.ID)})
 }
 
+// group returns the group of a failure domain, which it creates with the given weight if
+// there is none.
 func (r *region) group(domain string, weight float64) *group {
 	for i := range r.groups {
 		if r.groups[i].domain == domain {
@@ -118,9 +127,10 @@
 	return ok
 }
 
-// Lookup returns the entries for a caller. It names two entries of the caller's
-// first region that has any, and the rest from the regions after it, so that a
-// caller has where to go when its region is lost.
+// Lookup returns the entries for a caller: up to two of the caller's first region that
+// has entries, and one each of the regions after it, so that the caller can use another
+// region when its own is lost. The regions of the caller's block come first, then all
+// others by latency.
 func (t *Table) Lookup(service string, caller netip.Addr, now time.Time) Answer {
 	a := Answer{Revision: t.revision, Lifetime: t.lifetime(service, now)}
 	key := callerHash(caller)
@@ -137,8 +147,8 @@
 	return a
 }
 
-// fill adds the best entries of a region: up to two for the first region of an
-// answer, then one each.
+// fill adds the best entries of a region to an answer: up to two for the first region of
+// the answer, one for each later region.
 func (t *Table) fill(a *Answer, r *region, key uint64) {
 	if r == nil || a.N == MaxEntries || a.has(r.name) {
 		return
@@ -152,6 +162,7 @@
 	}
 }
 
+// has reports whether the answer has an entry of a region.
 func (a *Answer) has(region string) bool {
 	for _, e := range a.Entries[:a.N] {
 		if e.Region == region {
@@ -161,35 +172,35 @@
 	return false
 }
 
-// best returns the entry with the highest weighted rendezvous score, and the
-// best one of another failure domain, so that the two seldom fail together. In a
-// region of one failure domain the second is the next best there.
+// best returns the entry with the highest weighted rendezvous score for a caller's hash,
+// and the best entry of another failure domain, so that the two seldom fail together. In a
+// region of one failure domain the second is the entry with the next highest score.
 //
-// The score is -weight/ln(u) for u uniform in (0,1), which picks each entry in
+// The score is -weight/ln(u) for u uniform in (0,1), which selects each entry in
 // proportion to its weight (Schindelhauer and Schomaker, 2005). Inside a group,
 // where weights are equal, u itself gives the same order without a logarithm.
 func (r *region) best(key uint64) (first, second *Entry) {
 	top, next := math.Inf(-1), math.Inf(-1)
-	var runnerUp *Entry
+	var sameDomain *Entry
 	for i := range r.groups {
 		a, b, u := r.groups[i].best(key)
 		s := -r.groups[i].weight / math.Log(u)
 		switch {
 		case s > top:
 			second, next = first, top
-			first, top, runnerUp = a, s, b
+			first, top, sameDomain = a, s, b
 		case s > next:
 			second, next = a, s
 		}
 	}
 	if second == nil {
-		second = runnerUp
+		second = sameDomain
 	}
 	return first, second
 }
 
-// best returns the two entries with the largest hashes, and the largest as a
-// number in (0,1).
+// best returns the two entries with the largest hashes for a caller's hash, and the
+// largest hash scaled to (0,1).
 func (g *group) best(key uint64) (first, second *Entry, u float64) {
 	var top, next uint64
 	for i := range g.entries {
@@ -215,12 +226,15 @@
 	return x ^ x>>31
 }
 
+// callerHash returns the hash of a caller's address; an IPv4 address has the hash of its
+// IPv4-mapped IPv6 form.
 func callerHash(addr netip.Addr) uint64 {
 	b := addr.As16()
 	return xxhash.Sum64(b[:])
 }
 
-// lifetime is short ahead of an announced change, since callers cache answers.
+// lifetime returns the lifetime of an answer at the given time. Callers cache answers, so
+// that it shrinks ahead of a scheduled change.
 func (t *Table) lifetime(service string, now time.Time) time.Duration {
 	usual := t.services[service]
 	for _, at := range t.changes {
@@ -232,7 +246,7 @@
 	return usual
 }
 
-// TableDump is a Table for people to read.
+// TableDump is the content of a Table in the debug dump.
 type TableDump struct {
 	Revision uint64             `json:"revision"`
 	Blocks   int                `json:"blocks"`
@@ -240,7 +254,7 @@
 	Entries  map[string][]Entry `json:"entries"`
 }
 
-// Dump returns the table for people to read.
+// Dump returns the content of the table for the debug dump.
 func (t *Table) Dump() TableDump {
 	d := TableDump{Revision: t.revision, Blocks: t.blocks.Len(), Regions: t.order, Entries: make(map[string][]Entry)}
 	for name, r := range t.regions {
--- a/internal/route/nearest_test.go
+++ b/internal/route/nearest_test.go
@@ -21,19 +21,19 @@
 	}
 	for _, tt := range []struct {
 		name, region, domain string
-		homes                []string
+		servingRegions       []string
 		want                 string
 	}{
 		{"two in the domain", "muscat", "a", nil, "a1a2"},
 		{"one in the domain", "muscat", "b", nil, "a1a2b1"},
 		{"unknown domain", "muscat", "z", nil, "a1a2b1"},
 		{"none in the region", "salalah", "s", nil, "a1a2b1c1"},
-		{"none in the region, one at home", "salalah", "s", []string{"sohar"}, "c1"},
-		{"none in the region nor at home", "salalah", "s", []string{"nizwa"}, "a1a2b1c1"},
-		{"the own region though it is no home", "muscat", "b", []string{"sohar"}, "a1a2b1"},
+		{"none in the region, one in the serving regions", "salalah", "s", []string{"sohar"}, "c1"},
+		{"none in the region nor in the serving regions", "salalah", "s", []string{"nizwa"}, "a1a2b1c1"},
+		{"the own region, which is not a serving region", "muscat", "b", []string{"sohar"}, "a1a2b1"},
 	} {
 		got := ""
-		for _, m := range Nearest(members, tt.region, tt.domain, func() []string { return tt.homes }) {
+		for _, m := range Nearest(members, tt.region, tt.domain, func() []string { return tt.servingRegions }) {
 			got += m.ID
 		}
 		if got != tt.want {
@@ -42,14 +42,15 @@
 	}
 }
 
-// TestStrongMembersAreNamedAlone has members of unlike links and processors in a domain.
-func TestStrongMembersAreNamedAlone(t *testing.T) {
-	fleet := func(strong, weak int) []model.Member {
+// TestHighCapacityMembersAreReturnedAlone has members of different link rates and numbers of
+// cores in a failure domain.
+func TestHighCapacityMembersAreReturnedAlone(t *testing.T) {
+	fleet := func(high, low int) []model.Member {
 		var out []model.Member
-		for i := range strong + weak {
-			m := model.Member{ID: "weak", Region: "m", Domain: "a", State: membership.Alive, Entry: "x", LinkMbps: 20, Cores: 0.16}
-			if i < strong {
-				m.ID, m.LinkMbps, m.Cores = "strong", 200, 0.8
+		for i := range high + low {
+			m := model.Member{ID: "low", Region: "m", Domain: "a", State: membership.Alive, Entry: "x", LinkMbps: 20, Cores: 0.16}
+			if i < high {
+				m.ID, m.LinkMbps, m.Cores = "high", 200, 0.8
 			}
 			out = append(out, m)
 		}
@@ -62,16 +63,16 @@
 		members []model.Member
 		want    int
 	}{
-		{"a third of the strength in three", fleet(3, 34), 3},
-		{"two that hold most", fleet(2, 10), 2},
-		{"one that holds most", fleet(1, 3), 4},
-		{"two that cannot carry the others", fleet(2, 60), 62},
-		{"all alike", fleet(0, 5), 5},
-		{"nothing told", []model.Member{{Region: "m", Domain: "a", State: membership.Alive, Entry: "x"}, {Region: "m", Domain: "a", State: membership.Alive, Entry: "y"}}, 2},
-		{"fast processor on a slow link", slowLink, 6},
+		{"three with more than a third of the capacity", fleet(3, 34), 3},
+		{"two with most of the capacity", fleet(2, 10), 2},
+		{"one with most of the capacity", fleet(1, 3), 4},
+		{"two with less than a third of the capacity", fleet(2, 60), 62},
+		{"equal capacities", fleet(0, 5), 5},
+		{"no capacities reported", []model.Member{{Region: "m", Domain: "a", State: membership.Alive, Entry: "x"}, {Region: "m", Domain: "a", State: membership.Alive, Entry: "y"}}, 2},
+		{"many cores on a slow link", slowLink, 6},
 	} {
 		if got := Nearest(tt.members, "m", "a", nil); len(got) != tt.want {
-			t.Errorf("%s: %d named, want %d", tt.name, len(got), tt.want)
+			t.Errorf("%s: %d members returned, want %d", tt.name, len(got), tt.want)
 		}
 	}
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -19,7 +19,8 @@
 	return netip.AddrFrom4([4]byte{byte(i >> 24), byte(i >> 16), byte(i >> 8), byte(i)})
 }
 
-// table has regions with a number of entries each, and the edits of a tree.
+// table returns a table of a number of regions with a number of entries each, with a
+// settings tree made by the edits.
 func table(t testing.TB, regions, perRegion int, edits ...tree.Edit) *Table {
 	t.Helper()
 	if faults := tree.CheckEdits(edits); len(faults) > 0 {
@@ -38,7 +39,7 @@
 	return NewTable(model.Compile(in), NewBlocks(in.Tree, nil))
 }
 
-func TestLookupFollowsTheBlock(t *testing.T) {
+func TestLookupReturnsRegionsOfBlock(t *testing.T) {
 	tb := table(t, 3, 4,
 		tree.Edit{Path: "/blocks/handhelds", Key: "10.0.0.0/8", Value: "r1"},
 		tree.Edit{Path: "/blocks/handhelds", Key: "10.9.0.0/16", Value: "r2,r1"},
@@ -68,7 +69,7 @@
 	}
 }
 
-func TestWeightsShareCallers(t *testing.T) {
+func TestCallersAreSpreadByWeight(t *testing.T) {
 	tb := table(t, 1, 4, tree.Edit{Path: "/regions/r0/domains/r0-a", Key: tree.KeyWeight, Value: "3"})
 	count := make(map[string]int)
 	const callers = 40_000
@@ -92,13 +93,14 @@
 		a := tb.Lookup("stock", addr(i), now)
 		x, y := a.Entries[0].ID, a.Entries[1].ID
 		if x[len(x)-1]%2 == y[len(y)-1]%2 {
-			t.Fatalf("caller %d is told %s and %s, of one failure domain", i, x, y)
+			t.Fatalf("caller %d gets %s and %s, which are in the same failure domain", i, x, y)
 		}
 	}
 }
 
-// TestFailureMovesOnlyItsCallers takes one entry out.
-func TestFailureMovesOnlyItsCallers(t *testing.T) {
+// TestRemovedEntryMovesOnlyItsCallers compares the look-ups before and after one entry is
+// removed.
+func TestRemovedEntryMovesOnlyItsCallers(t *testing.T) {
 	before, after := table(t, 1, 5), table(t, 1, 4)
 	for i := range uint32(2000) {
 		a, b := before.Lookup("stock", addr(i), now), after.Lookup("stock", addr(i), now)
@@ -108,7 +110,7 @@
 	}
 }
 
-func TestLifetimeIsShortAheadOfAChange(t *testing.T) {
+func TestLifetimeShrinksBeforeScheduledChange(t *testing.T) {
 	tb := table(t, 1, 2,
 		tree.Edit{Path: "/drains/d", Key: tree.KeyRegion, Value: "r0"},
 		tree.Edit{Path: "/drains/d", Key: tree.KeyStart, Value: now.Add(10 * time.Second).Format(time.RFC3339)},
@@ -116,27 +118,27 @@
 	tests := map[time.Duration]time.Duration{0: 5 * time.Second, 8 * time.Second: 2 * time.Second, time.Minute: 10 * time.Second}
 	for in, want := range tests {
 		if got := tb.Lookup("stock", addr(1), now.Add(in)).Lifetime; got != want {
-			t.Errorf("%v on: lifetime %v, want %v", in, got, want)
+			t.Errorf("after %v: lifetime %v, want %v", in, got, want)
 		}
 	}
 }
 
-func TestBlocksAreKeptUnlessChanged(t *testing.T) {
+func TestBlocksAreRebuiltOnlyOnChange(t *testing.T) {
 	var tr tree.Tree
 	t1 := tr.Apply([]tree.Edit{{Path: "/blocks/b", Key: "10.0.0.0/8", Value: "r1"}}, 1)
 	b1 := NewBlocks(t1, nil)
 	t2 := t1.Apply([]tree.Edit{{Path: "/services/s", Key: tree.KeyDeadline, Value: "2s"}}, 2)
 	if NewBlocks(t2, b1) != b1 {
-		t.Error("table was built anew for another change")
+		t.Error("table was rebuilt by a change that touches no block")
 	}
 	t3 := t2.Apply([]tree.Edit{{Path: "/blocks/b", Key: "10.0.0.0/8", Unset: true}}, 3)
 	if b3 := NewBlocks(t3, b1); b3.Len() != 0 {
-		t.Errorf("%d blocks after the last was unset", b3.Len())
+		t.Errorf("%d blocks after the only block was unset", b3.Len())
 	}
 }
 
-// BenchmarkLookup answers look-ups at the size to design for: 370,000 blocks,
-// 49 regions, 3,200 entries.
+// BenchmarkLookup measures look-ups at design size: 370,000 blocks, 49 regions and
+// 3,200 entries.
 func BenchmarkLookup(b *testing.B) {
 	const blocks, regions, perRegion = 370_000, 49, 65
 	edits := make([]tree.Edit, blocks)
@@ -162,7 +164,7 @@
 			for i := 0; b.Loop(); i++ {
 				a := tb.Lookup("stock", callers[i&(1<<16-1)], now)
 				if a.N == 0 {
-					b.Fatal("no entry")
+					b.Fatal("look-up returned no entry")
 				}
 			}
 		})
