--- a/internal/inflight/claim.go
+++ b/internal/inflight/claim.go
@@ -8,7 +8,7 @@
 	"github.com/loomkeel/loomkeel/internal/poison"
 )
 
-// Fields of the encoding of a poison.Claim.
+// Field numbers of the encoding of a poison.Claim, a protobuf message.
 const (
 	fieldKey      = 1
 	fieldHead     = 2
@@ -20,55 +20,57 @@
 )
 
 const (
-	// maxClaims is how many Claims one report has, so that it fits a datagram; one takes up
-	// to 68 bytes.
+	// maxClaims is the largest number of Claims in one report, so that the report fits a
+	// datagram; a Claim takes up to 68 bytes.
 	maxClaims = 20
-	// claimsPerRound is how many Claims are told in one far period. With a hundred requests
-	// that end upstreams, which have two keys each, each is told within 2 s.
+	// claimsPerRound is the number of Claims sent in one remotePeriod. With a hundred
+	// requests that crash upstreams, each of which has two keys, every Claim is sent
+	// within 2 s.
 	claimsPerRound = 3 * maxClaims
-	// maxClaimCrashes bounds the crashes that are taken from one Claim.
+	// maxClaimCrashes bounds the crashes accepted from one Claim.
 	maxClaimCrashes = 8
-	// maxClaimTime bounds the times of a Claim in milliseconds.
+	// maxClaimTime bounds the times of a Claim, in milliseconds.
 	maxClaimTime = 2 * 60 * 60 * 1000
 )
 
-// appendClaim adds the encoding of a Claim. Times are in whole milliseconds.
-func appendClaim(b []byte, w *poison.Claim) []byte {
+// appendClaim appends the encoding of a Claim. Times are encoded in whole milliseconds.
+func appendClaim(b []byte, c *poison.Claim) []byte {
 	b = protowire.AppendTag(b, fieldKey, protowire.Fixed64Type)
-	b = protowire.AppendFixed64(b, uint64(w.Key))
-	if w.Head != w.Key {
+	b = protowire.AppendFixed64(b, uint64(c.Key))
+	if c.Head != c.Key {
 		b = protowire.AppendTag(b, fieldHead, protowire.Fixed64Type)
-		b = protowire.AppendFixed64(b, uint64(w.Head))
+		b = protowire.AppendFixed64(b, uint64(c.Head))
 	}
 	b = protowire.AppendTag(b, fieldSource, protowire.Fixed32Type)
-	b = protowire.AppendFixed32(b, w.Source)
-	if len(w.Crashes) > 0 {
+	b = protowire.AppendFixed32(b, c.Source)
+	if len(c.Crashes) > 0 {
 		var crashes []byte
-		for _, s := range w.Crashes {
+		for _, s := range c.Crashes {
 			crashes = protowire.AppendFixed32(crashes, s.Upstream)
 			crashes = protowire.AppendVarint(crashes, millis(s.Age))
 		}
 		b = protowire.AppendTag(b, fieldCrashes, protowire.BytesType)
 		b = protowire.AppendBytes(b, crashes)
 	}
-	if w.HeldLeft > 0 {
+	if c.HeldLeft > 0 {
 		b = protowire.AppendTag(b, fieldHeldLeft, protowire.VarintType)
-		b = protowire.AppendVarint(b, millis(w.HeldLeft))
+		b = protowire.AppendVarint(b, millis(c.HeldLeft))
 		b = protowire.AppendTag(b, fieldHeldAge, protowire.VarintType)
-		b = protowire.AppendVarint(b, millis(w.HeldAge))
+		b = protowire.AppendVarint(b, millis(c.HeldAge))
 	}
-	if w.Answered {
+	if c.Answered {
 		b = protowire.AppendTag(b, fieldAnswered, protowire.VarintType)
-		b = protowire.AppendVarint(b, millis(w.AnsweredAge))
+		b = protowire.AppendVarint(b, millis(c.AnsweredAge))
 	}
 	return b
 }
 
+// millis returns a duration in milliseconds, limited to the range 0 to maxClaimTime.
 func millis(d time.Duration) uint64 { return uint64(max(0, min(d.Milliseconds(), maxClaimTime))) }
 
-// decodeClaim reads what appendClaim wrote. Unknown fields are passed over.
+// decodeClaim decodes the output of appendClaim. Unknown fields are skipped.
 func decodeClaim(b []byte) (poison.Claim, error) {
-	var w poison.Claim
+	var c poison.Claim
 	var key, head, heldLeft, heldAge, answered uint64
 	var crashes []byte
 	hasHead := false
@@ -80,7 +82,7 @@
 			head, n = protowire.ConsumeFixed64(b)
 			hasHead = true
 		case field == fieldSource && kind == protowire.Fixed32Type:
-			w.Source, n = protowire.ConsumeFixed32(b)
+			c.Source, n = protowire.ConsumeFixed32(b)
 		case field == fieldCrashes && kind == protowire.BytesType:
 			crashes, n = protowire.ConsumeBytes(b)
 		case field == fieldHeldLeft && kind == protowire.VarintType:
@@ -89,28 +91,30 @@
 			heldAge, n = protowire.ConsumeVarint(b)
 		case field == fieldAnswered && kind == protowire.VarintType:
 			answered, n = protowire.ConsumeVarint(b)
-			w.Answered = true
+			c.Answered = true
 		default:
 			n = protowire.ConsumeFieldValue(field, kind, b)
 		}
 		return n
 	})
 	if err != nil {
-		return w, err
+		return c, err
 	}
 	if heldLeft > maxClaimTime || heldAge > maxClaimTime || answered > maxClaimTime {
-		return w, errMalformed
+		return c, errMalformed
 	}
-	w.Key, w.Head = poison.Key(key), poison.Key(key)
+	c.Key, c.Head = poison.Key(key), poison.Key(key)
 	if hasHead {
-		w.Head = poison.Key(head)
+		c.Head = poison.Key(head)
 	}
-	w.HeldLeft, w.HeldAge = time.Duration(heldLeft)*time.Millisecond, time.Duration(heldAge)*time.Millisecond
-	w.AnsweredAge = time.Duration(answered) * time.Millisecond
-	return w, decodeCrashes(crashes, &w)
+	c.HeldLeft, c.HeldAge = time.Duration(heldLeft)*time.Millisecond, time.Duration(heldAge)*time.Millisecond
+	c.AnsweredAge = time.Duration(answered) * time.Millisecond
+	return c, decodeCrashes(crashes, &c)
 }
 
-func decodeCrashes(b []byte, w *poison.Claim) error {
+// decodeCrashes decodes the crashes of a Claim into c.Crashes. It fails on more than
+// maxClaimCrashes crashes.
+func decodeCrashes(b []byte, c *poison.Claim) error {
 	var upstream uint32
 	var age [1]uint64
 	var err error
@@ -121,10 +125,10 @@
 		if b, err = consumeVarints(b, age[:]); err != nil {
 			return err
 		}
-		if age[0] > maxClaimTime || len(w.Crashes) == maxClaimCrashes {
+		if age[0] > maxClaimTime || len(c.Crashes) == maxClaimCrashes {
 			return errMalformed
 		}
-		w.Crashes = append(w.Crashes, poison.Crash{Upstream: upstream, Age: time.Duration(age[0]) * time.Millisecond})
+		c.Crashes = append(c.Crashes, poison.Crash{Upstream: upstream, Age: time.Duration(age[0]) * time.Millisecond})
 	}
 	return nil
 }
--- a/internal/inflight/claim_bench_test.go
+++ b/internal/inflight/claim_bench_test.go
@@ -9,9 +9,9 @@
 	"github.com/loomkeel/loomkeel/internal/poison"
 )
 
-// BenchmarkClaims is what an entry pays in each round for a number of requests that are
-// held, and the bytes in a second that it sends to each peer: those of its own claims,
-// or, as a hub, also those of two others about each.
+// BenchmarkClaims measures the cost of one round of Claims for a number of held requests, and
+// the bytes per second that an entry sends to each peer: its own Claims, or, as a hub, also
+// those of two other entries about each request.
 func BenchmarkClaims(b *testing.B) {
 	for _, n := range []int{0, 1, 100} {
 		for _, hub := range []bool{false, true} {
@@ -23,7 +23,7 @@
 					tr, now := heldTracker(n), t0
 					b.StartTimer()
 					for range 300 {
-						now = now.Add(farPeriod)
+						now = now.Add(remotePeriod)
 						rounds++
 						for claims := range slices.Chunk(tr.Claims(now, claimsPerRound, hub), maxClaims) {
 							r := Report{Entry: "edge-qurum-hall-10", Scope: ScopeNone, Last: allUpstreams, Claims: claims}
@@ -32,14 +32,15 @@
 					}
 				}
 				b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(rounds), "ns/round")
-				b.ReportMetric(float64(bytes)/float64(rounds)*float64(time.Second/farPeriod), "bytes/s")
+				b.ReportMetric(float64(bytes)/float64(rounds)*float64(time.Second/remotePeriod), "bytes/s")
 			})
 		}
 	}
 }
 
-// heldTracker holds a number of requests, under which upstreams ended here and at two
-// others. Each has the key of its caller and that of anyone.
+// heldTracker returns a tracker that holds a number of requests, each of which crashed an
+// upstream of this entry and of two others. Each request has two keys, with and without its
+// caller.
 func heldTracker(n int) *poison.Tracker {
 	tr := poison.NewTracker("self")
 	for i := range n {
--- a/internal/inflight/claim_test.go
+++ b/internal/inflight/claim_test.go
@@ -9,7 +9,7 @@
 	"github.com/loomkeel/loomkeel/internal/poison"
 )
 
-// longClaim is one that takes as many bytes as any does.
+// longClaim returns a Claim with an encoding of the largest size.
 func longClaim(i int) poison.Claim {
 	w := poison.Claim{
 		Key: 1<<63 + poison.Key(i), Head: 1<<62 + poison.Key(i), Source: 1 << 31,
@@ -21,7 +21,7 @@
 	return w
 }
 
-func TestClaimsAreReadBack(t *testing.T) {
+func TestClaimsRoundTrip(t *testing.T) {
 	want := Report{Entry: "edge-sohar-hall-12", Scope: ScopeNone, Incarnation: 1 << 41, Sequence: 1 << 30, Last: allUpstreams}
 	for i := range maxClaims {
 		want.Claims = append(want.Claims, longClaim(i))
@@ -29,7 +29,7 @@
 	want.Claims[3] = poison.Claim{Key: 5, Head: 5, Source: 6}
 	b := want.Append(nil)
 	if len(b) > maxDatagram {
-		t.Errorf("%d bytes", len(b))
+		t.Errorf("report has %d bytes, more than a datagram", len(b))
 	}
 	got, err := Decode(b)
 	if err != nil {
@@ -40,49 +40,49 @@
 	}
 }
 
-func TestBadClaimsAreRefused(t *testing.T) {
+func TestMalformedClaimsAreRefused(t *testing.T) {
 	bad := longClaim(0)
 	for len(bad.Crashes) <= maxClaimCrashes {
 		bad.Crashes = append(bad.Crashes, poison.Crash{})
 	}
 	r := Report{Entry: "e", Scope: ScopeNone, Last: allUpstreams, Claims: []poison.Claim{bad}}
 	if _, err := Decode(r.Append(nil)); err == nil {
-		t.Error("a claim with too many crashes is taken")
+		t.Error("a claim with too many crashes is accepted")
 	}
 	r.Claims = []poison.Claim{longClaim(0)}
 	whole := r.Append(nil)
 	for n := 1; n < 20; n++ {
 		if _, err := Decode(whole[:len(whole)-n]); err == nil {
-			t.Errorf("a report cut by %d bytes is taken", n)
+			t.Errorf("a report cut by %d bytes is accepted", n)
 		}
 	}
 }
 
-// TestAnEntrySpeaksForItselfAlone sends claims of other entries in a fleet without hubs,
-// and its own from an address that is not its own.
-func TestAnEntrySpeaksForItselfAlone(t *testing.T) {
-	heard := 0
+// TestClaimsInNameOfOthersAreRefused sends Claims of other entries in a fleet without hubs,
+// and a Claim of the sender itself from an address that is not the sender's.
+func TestClaimsInNameOfOthersAreRefused(t *testing.T) {
+	accepted := 0
 	peer := Peer{ID: "p", Address: netip.MustParseAddrPort("10.0.0.2:7200")}
 	x := &Exchange{hubs: newHubs("self"), presence: newPresence(), opt: Options{
 		Entry:           "self",
 		Fleet:           func() Fleet { return Fleet{Peers: []Peer{peer}} },
-		OnReport:        func(_ string, r *Report) { heard += len(r.Claims) },
+		OnReport:        func(_ string, r *Report) { accepted += len(r.Claims) },
 		OnUnknownSender: func(netip.AddrPort) {},
 	}}
 	claim := func(of string) poison.Claim { return poison.Claim{Key: 1, Head: 1, Source: poison.SourceOf(of)} }
-	x.take(&Report{Entry: "p", Scope: ScopeNone, Claims: []poison.Claim{claim("p"), claim("q"), claim("self")}}, peer.Address, t0)
-	if heard != 1 {
-		t.Errorf("%d claims taken, want its own", heard)
+	x.handleReport(&Report{Entry: "p", Scope: ScopeNone, Claims: []poison.Claim{claim("p"), claim("q"), claim("self")}}, peer.Address, t0)
+	if accepted != 1 {
+		t.Errorf("%d claims accepted, want the one of the sender", accepted)
 	}
-	x.take(&Report{Entry: "p", Scope: ScopeNone, Claims: []poison.Claim{claim("p")}}, netip.MustParseAddrPort("10.0.0.9:7200"), t0)
-	if heard != 1 {
-		t.Error("a report from another address is taken")
+	x.handleReport(&Report{Entry: "p", Scope: ScopeNone, Claims: []poison.Claim{claim("p")}}, netip.MustParseAddrPort("10.0.0.9:7200"), t0)
+	if accepted != 1 {
+		t.Error("a report from another address is accepted")
 	}
 }
 
-// TestClaimsReachAllThroughHubs has upstreams end under a request at entries of two failure
-// domains of a fleet that is too large for direct reports: all entries hold it, those that
-// carry nothing among them.
+// TestClaimsReachAllThroughHubs has a request crash upstreams of entries in two failure domains
+// of a fleet that is too large for direct reports. All entries hold the request then, including
+// idle entries.
 func TestClaimsReachAllThroughHubs(t *testing.T) {
 	const each = maxDirect/2 + 2
 	all := startFleet(t, each)
@@ -94,12 +94,12 @@
 	for i, at := range []int{1, each + 1, each + 2} {
 		all[at].tracker.Broke(time.Now(), keys, keys, uint32(i))
 	}
-	bound := time.Now().Add(untilBound)
+	bound := time.Now().Add(waitTimeout)
 	for _, e := range all {
 		for !e.tracker.Begin(time.Now(), keys).Held {
 			e.tracker.End(keys)
 			if time.Now().After(bound) {
-				t.Fatalf("not held at %s", e.peer.ID)
+				t.Fatalf("request is not held at %s", e.peer.ID)
 			}
 			time.Sleep(pollEvery)
 		}
--- a/internal/inflight/exchange.go
+++ b/internal/inflight/exchange.go
@@ -16,93 +16,96 @@
 )
 
 const (
-	// nearPeriod is the time between reports to peers of the own region, and
-	// farPeriod to others. An upstream with three slots gets a request every
-	// 50 ms to 100 ms.
-	nearPeriod = 100 * time.Millisecond
-	farPeriod  = 200 * time.Millisecond
-	// idlePeriod is the time between reports of an entry that carries few requests to its
-	// hub, and of the hub to it. Look-ups name few entries of a large fleet; the reports
-	// of the others cost most of what they did at all.
+	// localPeriod is the time between reports to peers of the own region, and
+	// remotePeriod to peers of other regions. An upstream with three slots gets a
+	// request every 50 ms to 100 ms.
+	localPeriod  = 100 * time.Millisecond
+	remotePeriod = 200 * time.Millisecond
+	// idlePeriod is the time between the reports of an entry with few requests to its hub,
+	// and of the hub to such an entry. Look-ups return few entries of a large fleet; sent
+	// more often, the reports of the other entries made up most of the work of these.
 	idlePeriod = 500 * time.Millisecond
-	// busyFor is how long an entry counts as busy after it last had many requests.
+	// busyFor is the time for which an entry counts as busy after Busy last returned true.
 	busyFor = 2 * time.Second
-	// absentFor is how long it is believed what a hub told of absent entries.
-	absentFor = 3 * idlePeriod
-	// maxDatagram is the largest report in bytes.
+	// absentLifetime is the time for which a hub's report of absent entries is used.
+	absentLifetime = 3 * idlePeriod
+	// maxDatagram is the largest encoded report in bytes.
 	maxDatagram = 1400
 )
 
-// Options sets up an Exchange.
+// Options configures an Exchange.
 type Options struct {
-	// Address is the own one, IP:PORT for UDP.
+	// Address is the local UDP address, IP:PORT.
 	Address string
-	// Entry and Incarnation go into the reports.
+	// Entry and Incarnation identify the own entry in its reports.
 	Entry       string
 	Incarnation uint64
-	// Fleet returns the other entries.
+	// Fleet returns the other entries and the hubs among them.
 	Fleet func() Fleet
-	// Counts returns what to report.
+	// Counts returns the requests in flight to report.
 	Counts func(balance.Counted) []Count
-	// MaxConnIdle returns the MaxConnIdle and DoubtLeft of reports.
-	MaxConnIdle func() (rest, left time.Duration)
-	// Claims returns what to tell of requests under which upstreams ended, at most n Claims;
-	// nil means nothing. A hub also relays those of others.
+	// MaxConnIdle returns the values of Report.MaxConnIdle and Report.MaxConnIdleLeft.
+	MaxConnIdle func() (idle, left time.Duration)
+	// Claims returns up to n Claims to report about requests that crashed upstreams; nil
+	// means none. With relay set, on hubs, these include Claims of other entries.
 	Claims func(n int, relay bool) []poison.Claim
-	// Limits has the use of organisations' limits; nil means that none is told.
+	// Limits holds the use of the organisations' limits; nil means that none is reported.
 	Limits Limits
-	// Rates has the limits that upstreams name; nil means that none is told.
+	// Rates holds the limits that upstreams announce; nil means that none is reported.
 	Rates Rates
-	// Leaving reports whether the own entry stops.
+	// Leaving reports whether the own entry is stopping.
 	Leaving func() bool
-	// Now is the clock; nil means time.Now.
+	// Now returns the current time; nil means time.Now.
 	Now func() time.Time
-	// Busy reports whether the own entry carries more than a few requests; nil means
+	// Busy reports whether the own entry serves more than a few requests; nil means
 	// always.
 	Busy func() bool
-	// OnReport takes in a report. Peer names whose requests it counts.
+	// OnReport is called with each report of requests in flight or of Claims. Peer is the
+	// name under which the counts of the report are kept; see peerNameOf.
 	OnReport func(peer string, r *Report)
-	// OnUnknownSender is told of reports by entries that are not in the fleet.
+	// OnUnknownSender is called for each report by an entry that is not in the fleet.
 	OnUnknownSender func(from netip.AddrPort)
 }
 
-// Exchange sends the own reports and receives those of others.
+// Exchange sends the reports of the own entry and receives the reports of others.
 //
-// In a small fleet every entry tells each other one. In a larger one each tells the
-// hub of its failure domain; hubs tell each other the sums of their domains, and
-// each of their domain the sum of all others.
+// In a small fleet every entry reports to every other entry. In a larger fleet each entry
+// reports to the hub of its failure domain; hubs send each other the sums of their domains,
+// and send each entry of their domain the sum of all other entries.
 type Exchange struct {
 	opt  Options
 	conn *net.UDPConn
 	seq  uint64
 	buf  []byte
 
-	// busyUntil is until when the own entry counts as busy, toldIdle when those that are
-	// idle were last told. Only the goroutine that sends uses them.
-	busyUntil time.Time
-	toldIdle  time.Time
-	// relays is set while this entry has a hub, also if others take it for theirs.
-	relays bool
-	// weight is that of the own entry in the limits.
+	// busyUntil is the time until which the own entry counts as busy, idleSentAt the time of
+	// the last report to idle entries. Only the sending goroutine uses them.
+	busyUntil  time.Time
+	idleSentAt time.Time
+	// hasHub is set while another entry is the hub of this one, even if some entries use
+	// this one as their hub.
+	hasHub bool
+	// weight is the own entry's weight in the limits; see weights.
 	weight int
-	// rateListeners are told of the limits of upstreams, changesTold is when they last were at
-	// once.
-	rateListeners []Peer
-	changesTold   time.Time
-	// started has the peers that were first heard in a new life and know no limits yet.
+	// ratePeers are the peers to which limits of upstreams are sent, changesSentAt is the
+	// time at which changed limits were last sent to them at once.
+	ratePeers     []Peer
+	changesSentAt time.Time
+	// started receives peers when a new incarnation is first seen. Such a peer has no limits yet.
 	started chan Peer
 
 	mu       sync.Mutex
 	hubs     *hubs
 	presence *presence
-	// absent are the hashes of the entries that the hub told to be absent at absentAt.
+	// absent are the hashes of the absent entries according to the last report of the hub,
+	// received at absentAt.
 	absent   []uint32
 	absentAt time.Time
-	// lives are the incarnations in which the peers were heard last.
-	lives map[string]uint64
+	// incarnations has the latest incarnation seen of each peer.
+	incarnations map[string]uint64
 }
 
-// Listen opens the socket.
+// Listen opens the UDP socket. It fails if the address is invalid or cannot be bound.
 func Listen(opt Options) (*Exchange, error) {
 	addr, err := netip.ParseAddrPort(opt.Address)
 	if err != nil {
@@ -121,11 +124,12 @@
 	if opt.Busy == nil {
 		opt.Busy = func() bool { return true }
 	}
-	return &Exchange{opt: opt, conn: conn, hubs: newHubs(opt.Entry), presence: newPresence(), lives: make(map[string]uint64), started: make(chan Peer, maxStarted)}, nil
+	return &Exchange{opt: opt, conn: conn, hubs: newHubs(opt.Entry), presence: newPresence(), incarnations: make(map[string]uint64), started: make(chan Peer, maxStarted)}, nil
 }
 
-// Absent returns the ids of the entries that stop or are silent. In a fleet with hubs an
-// entry hears from its hub which of its failure domain these are.
+// Absent returns the ids of the entries that are stopping or silent. In a fleet with hubs
+// the hub reports which entries of the own failure domain are absent; other domains are
+// not covered.
 func (x *Exchange) Absent(now time.Time) map[string]bool {
 	fleet := x.opt.Fleet()
 	x.mu.Lock()
@@ -133,33 +137,33 @@
 	if len(fleet.Peers) > maxDirect {
 		return x.absentByHub(fleet.HubCandidates, now)
 	}
-	x.presence.list(fleet.Peers, now)
-	return x.presence.absent(x.hubs.heard, now)
+	x.presence.setListed(fleet.Peers, now)
+	return x.presence.absent(x.hubs.lastReport, now)
 }
 
-// absentByHub returns the absent entries among those of the own failure domain: what the
-// hub told, and hubs that were given up. The caller holds the lock.
+// absentByHub returns the absent entries of the own failure domain: the entries that the
+// hub reported, and hubs that were given up. The caller holds x.mu.
 func (x *Exchange) absentByHub(domain []Peer, now time.Time) map[string]bool {
-	told := make(map[uint32]bool, len(x.absent))
-	if now.Sub(x.absentAt) < absentFor {
+	reported := make(map[uint32]bool, len(x.absent))
+	if now.Sub(x.absentAt) < absentLifetime {
 		for _, h := range x.absent {
-			told[h] = true
+			reported[h] = true
 		}
 	}
 	out := make(map[string]bool)
 	for _, p := range domain {
-		if at, avoided := x.hubs.avoided[p.ID]; told[poison.SourceOf(p.ID)] || avoided && now.Sub(at) < hubAvoid {
+		if at, avoided := x.hubs.avoidedAt[p.ID]; reported[poison.SourceOf(p.ID)] || avoided && now.Sub(at) < hubAvoidTime {
 			out[p.ID] = true
 		}
 	}
 	return out
 }
 
-// Run sends and receives until ctx ends.
+// Run sends and receives reports until ctx ends.
 func (x *Exchange) Run(ctx context.Context) {
 	go x.receive()
 	defer x.conn.Close()
-	period := nearPeriod
+	period := localPeriod
 	tick := time.NewTicker(period)
 	defer tick.Stop()
 	var urgent <-chan struct{}
@@ -169,13 +173,13 @@
 	for {
 		select {
 		case <-urgent:
-			x.urgentRates(x.opt.Now())
+			x.sendUrgentRates(x.opt.Now())
 			time.Sleep(urgentGap)
 		case p := <-x.started:
-			x.tellStarted(p)
+			x.sendRatesToStarted(p)
 		case <-tick.C:
 			now := x.opt.Now()
-			x.send(now)
+			x.sendDue(now)
 			if next := x.period(now); next != period {
 				period = next
 				tick.Reset(period)
@@ -186,30 +190,31 @@
 	}
 }
 
-// period is the time until the next report. In a small fleet all entries hear from each
-// other that they are there, so that none goes idle.
+// period returns the time until the next report. In a small fleet no entry uses idlePeriod,
+// because the presence of each entry is detected by its reports; nor does an entry to which
+// others report.
 func (x *Exchange) period(now time.Time) time.Duration {
 	if len(x.opt.Fleet().Peers) <= maxDirect || !x.idle(now) {
-		return nearPeriod
+		return localPeriod
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if len(x.hubs.reporters) > 0 {
-		return nearPeriod
+		return localPeriod
 	}
 	return idlePeriod
 }
 
-// idle reports whether the entry has had few requests or none for a while.
+// idle reports whether the entry has served few requests or none for busyFor.
 func (x *Exchange) idle(now time.Time) bool { return !now.Before(x.busyUntil) }
 
-// send tells whoever is due.
-func (x *Exchange) send(now time.Time) {
+// sendDue sends the reports that are due.
+func (x *Exchange) sendDue(now time.Time) {
 	x.seq++
 	if x.opt.Busy() {
 		if x.idle(now) {
 			x.mu.Lock()
-			x.hubs.expect(now)
+			x.hubs.restartTimeout(now)
 			x.mu.Unlock()
 		}
 		x.busyUntil = now.Add(busyFor)
@@ -217,67 +222,68 @@
 	fleet := x.opt.Fleet()
 	switch {
 	case len(fleet.Peers) == 0:
-		x.useToAll(fleet, now)
+		x.sendUsesToAll(fleet, now)
 	case len(fleet.Peers) <= maxDirect:
-		x.tell(fleet.Peers, Report{Scope: ScopeOwn}, balance.Counted{Own: true})
-		x.tellClaims(fleet.Peers, false)
-		x.periodicRates(fleet, fleet.Peers)
-		x.useToAll(fleet, now)
+		x.sendReport(fleet.Peers, Report{Scope: ScopeOwn}, balance.Counted{Own: true})
+		x.sendClaims(fleet.Peers, false)
+		x.sendPeriodicRates(fleet, fleet.Peers)
+		x.sendUsesToAll(fleet, now)
 	default:
 		x.sendByHubs(fleet, now)
 	}
 }
 
-// sendByHubs tells the hub of the own failure domain, or what a hub tells. An entry
-// to which others report works as their hub even if it would choose another itself:
-// they have given that one up.
+// sendByHubs sends the reports of a fleet with hubs: to the hub of the own failure domain,
+// or, as a hub, to the entries that report to this one and to the other hubs. An entry to
+// which others report acts as their hub even if it would choose another hub itself: they
+// have given that hub up.
 func (x *Exchange) sendByHubs(fleet Fleet, now time.Time) {
-	silence := hubSilence
+	timeout := hubTimeout
 	if x.idle(now) {
-		silence = idleHubSilence
+		timeout = idleHubTimeout
 	}
 	x.mu.Lock()
-	hub := x.hubs.pick(fleet.HubCandidates, silence, now)
-	busy, idle := x.hubs.reporting(now)
-	absent := x.absentOf(fleet.HubCandidates, now)
+	hub := x.hubs.pick(fleet.HubCandidates, timeout, now)
+	busy, idle := x.hubs.activeReporters(now)
+	absent := x.absentInDomain(fleet.HubCandidates, now)
 	remote := make([]Peer, len(fleet.RemoteHubs))
 	for i, c := range fleet.RemoteHubs {
-		remote[i] = x.hubs.speaker(c, now)
+		remote[i] = x.hubs.remoteHub(c, now)
 	}
 	x.mu.Unlock()
 	isHub := hub.ID == x.opt.Entry
-	x.useByHubs(fleet, hub, busy, idle, remote, now)
+	x.sendUsesByHubs(fleet, hub, busy, idle, remote, now)
 	if !isHub {
-		x.tell([]Peer{hub}, Report{Scope: ScopeOwn, Idle: x.idle(now)}, balance.Counted{Own: true})
+		x.sendReport([]Peer{hub}, Report{Scope: ScopeOwn, Idle: x.idle(now)}, balance.Counted{Own: true})
 	}
 	toReporters := Report{Scope: ScopeOthers, Absent: absent}
 	for _, p := range busy {
-		x.tell([]Peer{p}, toReporters, balance.Counted{Own: true, Peers: func(peer string) bool { return peer != p.ID && peer != others }})
+		x.sendReport([]Peer{p}, toReporters, balance.Counted{Own: true, Peers: func(peer string) bool { return peer != p.ID && peer != allOthers }})
 	}
-	if len(idle) > 0 && now.Sub(x.toldIdle) >= idlePeriod-nearPeriod/2 {
-		// They have little use for the loads of upstreams: once they carry more requests
-		// they are told all within a period.
-		x.toldIdle = now
-		x.tell(idle, toReporters, balance.Counted{})
+	if len(idle) > 0 && now.Sub(x.idleSentAt) >= idlePeriod-localPeriod/2 {
+		// Idle entries have little use for the loads of upstreams. An entry that becomes
+		// busy gets all counts within one period.
+		x.idleSentAt = now
+		x.sendReport(idle, toReporters, balance.Counted{})
 	}
-	x.periodicRates(fleet, listenersByHubs(x.opt.Entry, hub, busy, idle, remote))
+	x.sendPeriodicRates(fleet, ratePeersByHubs(x.opt.Entry, hub, busy, idle, remote))
 	if !isHub && len(busy)+len(idle) == 0 {
-		x.tellClaims([]Peer{hub}, false)
+		x.sendClaims([]Peer{hub}, false)
 	}
 	if isHub || len(busy)+len(idle) > 0 {
-		x.tellClaims(slices.Concat(busy, idle, remote), true)
+		x.sendClaims(slices.Concat(busy, idle, remote), true)
 		from := make(map[string]bool, len(busy)+len(idle))
 		for _, p := range append(busy, idle...) {
 			from[p.ID] = true
 		}
-		x.tell(remote, Report{Scope: ScopeDomain}, balance.Counted{Own: isHub, Peers: func(peer string) bool { return from[peer] }})
+		x.sendReport(remote, Report{Scope: ScopeDomain}, balance.Counted{Own: isHub, Peers: func(peer string) bool { return from[peer] }})
 	}
 }
 
-// absentOf returns the hashes of the absent entries of the own failure domain: those that
-// this entry, as their hub, does not hear, and those that said that they stop. The
-// caller holds the lock.
-func (x *Exchange) absentOf(domain []Peer, now time.Time) []uint32 {
+// absentInDomain returns the hashes of the absent entries of the own failure domain: the
+// entries without a recent report to this entry, their hub, and the entries that announced
+// that they stop. The caller holds x.mu.
+func (x *Exchange) absentInDomain(domain []Peer, now time.Time) []uint32 {
 	silent := x.hubs.absent(domain, now)
 	var out []uint32
 	for _, p := range domain {
@@ -291,24 +297,24 @@
 	return out
 }
 
-// tell sends one report, with the counts of whose requests it is about, to the peers that
-// are due for it. A datagram that cannot be sent is as good as lost.
-func (x *Exchange) tell(peers []Peer, whole Report, whose balance.Counted) {
-	far := x.farDue()
+// sendReport sends a report to those of the peers that are due for one, with the counts
+// that counted selects. Send errors are ignored, as a later report replaces a lost one.
+func (x *Exchange) sendReport(peers []Peer, template Report, counted balance.Counted) {
+	remoteDue := x.remoteDue()
 	due := make([]netip.AddrPort, 0, len(peers))
 	for _, p := range peers {
-		if p.SameRegion || far {
+		if p.SameRegion || remoteDue {
 			due = append(due, p.Address)
 		}
 	}
 	if len(due) == 0 {
 		return
 	}
-	whole.Entry, whole.Incarnation, whole.Sequence = x.opt.Entry, x.opt.Incarnation, x.seq
-	whole.Counts = x.opt.Counts(whose)
-	whole.Leaving = x.opt.Leaving()
-	whole.MaxConnIdle, whole.MaxConnIdleLeft = x.opt.MaxConnIdle()
-	for _, r := range whole.split() {
+	template.Entry, template.Incarnation, template.Sequence = x.opt.Entry, x.opt.Incarnation, x.seq
+	template.Counts = x.opt.Counts(counted)
+	template.Leaving = x.opt.Leaving()
+	template.MaxConnIdle, template.MaxConnIdleLeft = x.opt.MaxConnIdle()
+	for _, r := range template.split() {
 		x.buf = r.Append(x.buf[:0])
 		for _, addr := range due {
 			_, _ = x.conn.WriteToUDPAddrPort(x.buf, addr)
@@ -316,11 +322,11 @@
 	}
 }
 
-// tellClaims tells of requests under which upstreams ended, in each far period. All peers
-// are told the same, near ones no more often: what there is to tell may need several
-// rounds, and no peer may miss one.
-func (x *Exchange) tellClaims(peers []Peer, relay bool) {
-	if !x.farDue() {
+// sendClaims sends Claims about requests that crashed upstreams, once in each remotePeriod.
+// Peers of the own region get them no more often than others: all Claims may need several
+// rounds, and every peer must be sent each of them.
+func (x *Exchange) sendClaims(peers []Peer, relay bool) {
+	if !x.remoteDue() {
 		return
 	}
 	for claims := range slices.Chunk(x.opt.Claims(claimsPerRound, relay), maxClaims) {
@@ -335,9 +341,10 @@
 	}
 }
 
-// farDue reports whether peers of other regions are told in this period.
-func (x *Exchange) farDue() bool { return x.seq%uint64(farPeriod/nearPeriod) == 0 }
+// remoteDue reports whether peers of other regions get a report in this period.
+func (x *Exchange) remoteDue() bool { return x.seq%uint64(remotePeriod/localPeriod) == 0 }
 
+// receive handles incoming reports until the socket is closed.
 func (x *Exchange) receive() {
 	buf := make([]byte, maxDatagram)
 	for {
@@ -353,26 +360,26 @@
 			klog.V(1).InfoS("report refused", "from", from, "err", err)
 			continue
 		}
-		x.take(r, from, x.opt.Now())
+		x.handleReport(r, from, x.opt.Now())
 	}
 }
 
-// others names, in Heard, all entries that a hub speaks for. Reports of one hub take
-// the place of those of the hub before. They are never passed on.
-const others = "*"
+// allOthers is the peer name, in OnReport, for the sum of all entries that a hub reports.
+// The reports of a new hub replace those of the previous hub. This sum is never passed on.
+const allOthers = "*"
 
-// take brings in a report of an entry that is known.
-func (x *Exchange) take(r *Report, from netip.AddrPort, now time.Time) {
+// handleReport handles a report if it was sent by a known entry from that entry's address.
+func (x *Exchange) handleReport(r *Report, from netip.AddrPort, now time.Time) {
 	fleet := x.opt.Fleet()
 	for _, p := range fleet.Peers {
 		if p.ID != r.Entry {
 			continue
 		}
 		if !sameAddress(p.Address, from) {
-			klog.V(1).InfoS("report refused: not from its entry's address", "entry", p.ID, "address", p.Address, "from", from)
+			klog.V(1).InfoS("report refused: sender address is not the entry's", "entry", p.ID, "address", p.Address, "from", from)
 			return
 		}
-		x.noteLife(p, r.Incarnation, fleet)
+		x.noteIncarnation(p, r.Incarnation, fleet)
 		if r.HasRates {
 			if x.opt.Rates != nil {
 				x.opt.Rates.HeardRates(r.Entry, r.Incarnation, r.Rates)
@@ -380,36 +387,37 @@
 			return
 		}
 		if r.HasUses {
-			x.takeUses(r, p, fleet, now)
+			x.handleUses(r, p, fleet, now)
 			return
 		}
 		if r.Scope == ScopeNone {
-			r.Claims = trusted(r, len(fleet.Peers) > maxDirect)
+			r.Claims = acceptedClaims(r, len(fleet.Peers) > maxDirect)
 			x.opt.OnReport(r.Entry, r)
 			return
 		}
 		x.mu.Lock()
-		x.hubs.take(p, r, now)
-		x.presence.take(p.ID, r.Leaving)
+		x.hubs.record(p, r, now)
+		x.presence.record(p.ID, r.Leaving)
 		if r.Scope == ScopeOthers {
 			x.absent, x.absentAt = r.Absent, now
 		}
 		x.mu.Unlock()
-		x.opt.OnReport(nameOf(r), r)
+		x.opt.OnReport(peerNameOf(r), r)
 		return
 	}
 	x.opt.OnUnknownSender(from)
 }
 
-// sameAddress compares addresses, of which one may be IPv4 written as IPv6.
+// sameAddress reports whether two addresses are equal, of which one may be an IPv4-mapped
+// IPv6 address.
 func sameAddress(a, b netip.AddrPort) bool {
 	return a.Port() == b.Port() && a.Addr().Unmap() == b.Addr().Unmap()
 }
 
-// trusted returns the Claims of a report that are taken from its sender: its own, and
-// where there are hubs also those that it relays. So one entry cannot speak for several
-// in a fleet in which each tells each other one.
-func trusted(r *Report, byHubs bool) []poison.Claim {
+// acceptedClaims returns the Claims of a report that its sender may report: the Claims of
+// the sender itself, and in a fleet with hubs also relayed ones. So in a fleet without hubs
+// no entry can send Claims in the name of others.
+func acceptedClaims(r *Report, byHubs bool) []poison.Claim {
 	if byHubs {
 		return r.Claims
 	}
@@ -417,14 +425,14 @@
 	return slices.DeleteFunc(r.Claims, func(w poison.Claim) bool { return w.Source != sender })
 }
 
-// nameOf names whose requests a report counts. An entry that is both a hub and a
-// peer has a name for each.
-func nameOf(r *Report) string {
+// peerNameOf returns the name under which the counts of a report are kept. An entry that is
+// both a hub and a direct peer has a name for each.
+func peerNameOf(r *Report) string {
 	switch r.Scope {
 	case ScopeOthers:
-		return others
+		return allOthers
 	case ScopeDomain:
-		return others + r.Entry
+		return allOthers + r.Entry
 	}
 	return r.Entry
 }
--- a/internal/inflight/hub_test.go
+++ b/internal/inflight/hub_test.go
@@ -13,8 +13,10 @@
 	"github.com/loomkeel/loomkeel/internal/poison"
 )
 
+// t0 is the start time of the tests that pass the time in.
 var t0 = time.Unix(1_800_000_000, 0)
 
+// candidates returns peers of one failure domain.
 func candidates(ids ...string) []Peer {
 	out := make([]Peer, len(ids))
 	for i, id := range ids {
@@ -29,52 +31,52 @@
 	at := func(d time.Duration) time.Time { return t0.Add(d) }
 	pick := func(d time.Duration, want string) {
 		t.Helper()
-		if got := h.pick(order, hubSilence, at(d)).ID; got != want {
+		if got := h.pick(order, hubTimeout, at(d)).ID; got != want {
 			t.Errorf("after %v: %s, want %s", d, got, want)
 		}
 	}
 	pick(0, "a")
-	pick(hubSilence-1, "a")
-	h.take(Peer{ID: "a"}, &Report{Scope: ScopeOthers}, at(hubSilence-1))
-	pick(hubSilence+1, "a")
-	pick(2*hubSilence, "b")
-	pick(3*hubSilence, "self")
-	pick(2*hubSilence+hubAvoid, "a")
+	pick(hubTimeout-1, "a")
+	h.record(Peer{ID: "a"}, &Report{Scope: ScopeOthers}, at(hubTimeout-1))
+	pick(hubTimeout+1, "a")
+	pick(2*hubTimeout, "b")
+	pick(3*hubTimeout, "self")
+	pick(2*hubTimeout+hubAvoidTime, "a")
 }
 
-func TestTheFirstCandidateIsItsOwnHub(t *testing.T) {
+func TestFirstCandidateIsItsOwnHub(t *testing.T) {
 	h := newHubs("self")
 	for i := range 20 {
-		if got := h.pick(candidates("self", "a"), hubSilence, t0.Add(time.Duration(i)*time.Second)).ID; got != "self" {
-			t.Errorf("second %d: %s", i, got)
+		if got := h.pick(candidates("self", "a"), hubTimeout, t0.Add(time.Duration(i)*time.Second)).ID; got != "self" {
+			t.Errorf("after %d s: hub is %s, want self", i, got)
 		}
 	}
 }
 
-func TestReportersAreForgotten(t *testing.T) {
+func TestReportersExpire(t *testing.T) {
 	h := newHubs("self")
-	h.take(Peer{ID: "a"}, &Report{Scope: ScopeOwn}, t0)
-	h.take(Peer{ID: "b"}, &Report{Scope: ScopeDomain}, t0)
-	if got, _ := h.reporting(t0.Add(reporterFresh - 1)); len(got) != 1 || got[0].ID != "a" {
+	h.record(Peer{ID: "a"}, &Report{Scope: ScopeOwn}, t0)
+	h.record(Peer{ID: "b"}, &Report{Scope: ScopeDomain}, t0)
+	if got, _ := h.activeReporters(t0.Add(reporterTimeout - 1)); len(got) != 1 || got[0].ID != "a" {
 		t.Errorf("%v", got)
 	}
-	if got, _ := h.reporting(t0.Add(reporterFresh)); len(got) != 0 {
+	if got, _ := h.activeReporters(t0.Add(reporterTimeout)); len(got) != 0 {
 		t.Errorf("%v", got)
 	}
 }
 
-// A hub that took over is answered, though the members still name the one before.
-func TestSpeakerIsWhoSpoke(t *testing.T) {
+// A hub that took over gets the reports even while the member list names its predecessor.
+func TestRemoteHubIsLastReporter(t *testing.T) {
 	h := newHubs("self")
 	first, second := Peer{ID: "a", Domain: "far"}, Peer{ID: "b", Domain: "far"}
-	if got := h.speaker(first, t0); got.ID != "a" {
+	if got := h.remoteHub(first, t0); got.ID != "a" {
 		t.Errorf("%v", got)
 	}
-	h.take(second, &Report{Scope: ScopeDomain}, t0)
-	if got := h.speaker(first, t0.Add(reporterFresh-1)); got.ID != "b" {
+	h.record(second, &Report{Scope: ScopeDomain}, t0)
+	if got := h.remoteHub(first, t0.Add(reporterTimeout-1)); got.ID != "b" {
 		t.Errorf("%v", got)
 	}
-	if got := h.speaker(first, t0.Add(reporterFresh)); got.ID != "a" {
+	if got := h.remoteHub(first, t0.Add(reporterTimeout)); got.ID != "a" {
 		t.Errorf("%v", got)
 	}
 }
@@ -100,67 +102,71 @@
 			}
 		}
 		if n := len(p.Append(nil)); n > maxDatagram {
-			t.Errorf("%d bytes", n)
+			t.Errorf("report has %d bytes, more than a datagram", n)
 		}
 		next = uint64(p.Last) + 1
 	}
 	if next != allUpstreams+1 || named != len(r.Counts) {
-		t.Errorf("parts end at %d and name %d of %d", next, named, len(r.Counts))
+		t.Errorf("parts end at %d and have %d of %d counts", next, named, len(r.Counts))
 	}
 }
 
-// entry is one of a fleet over loopback, with one request at one upstream.
+// entry is an entry of a fleet over loopback, with one request at one upstream.
 type entry struct {
 	peer Peer
 	stop context.CancelFunc
 	mu   sync.Mutex
-	// heard is what each peer was said to have at the upstream, heardAt when.
-	heard   map[string]int
-	heardAt map[string]time.Time
-	// gone are entries whose last reports may still arrive.
-	gone    map[string]bool
+	// reported has the requests at the upstream by the peer that reported them, reportedAt
+	// the times of the reports.
+	reported   map[string]int
+	reportedAt map[string]time.Time
+	// ignored are stopped entries, whose last reports may still arrive.
+	ignored map[string]bool
 	changed chan struct{}
-	// tracker is told what others say of requests that end upstreams.
+	// tracker gets the Claims that other entries report.
 	tracker *poison.Tracker
-	// idle is set if the entry carries no requests.
+	// idle is set if the entry has no requests.
 	idle atomic.Bool
-	// limits are those of upstreams.
-	limits *limitBook
+	// limits are the limits of upstreams.
+	limits *fakeRates
 }
 
-const theUpstream = 7
+// testUpstream is the hash of the only upstream.
+const testUpstream = 7
 
-func (e *entry) counts(w balance.Counted) []Count {
+// counts implements Options.Counts.
+func (e *entry) counts(counted balance.Counted) []Count {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n := 0
-	if w.Own && !e.idle.Load() {
+	if counted.Own && !e.idle.Load() {
 		n = 1
 	}
-	e.forgetSilent()
-	for peer, at := range e.heard {
-		if w.Peers != nil && w.Peers(peer) {
+	e.dropSilent()
+	for peer, at := range e.reported {
+		if counted.Peers != nil && counted.Peers(peer) {
 			n += at
 		}
 	}
-	return []Count{{Upstream: theUpstream, Requests: n}}
+	return []Count{{Upstream: testUpstream, Requests: n}}
 }
 
-func (e *entry) take(peer string, r *Report) {
-	for _, w := range r.Claims {
-		e.tracker.Heard(time.Now(), w)
+// onReport implements Options.OnReport.
+func (e *entry) onReport(peer string, r *Report) {
+	for _, claim := range r.Claims {
+		e.tracker.Heard(time.Now(), claim)
 	}
 	if r.Scope == ScopeNone {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.gone[r.Entry] {
+	if e.ignored[r.Entry] {
 		return
 	}
-	e.heard[peer], e.heardAt[peer] = 0, time.Now()
+	e.reported[peer], e.reportedAt[peer] = 0, time.Now()
 	for _, c := range r.Counts {
-		e.heard[peer] += c.Requests
+		e.reported[peer] += c.Requests
 	}
 	select {
 	case e.changed <- struct{}{}:
@@ -168,48 +174,48 @@
 	}
 }
 
-// others is how many requests of others the entry knows.
-func (e *entry) others() int {
+// knownRequests returns the number of requests of other entries according to their reports.
+func (e *entry) knownRequests() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.forgetSilent()
+	e.dropSilent()
 	sum := 0
-	for _, n := range e.heard {
+	for _, n := range e.reported {
 		sum += n
 	}
 	return sum
 }
 
-// peerFresh is after what time without a report a peer counts for nothing, as it does in
-// the balancer.
-const peerFresh = time.Second
+// peerTimeout is the time without a report after which a peer's counts are dropped, as in
+// package balance.
+const peerTimeout = time.Second
 
-// forgetSilent drops what peers said that have been silent. While hubs change, one that
-// was given up has spoken before of what another now speaks of: without this a count
-// stayed too high for ever in 4 of 30 runs, each time by what a hub had said that had been
-// silent for 1.6 s to 3.1 s, or by the sum of a hub that had heard it. The caller holds
-// the lock.
-func (e *entry) forgetSilent() {
-	for peer, at := range e.heardAt {
-		if time.Since(at) >= peerFresh {
-			delete(e.heard, peer)
-			delete(e.heardAt, peer)
+// dropSilent drops the counts of peers that have been silent for peerTimeout. While hubs change,
+// the counts of a hub that was given up are also in the counts of its successor. Without
+// dropSilent a count stayed too high for ever in 4 of 30 runs, each time by the counts of a hub
+// that had been silent for 1.6 s to 3.1 s, or by the sum of a hub that included these. The
+// caller holds e.mu.
+func (e *entry) dropSilent() {
+	for peer, at := range e.reportedAt {
+		if time.Since(at) >= peerTimeout {
+			delete(e.reported, peer)
+			delete(e.reportedAt, peer)
 		}
 	}
 }
 
-// forget drops what a hub said, as the balancer does with one that is silent, also what
-// is still on its way: as nothing follows it, it would count for ever.
-func (e *entry) forget(hub string) {
+// dropHub drops the counts of a stopped hub, as package balance does for a silent one, and
+// ignores reports of it that are still under way: no later report would replace them.
+func (e *entry) dropHub(hub string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.gone[hub] = true
-	for _, name := range []string{hub, others + hub, others} {
-		delete(e.heard, name)
+	e.ignored[hub] = true
+	for _, name := range []string{hub, allOthers + hub, allOthers} {
+		delete(e.reported, name)
 	}
 }
 
-// TestStoppedEntryIsAbsent ends one of four entries that report to each other.
+// TestStoppedEntryIsAbsent stops one of four entries that report to each other.
 func TestStoppedEntryIsAbsent(t *testing.T) {
 	all, exchanges := startExchanges(t, 2)
 	for len(exchanges[0].Absent(time.Now())) > 0 {
@@ -221,27 +227,27 @@
 	}
 }
 
-// pollEvery is the pause between looks at what an entry believes.
+// pollEvery is the pause between checks of an entry's state.
 const pollEvery = 10 * time.Millisecond
 
-// startFleet starts entries in two failure domains of one region.
+// startFleet starts a number of entries in each of two failure domains of one region.
 func startFleet(t *testing.T, each int) []*entry {
 	all, _ := startExchanges(t, each)
 	return all
 }
 
-// startExchanges is startFleet that also returns the exchanges.
+// startExchanges is like startFleet and also returns the exchanges.
 func startExchanges(t *testing.T, each int) ([]*entry, []*Exchange) {
 	var all []*entry
 	var exchanges []*Exchange
 	for _, domain := range []string{"d1", "d2"} {
 		for i := range each {
-			e := &entry{heard: make(map[string]int), heardAt: make(map[string]time.Time), gone: make(map[string]bool), changed: make(chan struct{}, 1)}
+			e := &entry{reported: make(map[string]int), reportedAt: make(map[string]time.Time), ignored: make(map[string]bool), changed: make(chan struct{}, 1)}
 			e.peer = Peer{ID: fmt.Sprint(domain, "-", i), Domain: domain, SameRegion: true}
 			e.tracker = poison.NewTracker(e.peer.ID)
-			e.limits = newLimitBook()
+			e.limits = newFakeRates()
 			x, err := Listen(Options{
-				Address: "127.0.0.1:0", Entry: e.peer.ID, Counts: e.counts, OnReport: e.take, MaxConnIdle: noDoubt, Leaving: func() bool { return false }, OnUnknownSender: func(netip.AddrPort) {},
+				Address: "127.0.0.1:0", Entry: e.peer.ID, Counts: e.counts, OnReport: e.onReport, MaxConnIdle: noMaxConnIdle, Leaving: func() bool { return false }, OnUnknownSender: func(netip.AddrPort) {},
 				Fleet:  func() Fleet { return fleetFor(e, all) },
 				Claims: func(n int, relay bool) []poison.Claim { return e.tracker.Claims(time.Now(), n, relay) },
 				Busy:   func() bool { return !e.idle.Load() },
@@ -263,8 +269,10 @@
 	return all, exchanges
 }
 
-func noDoubt() (rest, left time.Duration) { return 0, 0 }
+// noMaxConnIdle implements Options.MaxConnIdle without a limit.
+func noMaxConnIdle() (rest, left time.Duration) { return 0, 0 }
 
+// fleetFor returns the fleet as seen by one of its entries.
 func fleetFor(self *entry, all []*entry) Fleet {
 	var f Fleet
 	for _, e := range all {
@@ -281,45 +289,46 @@
 	return f
 }
 
-// untilBound is how long the reports may take. Hubs are given up after up to 1.5 s, and
-// passed over for 3 s.
-const untilBound = 20 * time.Second
+// waitTimeout is the longest time for reports to reach all entries. Hubs are given up after up
+// to 1.5 s, and not picked again for 3 s.
+const waitTimeout = 20 * time.Second
 
-// until waits until the entry knows of a number of requests of others.
-func (e *entry) until(t *testing.T, want int) {
+// waitForRequests waits until the entry has reports of a number of requests of other entries.
+func (e *entry) waitForRequests(t *testing.T, want int) {
 	t.Helper()
-	bound := time.After(untilBound)
-	for e.others() != want {
+	bound := time.After(waitTimeout)
+	for e.knownRequests() != want {
 		select {
 		case <-e.changed:
 		case <-time.After(pollEvery):
 		case <-bound:
-			t.Fatalf("%s knows of %d requests, want %d", e.peer.ID, e.others(), want)
+			t.Fatalf("%s has reports of %d requests, want %d", e.peer.ID, e.knownRequests(), want)
 		}
 	}
 }
 
-// TestHubsTellEveryoneOfAll has each entry of a fleet that is too large for direct
-// reports learn of all requests, also after the hub of its failure domain has died.
-func TestHubsTellEveryoneOfAll(t *testing.T) {
+// TestHubsReportAllRequestsToAllEntries checks that each entry of a fleet that is too large for
+// direct reports gets the counts of all requests, also after the hub of its failure domain has
+// stopped.
+func TestHubsReportAllRequestsToAllEntries(t *testing.T) {
 	const each = maxDirect/2 + 2
 	all := startFleet(t, each)
 	for _, e := range all {
-		e.until(t, 2*each-1)
+		e.waitForRequests(t, 2*each-1)
 	}
-	dead := all[0]
-	dead.stop()
+	stopped := all[0]
+	stopped.stop()
 	for _, e := range all {
-		e.forget(dead.peer.ID)
+		e.dropHub(stopped.peer.ID)
 	}
 	for _, e := range all[1:each] {
-		e.until(t, 2*each-2)
+		e.waitForRequests(t, 2*each-2)
 	}
 }
 
-// TestIdleEntryLearnsOfAllOnceBusy has most entries of a large fleet carry no requests.
-// One that begins to learns what all others have, and they what it has.
-func TestIdleEntryLearnsOfAllOnceBusy(t *testing.T) {
+// TestIdleEntryGetsAllCountsOnceBusy has most entries of a large fleet idle. An entry that
+// becomes busy gets the counts of all others, and they get its counts.
+func TestIdleEntryGetsAllCountsOnceBusy(t *testing.T) {
 	const each = maxDirect/2 + 2
 	all := startFleet(t, each)
 	busy := []*entry{all[1], all[each+1]}
@@ -329,67 +338,68 @@
 	for _, e := range busy {
 		e.idle.Store(false)
 	}
-	busy[0].until(t, 1)
-	began := all[3]
-	began.idle.Store(false)
-	began.until(t, 2)
+	busy[0].waitForRequests(t, 1)
+	started := all[3]
+	started.idle.Store(false)
+	started.waitForRequests(t, 2)
 	for _, e := range busy {
-		e.until(t, 2)
+		e.waitForRequests(t, 2)
 	}
 }
 
-// TestHubTellsWhoIsAbsent ends an entry of a large fleet, idle or not: all others of its
-// failure domain hear of it, though its registration stands.
-func TestHubTellsWhoIsAbsent(t *testing.T) {
+// TestHubReportsAbsentEntries stops an entry of a large fleet, idle or not: the hub reports its
+// absence to all entries of its failure domain, though the entry is still registered.
+func TestHubReportsAbsentEntries(t *testing.T) {
 	const each = maxDirect/2 + 2
 	for _, idle := range []bool{false, true} {
 		all, exchanges := startExchanges(t, each)
 		for _, e := range all {
 			e.idle.Store(idle)
 		}
-		dead := all[3]
+		stopped := all[3]
 		for _, e := range all {
 			if idle {
 				break
 			}
-			e.until(t, 2*each-1)
+			e.waitForRequests(t, 2*each-1)
 		}
-		dead.stop()
+		stopped.stop()
 		for i, x := range exchanges[:each] {
-			for i != 3 && !x.Absent(time.Now())[dead.peer.ID] {
+			for i != 3 && !x.Absent(time.Now())[stopped.peer.ID] {
 				time.Sleep(pollEvery)
 			}
 			if got := x.Absent(time.Now()); i != 3 && len(got) != 1 {
-				t.Errorf("idle %v: to %s absent are %v", idle, all[i].peer.ID, got)
+				t.Errorf("idle %v: absent at %s are %v", idle, all[i].peer.ID, got)
 			}
 		}
 	}
 }
 
-// TestAHubJudgesOnlyWhomItCouldHear has an entry take over as the hub of its failure
-// domain, and then be cut off.
-func TestAHubJudgesOnlyWhomItCouldHear(t *testing.T) {
+// TestHubReportsNoSilenceWhenCutOff has an entry take over as the hub of its failure domain,
+// and then be cut off: it reports no absent entries before it could get their reports, nor
+// when it gets none at all.
+func TestHubReportsNoSilenceWhenCutOff(t *testing.T) {
 	h := newHubs("self")
 	domain := candidates("self", "a", "b", "c")
 	at := func(d time.Duration) time.Time { return t0.Add(d) }
 	if got := h.absent(domain, at(0)); got != nil {
-		t.Errorf("absent before anyone reports: %v", got)
+		t.Errorf("absent before the first report: %v", got)
 	}
-	hear := func(d time.Duration, ids ...string) {
+	report := func(d time.Duration, ids ...string) {
 		for _, id := range ids {
-			h.take(Peer{ID: id}, &Report{Scope: ScopeOwn, Idle: true}, at(d))
+			h.record(Peer{ID: id}, &Report{Scope: ScopeOwn, Idle: true}, at(d))
 		}
 	}
-	hear(0, "a")
-	if got := h.absent(domain, at(idleReporterFresh-1)); got != nil {
-		t.Errorf("absent just after it took over: %v", got)
+	report(0, "a")
+	if got := h.absent(domain, at(idleReporterTimeout-1)); got != nil {
+		t.Errorf("absent just after the takeover: %v", got)
 	}
-	hear(idleReporterFresh, "a", "b")
-	if got := h.absent(domain, at(idleReporterFresh)); len(got) != 1 || got[0] != "c" {
+	report(idleReporterTimeout, "a", "b")
+	if got := h.absent(domain, at(idleReporterTimeout)); len(got) != 1 || got[0] != "c" {
 		t.Errorf("absent: %v, want c", got)
 	}
-	h.reporting(at(3 * idleReporterFresh))
-	if got := h.absent(domain, at(3*idleReporterFresh)); got != nil {
-		t.Errorf("absent to one that hears nobody: %v", got)
+	h.activeReporters(at(3 * idleReporterTimeout))
+	if got := h.absent(domain, at(3*idleReporterTimeout)); got != nil {
+		t.Errorf("absent without any reports: %v", got)
 	}
 }
--- a/internal/inflight/presence.go
+++ b/internal/inflight/presence.go
@@ -3,56 +3,57 @@
 import "time"
 
 const (
-	// silentAfter is after what time without a report an entry is taken for gone: five
-	// reports of another region. Its registration outlives it by some seconds, and by
-	// far more while the platform's service is away.
+	// silentAfter is the time without a report after which an entry counts as absent, which
+	// is five reports of another region. The registration of a lost entry remains for some
+	// seconds, and far longer while the platform's service is unavailable.
 	silentAfter = time.Second
-	// maxSilent is the share of the peers that may be taken for gone. When most are
-	// silent it is more likely that this entry is cut off.
-	maxSilent = 0.5
+	// maxSilentShare is the largest share of peers that may count as silent. If more are
+	// silent, this entry is more likely cut off itself.
+	maxSilentShare = 0.5
 )
 
-// presence follows which entries are there, by their reports, so that look-ups do not
-// name one that died or stops while its registration stands. The caller passes the time in
-// and guards it.
+// presence detects absent entries by their reports, so that look-ups do not return an entry
+// that has failed or is stopping while its registration remains. Access to it is not
+// synchronized.
 type presence struct {
-	// since is when an entry was first listed.
-	since map[string]time.Time
-	// leaving are the entries whose last report said that they stop.
+	// listedSince has the time at which each entry was first listed.
+	listedSince map[string]time.Time
+	// leaving has the entries whose last report announced that they stop.
 	leaving map[string]bool
 }
 
+// newPresence returns a presence without any peers.
 func newPresence() *presence {
-	return &presence{since: make(map[string]time.Time), leaving: make(map[string]bool)}
+	return &presence{listedSince: make(map[string]time.Time), leaving: make(map[string]bool)}
 }
 
-// take records whether an entry's report says that it stops.
-func (p *presence) take(id string, leaving bool) { p.leaving[id] = leaving }
+// record records whether an entry's last report announced that the entry stops.
+func (p *presence) record(id string, leaving bool) { p.leaving[id] = leaving }
 
-// list records which peers there are to be.
-func (p *presence) list(peers []Peer, now time.Time) {
+// setListed replaces the list of peers. State of peers that are no longer listed is deleted.
+func (p *presence) setListed(peers []Peer, now time.Time) {
 	listed := make(map[string]bool, len(peers))
 	for _, peer := range peers {
 		listed[peer.ID] = true
-		if _, ok := p.since[peer.ID]; !ok {
-			p.since[peer.ID] = now
+		if _, ok := p.listedSince[peer.ID]; !ok {
+			p.listedSince[peer.ID] = now
 		}
 	}
-	for id := range p.since {
+	for id := range p.listedSince {
 		if !listed[id] {
-			delete(p.since, id)
+			delete(p.listedSince, id)
 			delete(p.leaving, id)
 		}
 	}
 }
 
-// absent returns the listed peers that stop or are silent. Heard is when each entry last
-// reported.
-func (p *presence) absent(heard map[string]time.Time, now time.Time) map[string]bool {
+// absent returns the listed peers that are stopping or silent, given the time of each
+// entry's last report. No peer counts as silent if more than maxSilentShare would.
+func (p *presence) absent(lastReport map[string]time.Time, now time.Time) map[string]bool {
 	out := make(map[string]bool)
 	silent := 0
-	for id, since := range p.since {
-		last := heard[id]
+	for id, since := range p.listedSince {
+		last := lastReport[id]
 		if since.After(last) {
 			last = since
 		}
@@ -61,10 +62,10 @@
 			silent++
 		}
 	}
-	if float64(silent) > maxSilent*float64(len(p.since)) {
+	if float64(silent) > maxSilentShare*float64(len(p.listedSince)) {
 		clear(out)
 	}
-	for id := range p.since {
+	for id := range p.listedSince {
 		if p.leaving[id] {
 			out[id] = true
 		}
--- a/internal/inflight/presence_test.go
+++ b/internal/inflight/presence_test.go
@@ -12,7 +12,7 @@
 	at := func(d time.Duration) time.Time { return t0.Add(d) }
 	for _, tt := range []struct {
 		name string
-		// reported is when each peer last did, after t0.
+		// reported has the time of each peer's last report, after t0.
 		reported map[string]time.Duration
 		leaving  string
 		now      time.Duration
@@ -25,26 +25,26 @@
 		{"one stops", map[string]time.Duration{"a": 0, "b": 0, "c": 0, "d": 0}, "b", silentAfter - 1, []string{"b"}},
 	} {
 		p := newPresence()
-		p.list(peers, t0)
-		heard := make(map[string]time.Time)
+		p.setListed(peers, t0)
+		lastReport := make(map[string]time.Time)
 		for id, d := range tt.reported {
-			heard[id] = at(d)
-			p.take(id, id == tt.leaving)
+			lastReport[id] = at(d)
+			p.record(id, id == tt.leaving)
 		}
-		if got := slices.Sorted(maps.Keys(p.absent(heard, at(tt.now)))); !slices.Equal(got, tt.absent) {
+		if got := slices.Sorted(maps.Keys(p.absent(lastReport, at(tt.now)))); !slices.Equal(got, tt.absent) {
 			t.Errorf("%s: absent are %v, want %v", tt.name, got, tt.absent)
 		}
 	}
 }
 
-// TestPresenceOfANewLife lists an entry again that was gone: what its earlier life said
-// counts no more.
-func TestPresenceOfANewLife(t *testing.T) {
+// TestPresenceOfRelistedEntry lists an entry again that was gone: the leaving flag of its
+// earlier run no longer counts.
+func TestPresenceOfRelistedEntry(t *testing.T) {
 	p := newPresence()
-	p.list([]Peer{{ID: "a"}, {ID: "b"}}, t0)
-	p.take("a", true)
-	p.list([]Peer{{ID: "b"}}, t0)
-	p.list([]Peer{{ID: "a"}, {ID: "b"}}, t0)
+	p.setListed([]Peer{{ID: "a"}, {ID: "b"}}, t0)
+	p.record("a", true)
+	p.setListed([]Peer{{ID: "b"}}, t0)
+	p.setListed([]Peer{{ID: "a"}, {ID: "b"}}, t0)
 	if got := p.absent(map[string]time.Time{"a": t0}, t0); len(got) > 0 {
 		t.Errorf("absent are %v", got)
 	}
--- a/internal/inflight/rates.go
+++ b/internal/inflight/rates.go
@@ -11,42 +11,46 @@
 	"github.com/loomkeel/loomkeel/internal/ratelimit"
 )
 
-// This file has what entries tell each other of the limits that upstreams name (package
-// ratelimit), in reports of their own. The senders of an upstream tell each other at once of
-// their requests; what the limits are goes the ways of the reports of requests under way.
+// This file has the reports of the rate limits that upstreams announce; see package ratelimit.
+// The senders of an upstream report the number of their requests to each other at once. The
+// limits themselves go to the peers that also get the reports of requests in flight.
 
 const (
-	// maxRates bounds the upstreams of one report, so that it fits a datagram; one takes up to
-	// 16 bytes.
+	// maxRates bounds the upstreams of one report, so that it fits a datagram; an upstream
+	// takes up to 16 bytes.
 	maxRates = 75
-	// maxRateUnits bounds what is believed of a limit, in units of ratelimit.Resolution.
+	// maxRateUnits bounds the limits accepted from a report, in units of
+	// ratelimit.Resolution.
 	maxRateUnits = 1 << 50
-	// ratesPeriods is after how many near periods senders tell each other that they are there,
-	// and allRatesPeriods after how many all limits are told.
+	// ratesPeriods is the number of localPeriods between two reports that confirm to other
+	// senders that this entry is present, allRatesPeriods the number between two reports of
+	// all limits.
 	ratesPeriods    = 2
 	allRatesPeriods = 10
-	// urgentGap is the least time between two urgent reports.
+	// urgentGap is the shortest time between two urgent reports.
 	urgentGap = 5 * time.Millisecond
-	// maxStarted bounds the peers that have started and are to be told.
+	// maxStarted bounds the queue of restarted peers that are to get all limits.
 	maxStarted = 64
-	// changesGap is the least time between two urgent reports of limits that have changed.
+	// changesGap is the shortest time between two urgent reports of changed limits.
 	changesGap = 50 * time.Millisecond
 )
 
-// Rates is what an Exchange tells of the limits of upstreams, and where it brings what it is
-// told.
+// Rates holds the limits of upstreams that an Exchange reports, and takes the limits and
+// counts that peers report.
 type Rates interface {
-	// UrgentRates has a value when others are to hear at once.
+	// UrgentRates returns a channel that has a value when a report is to be sent at once.
 	UrgentRates() <-chan struct{}
-	// RateNews returns what to tell.
+	// RateNews returns the limits and request counts to report.
 	RateNews(scope balance.NewsScope) []balance.RateNews
-	// RateSenders returns the ids of the entries that share a limit with this one.
+	// RateSenders returns the ids of the entries that share the limit of an upstream with
+	// this entry.
 	RateSenders() map[string]bool
-	// HeardRates takes in what a peer told in one of its lives.
-	HeardRates(peer string, life uint64, told []balance.RateNews)
+	// HeardRates takes what an incarnation of a peer has reported.
+	HeardRates(peer string, incarnation uint64, rates []balance.RateNews)
 }
 
-// appendRates encodes a limit as its units and one, so that 0 stands for none.
+// appendRates appends the encoding of up to maxRates limits. A limit is encoded as its units
+// plus one, where 0 means no limit.
 func appendRates(b []byte, rates []balance.RateNews) []byte {
 	for _, n := range rates[:min(len(rates), maxRates)] {
 		units := uint64(0)
@@ -61,6 +65,7 @@
 	return b
 }
 
+// decodeRates decodes the output of appendRates.
 func decodeRates(b []byte) ([]balance.RateNews, error) {
 	var out []balance.RateNews
 	var upstream uint32
@@ -85,8 +90,9 @@
 	return out, nil
 }
 
-// tellRates tells peers of limits. It sends a report also if there is nothing to tell.
-func (x *Exchange) tellRates(peers []Peer, news []balance.RateNews) {
+// sendRates sends limits to peers, in as many reports as needed. It sends an empty report if
+// there are no limits, as this still confirms that the entry is present.
+func (x *Exchange) sendRates(peers []Peer, news []balance.RateNews) {
 	for first := true; first || len(news) > 0; first = false {
 		n := min(len(news), maxRates)
 		r := Report{
@@ -101,48 +107,48 @@
 	}
 }
 
-// urgentRates tells the other senders of upstreams what they have not been told, and those that
-// reports go to of limits that have changed.
-func (x *Exchange) urgentRates(now time.Time) {
+// sendUrgentRates sends unsent request counts to the other senders of their upstreams, and
+// changed limits to the peers of the periodic reports.
+func (x *Exchange) sendUrgentRates(now time.Time) {
 	news := x.opt.Rates.RateNews(balance.NewsUntold)
-	x.tellSenders(x.opt.Fleet(), news, nil)
+	x.sendRatesToSenders(x.opt.Fleet(), news, nil)
 	changed := slices.DeleteFunc(news, func(n balance.RateNews) bool { return !n.Changed })
-	if len(changed) > 0 && now.Sub(x.changesTold) >= changesGap {
-		x.changesTold = now
-		x.tellRates(x.rateListeners, changed)
+	if len(changed) > 0 && now.Sub(x.changesSentAt) >= changesGap {
+		x.changesSentAt = now
+		x.sendRates(x.ratePeers, changed)
 	}
 }
 
-// noteLife notices a peer that has started. The limits that it does not know are told to it at
-// once if there is room in the queue, else in the next report.
-func (x *Exchange) noteLife(p Peer, life uint64, fleet Fleet) {
+// noteIncarnation queues a peer of which a new incarnation is seen, so that it gets all limits
+// at once. If the queue is full the peer gets them by the next periodic report.
+func (x *Exchange) noteIncarnation(p Peer, incarnation uint64, fleet Fleet) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.opt.Rates == nil || life <= x.lives[p.ID] {
+	if x.opt.Rates == nil || incarnation <= x.incarnations[p.ID] {
 		return
 	}
-	if len(x.lives) > 2*len(fleet.Peers) {
-		// Most of them have left for good.
-		clear(x.lives)
+	if len(x.incarnations) > 2*len(fleet.Peers) {
+		// Most of these entries are no longer in the fleet.
+		clear(x.incarnations)
 	}
-	x.lives[p.ID] = life
+	x.incarnations[p.ID] = incarnation
 	select {
 	case x.started <- p:
 	default:
 	}
 }
 
-// tellStarted tells a peer that has started all limits.
-func (x *Exchange) tellStarted(p Peer) {
+// sendRatesToStarted sends all limits to a peer that has started.
+func (x *Exchange) sendRatesToStarted(p Peer) {
 	if news := x.opt.Rates.RateNews(balance.NewsAll); len(news) > 0 {
-		x.tellRates([]Peer{p}, news)
+		x.sendRates([]Peer{p}, news)
 	}
 }
 
-// periodicRates tells again what may have been lost: the senders of their requests, and the
-// peers that reports go to of the limits.
-func (x *Exchange) periodicRates(fleet Fleet, to []Peer) {
-	x.rateListeners = to
+// sendPeriodicRates repeats what may have been lost: request counts to the other senders, and
+// limits to the given peers.
+func (x *Exchange) sendPeriodicRates(fleet Fleet, to []Peer) {
+	x.ratePeers = to
 	if x.opt.Rates == nil || x.seq%ratesPeriods != 0 {
 		return
 	}
@@ -151,15 +157,15 @@
 		scope = balance.NewsAll
 	}
 	news := x.opt.Rates.RateNews(scope)
-	x.tellSenders(fleet, news, x.opt.Rates.RateSenders())
+	x.sendRatesToSenders(fleet, news, x.opt.Rates.RateSenders())
 	if len(news) > 0 {
-		x.tellRates(to, news)
+		x.sendRates(to, news)
 	}
 }
 
-// listenersByHubs are those that an entry of a fleet with hubs tells of limits: its hub, or those
-// that it is the hub of and the other hubs.
-func listenersByHubs(self string, hub Peer, busy, idle, remote []Peer) []Peer {
+// ratePeersByHubs returns the peers to which an entry of a fleet with hubs sends limits: the
+// hub, or, if it acts as a hub itself, its reporters and the other hubs.
+func ratePeersByHubs(self string, hub Peer, busy, idle, remote []Peer) []Peer {
 	out := slices.Concat(busy, idle)
 	if hub.ID != self {
 		out = append(out, hub)
@@ -170,9 +176,10 @@
 	return out
 }
 
-// tellSenders tells each entry of those upstreams that it may send to as well, and those that
-// are to hear in any case that this entry is there.
-func (x *Exchange) tellSenders(fleet Fleet, news []balance.RateNews, always map[string]bool) {
+// sendRatesToSenders sends each entry the news of the upstreams to which that entry may send
+// as well. The entries in always get a report in any case, which confirms that this entry is
+// present.
+func (x *Exchange) sendRatesToSenders(fleet Fleet, news []balance.RateNews, always map[string]bool) {
 	if len(news)+len(always) == 0 {
 		return
 	}
@@ -184,7 +191,7 @@
 	}
 	for _, p := range fleet.Peers {
 		if list := shared[p.ID]; len(list) > 0 || always[p.ID] {
-			x.tellRates([]Peer{p}, list)
+			x.sendRates([]Peer{p}, list)
 		}
 	}
 }
--- a/internal/inflight/rates_test.go
+++ b/internal/inflight/rates_test.go
@@ -12,53 +12,53 @@
 	"github.com/loomkeel/loomkeel/internal/ratelimit"
 )
 
-// limitBook is Rates of one upstream that nobody sends to.
-type limitBook struct {
+// fakeRates implements Rates for one upstream to which no entry sends.
+type fakeRates struct {
 	mu       sync.Mutex
 	register ratelimit.Register
 	untold   bool
 	urgent   chan struct{}
 }
 
-func newLimitBook() *limitBook { return &limitBook{urgent: make(chan struct{}, 1)} }
+func newFakeRates() *fakeRates { return &fakeRates{urgent: make(chan struct{}, 1)} }
 
-func (b *limitBook) UrgentRates() <-chan struct{} { return b.urgent }
+func (b *fakeRates) UrgentRates() <-chan struct{} { return b.urgent }
 
-func (b *limitBook) RateNews(scope balance.NewsScope) []balance.RateNews {
+func (b *fakeRates) RateNews(scope balance.NewsScope) []balance.RateNews {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.register.Version() == 0 || scope == balance.NewsUntold && !b.untold {
 		return nil
 	}
-	n := balance.RateNews{Upstream: theUpstream, PerSecond: b.register.PerSecond(), Version: b.register.Version(), Changed: b.untold}
+	n := balance.RateNews{Upstream: testUpstream, PerSecond: b.register.PerSecond(), Version: b.register.Version(), Changed: b.untold}
 	b.untold = false
 	return []balance.RateNews{n}
 }
 
-func (b *limitBook) RateSenders() map[string]bool { return nil }
+func (b *fakeRates) RateSenders() map[string]bool { return nil }
 
-func (b *limitBook) HeardRates(_ string, _ uint64, told []balance.RateNews) {
+func (b *fakeRates) HeardRates(_ string, _ uint64, told []balance.RateNews) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, n := range told {
 		if b.register.Merge(n.PerSecond, n.Version, time.Now()) == ratelimit.Newer {
-			b.changed()
+			b.limitChanged()
 		}
 	}
 }
 
-// names has an answer name a limit.
-func (b *limitBook) names(perSecond float64) {
+// setLimit has a response of the upstream announce a limit.
+func (b *fakeRates) setLimit(perSecond float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
 	if b.register.Answered(perSecond, now, now) {
-		b.changed()
+		b.limitChanged()
 	}
 }
 
-// changed has the others told at once. The caller holds the lock.
-func (b *limitBook) changed() {
+// limitChanged requests an urgent report. The caller holds b.mu.
+func (b *fakeRates) limitChanged() {
 	b.untold = true
 	select {
 	case b.urgent <- struct{}{}:
@@ -66,14 +66,14 @@
 	}
 }
 
-func (b *limitBook) limit() float64 {
+func (b *fakeRates) limit() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.register.PerSecond()
 }
 
-// TestLimitsReachAllEntries has one entry learn of a limit, another of its end, in a fleet that
-// tells each other and in one with hubs.
+// TestLimitsReachAllEntries has one entry receive a limit, and another the end of the limit, in
+// a fleet with direct reports and in a fleet with hubs.
 func TestLimitsReachAllEntries(t *testing.T) {
 	for _, each := range []int{4, maxDirect} {
 		all := startFleet(t, each)
@@ -81,7 +81,7 @@
 			learns    int
 			perSecond float64
 		}{{each - 1, 6.2}, {0, 2.5}, {2*each - 1, ratelimit.Unlimited}} {
-			all[step.learns].limits.names(step.perSecond)
+			all[step.learns].limits.setLimit(step.perSecond)
 			for _, e := range all {
 				for e.limits.limit() != step.perSecond {
 					time.Sleep(pollEvery)
@@ -112,7 +112,7 @@
 	r := Report{Entry: "an entry with a name of some length", Incarnation: 1 << 60, Sequence: 1 << 40, HasRates: true}
 	r.Rates = slices.Repeat([]balance.RateNews{worst}, maxRates)
 	if n := len(r.Append(nil)); n > maxDatagram {
-		t.Errorf("%d bytes", n)
+		t.Errorf("report has %d bytes, more than a datagram", n)
 	}
 }
 
@@ -125,7 +125,7 @@
 		"too large": append(slices.Clone(whole[:4]), 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f, 1, 1),
 	} {
 		if got, err := decodeRates(b); err == nil {
-			t.Errorf("%s is taken: %v", name, got)
+			t.Errorf("%s is accepted: %v", name, got)
 		}
 	}
 }
--- a/internal/inflight/report.go
+++ b/internal/inflight/report.go
@@ -1,5 +1,6 @@
-// Package inflight lets entries tell each other how many requests each of them
-// has under way at which upstream.
+// Package inflight exchanges reports between entries: the requests that each has in flight
+// at each upstream, requests that crashed upstreams, the use of organisations' limits, and
+// the rate limits of upstreams.
 package inflight
 
 import (
@@ -16,118 +17,120 @@
 	"github.com/loomkeel/loomkeel/internal/quota"
 )
 
-// Count is what entries have at an upstream.
+// Count is the number of requests in flight at an upstream, and recent outcomes there.
 type Count struct {
-	// Upstream is the hash of the upstream's id, as balance.Group.LoadAt gives it.
+	// Upstream is the hash of the upstream's id, as computed by package balance.
 	Upstream uint32
-	// Requests are under way.
+	// Requests is the number of requests in flight.
 	Requests int
-	// Failed of the Answered recent requests failed. Answered is told only if any did.
+	// Failed is the number of failures among Answered recent requests. Answered is encoded
+	// only if some failed.
 	Failed, Answered float64
 }
 
-// Scope says whose requests a report counts.
+// Scope selects the entries whose requests a report counts.
 type Scope uint8
 
-// The scopes.
+// The scopes of a report.
 const (
-	// ScopeOwn counts the sender's own requests.
+	// ScopeOwn is the sender's own requests.
 	ScopeOwn Scope = iota
-	// ScopeDomain counts those of all entries that report to the sender, and its own.
+	// ScopeDomain is the requests of all entries that report to the sender, and its own if
+	// the sender has no hub itself.
 	ScopeDomain
-	// ScopeOthers counts those of all entries but the receiver.
+	// ScopeOthers is the requests of all entries except the receiver.
 	ScopeOthers
-	// ScopeNone counts nobody's: the report has only Claims.
+	// ScopeNone is no requests: the report has only Claims, Uses or Rates.
 	ScopeNone
 )
 
-// Report is what one entry tells. Upstreams from First to Last, by their hashes,
-// that it does not name have none of the requests.
+// Report is a report of one entry. Upstreams whose hashes lie from First to Last and which
+// are not in Counts have none of the counted requests.
 type Report struct {
 	// Entry is the id of the entry's instance.
 	Entry string
 	Scope Scope
-	// First and Last bound the upstreams that the report covers.
+	// First and Last bound the hashes of the upstreams that the report covers.
 	First, Last uint32
-	// Sequence orders the reports of one life of an entry, Incarnation its lives.
+	// Sequence orders the reports of one Incarnation, Incarnation the restarts of an entry.
 	Incarnation uint64
 	Sequence    uint64
-	// MaxConnIdle is the longest rest after which connections to upstreams are trusted, and
-	// MaxConnIdleLeft for how long that holds; 0 if there is no doubt. Both are sent in
-	// whole milliseconds.
+	// MaxConnIdle is the longest idle time after which connections to upstreams may be
+	// used for requests that must not run twice, and MaxConnIdleLeft the time for which
+	// this holds; 0 if there is no such limit. Both are encoded in whole milliseconds.
 	MaxConnIdle, MaxConnIdleLeft time.Duration
-	// Leaving is set while the sender stops.
+	// Leaving is set while the sender is stopping.
 	Leaving bool
-	// Idle is set while the sender has carried few requests for a while. It is told less
-	// often then.
+	// Idle is set while the sender has had few requests for a while. Hubs send reports less
+	// often to idle entries.
 	Idle bool
-	// Absent are the hashes of the ids of entries of the sender's failure domain that stop
-	// or are silent; see poison.SourceOf. Hubs tell them.
+	// Absent are the hashes of the ids of entries of the sender's failure domain that are
+	// stopping or silent; see poison.SourceOf. Only hubs set it.
 	Absent []uint32
 	Counts []Count
-	// Claims are about requests under which upstreams ended. They have reports of their own.
+	// Claims are about requests that crashed upstreams. They are sent in separate reports.
 	Claims []poison.Claim
-	// HasUses is set if the report is about the use of limits, Uses, of the entries that
-	// UsesScope says.
+	// HasUses is set if the report has the use of limits, Uses, by the entries that
+	// UsesScope selects. First and Last then bound the hashes of the organisations.
 	HasUses   bool
 	UsesScope Scope
 	Uses      []quota.Use
-	// Covered is the weight of the entries that the uses are of; see Fleet.
+	// Covered is the sum of the weights of the entries whose use is reported; see weights.
 	Covered int
-	// Relayed is set if the uses are what another hub told the sender.
+	// Relayed is set if the sender has the uses from another hub.
 	Relayed bool
-	// HasRates is set if the report is about the limits of upstreams, Rates.
+	// HasRates is set if the report has limits of upstreams, Rates.
 	HasRates bool
 	Rates    []balance.RateNews
 }
 
-// Fields of the encoding, a protobuf message.
+// Field numbers of the encoding of a Report, a protobuf message.
 const (
-	fieldEntry       = 1
-	fieldIncarnation = 2
-	fieldSequence    = 3
-	fieldUpstreams   = 4
-	fieldRequests    = 5
-	fieldScope       = 6
-	fieldFirst       = 7
-	fieldLast        = 8
-	fieldDoubt       = 9
-	fieldDoubtLeft   = 10
-	fieldFailures    = 11
-	fieldLeaving     = 12
-	fieldIdle        = 13
-	fieldAbsent      = 14
-	fieldClaim       = 15
-	fieldUsesScope   = 16
-	fieldUses        = 17
-	fieldCovered     = 18
-	fieldRelayed     = 19
-	fieldRates       = 20
+	fieldEntry           = 1
+	fieldIncarnation     = 2
+	fieldSequence        = 3
+	fieldUpstreams       = 4
+	fieldRequests        = 5
+	fieldScope           = 6
+	fieldFirst           = 7
+	fieldLast            = 8
+	fieldMaxConnIdle     = 9
+	fieldMaxConnIdleLeft = 10
+	fieldFailures        = 11
+	fieldLeaving         = 12
+	fieldIdle            = 13
+	fieldAbsent          = 14
+	fieldClaim           = 15
+	fieldUsesScope       = 16
+	fieldUses            = 17
+	fieldCovered         = 18
+	fieldRelayed         = 19
+	fieldRates           = 20
 )
 
 const (
-	// maxCounts bounds the upstreams of one report, and maxFailures those of them with
-	// failures, so that it fits a datagram.
+	// maxCounts bounds the upstreams of one report, and maxFailures those with failures, so
+	// that it fits a datagram.
 	maxCounts   = 150
 	maxFailures = 30
 	// maxAbsent bounds the absent entries of one report for the same reason.
 	maxAbsent = 40
-	// outcomeUnit is the part of an outcome that is told: outcomes count for less as
-	// they age.
+	// outcomeUnit is the unit in which outcomes are encoded. Outcomes are not whole numbers,
+	// as their weight decreases with age.
 	outcomeUnit = 0.1
 )
 
-// allUpstreams is the last of all hashes.
+// allUpstreams is the largest hash: First = 0 and Last = allUpstreams cover all upstreams.
 const allUpstreams = math.MaxUint32
 
-// split divides a report into ones that fit a datagram. The counts are put into the
-// order of their hashes.
+// split divides a report by its counts into reports that fit a datagram. It sorts r.Counts
+// by hash.
 func (r Report) split() []Report {
 	return splitByHash(r, r.Counts, maxCounts, func(c Count) uint32 { return c.Upstream }, func(r *Report, part []Count) { r.Counts = part })
 }
 
-// splitByHash divides a report with items into ones that have at most a number of them each,
-// and cover all hashes together. The items are put into the order of their hashes.
+// splitByHash divides a report into reports with at most a number of items each, whose First
+// and Last together cover all hashes. It sorts items by hash; put sets the items of a report.
 func splitByHash[T any](r Report, items []T, most int, hash func(T) uint32, put func(r *Report, part []T)) []Report {
 	slices.SortFunc(items, func(a, b T) int { return cmp.Compare(hash(a), hash(b)) })
 	var out []Report
@@ -145,11 +148,11 @@
 }
 
 var (
-	errMalformed = errors.New("inflight: malformed report")
-	errUneven    = errors.New("inflight: report with upstreams and requests of different numbers")
+	errMalformed     = errors.New("inflight: malformed report")
+	errCountMismatch = errors.New("inflight: numbers of upstreams and of request counts in report differ")
 )
 
-// Append adds the encoding of a report to b. Counts beyond maxCounts are left
+// Append appends the encoding of the report to b. Counts beyond maxCounts are left
 // out.
 func (r *Report) Append(b []byte) []byte {
 	counts := r.Counts[:min(len(r.Counts), maxCounts)]
@@ -162,9 +165,9 @@
 	b = protowire.AppendTag(b, fieldScope, protowire.VarintType)
 	b = protowire.AppendVarint(b, uint64(r.Scope))
 	if r.MaxConnIdleLeft > 0 {
-		b = protowire.AppendTag(b, fieldDoubt, protowire.VarintType)
+		b = protowire.AppendTag(b, fieldMaxConnIdle, protowire.VarintType)
 		b = protowire.AppendVarint(b, uint64(r.MaxConnIdle.Milliseconds()))
-		b = protowire.AppendTag(b, fieldDoubtLeft, protowire.VarintType)
+		b = protowire.AppendTag(b, fieldMaxConnIdleLeft, protowire.VarintType)
 		b = protowire.AppendVarint(b, uint64(r.MaxConnIdleLeft.Milliseconds()))
 	}
 	if r.Leaving {
@@ -209,13 +212,14 @@
 		b = protowire.AppendTag(b, fieldRates, protowire.BytesType)
 		b = protowire.AppendBytes(b, appendRates(nil, r.Rates))
 	}
-	for _, w := range r.Claims[:min(len(r.Claims), maxClaims)] {
+	for _, claim := range r.Claims[:min(len(r.Claims), maxClaims)] {
 		b = protowire.AppendTag(b, fieldClaim, protowire.BytesType)
-		b = protowire.AppendBytes(b, appendClaim(nil, &w))
+		b = protowire.AppendBytes(b, appendClaim(nil, &claim))
 	}
 	return b
 }
 
+// appendHashes appends hashes in four bytes each.
 func appendHashes(b []byte, hashes []uint32) []byte {
 	for _, h := range hashes {
 		b = protowire.AppendFixed32(b, h)
@@ -223,6 +227,7 @@
 	return b
 }
 
+// decodeAbsent decodes the hashes of absent entries into r.Absent.
 func (r *Report) decodeAbsent(b []byte) error {
 	var h uint32
 	var err error
@@ -235,8 +240,8 @@
 	return nil
 }
 
-// appendFailures adds the place among the counts, the failures and the outcomes of
-// each upstream with failures.
+// appendFailures appends a field with the index in counts, the failures and the outcomes of
+// up to maxFailures upstreams with failures. Without failures it appends nothing.
 func appendFailures(b []byte, counts []Count) []byte {
 	var failures []byte
 	n := 0
@@ -257,12 +262,12 @@
 	return protowire.AppendBytes(b, failures)
 }
 
-// Decode reads a report. Unknown fields are passed over.
+// Decode decodes a report and checks the ranges of its values. Unknown fields are skipped.
 func Decode(b []byte) (*Report, error) {
 	r := &Report{Last: allUpstreams}
 	var upstreams, requests, failures, absent, claim, uses, rates []byte
 	var claims [][]byte
-	var relayed, covered, usesScope, scope, doubt, doubtLeft, leaving, idle uint64
+	var relayed, covered, usesScope, scope, maxConnIdle, maxConnIdleLeft, leaving, idle uint64
 	err := eachField(b, func(field protowire.Number, kind protowire.Type, b []byte) (n int) {
 		switch {
 		case field == fieldEntry && kind == protowire.BytesType:
@@ -279,10 +284,10 @@
 			failures, n = protowire.ConsumeBytes(b)
 		case field == fieldScope && kind == protowire.VarintType:
 			scope, n = protowire.ConsumeVarint(b)
-		case field == fieldDoubt && kind == protowire.VarintType:
-			doubt, n = protowire.ConsumeVarint(b)
-		case field == fieldDoubtLeft && kind == protowire.VarintType:
-			doubtLeft, n = protowire.ConsumeVarint(b)
+		case field == fieldMaxConnIdle && kind == protowire.VarintType:
+			maxConnIdle, n = protowire.ConsumeVarint(b)
+		case field == fieldMaxConnIdleLeft && kind == protowire.VarintType:
+			maxConnIdleLeft, n = protowire.ConsumeVarint(b)
 		case field == fieldLeaving && kind == protowire.VarintType:
 			leaving, n = protowire.ConsumeVarint(b)
 		case field == fieldIdle && kind == protowire.VarintType:
@@ -316,11 +321,11 @@
 	if err != nil {
 		return nil, err
 	}
-	if covered > maxCovered || usesScope >= uint64(ScopeNone) || scope > uint64(ScopeNone) || r.First > r.Last || doubt > maxDoubt || doubtLeft > maxDoubt {
+	if covered > maxCovered || usesScope >= uint64(ScopeNone) || scope > uint64(ScopeNone) || r.First > r.Last || maxConnIdle > maxConnIdleMillis || maxConnIdleLeft > maxConnIdleMillis {
 		return nil, errMalformed
 	}
 	r.Scope, r.Leaving, r.Idle = Scope(scope), leaving != 0, idle != 0
-	r.MaxConnIdle, r.MaxConnIdleLeft = time.Duration(doubt)*time.Millisecond, time.Duration(doubtLeft)*time.Millisecond
+	r.MaxConnIdle, r.MaxConnIdleLeft = time.Duration(maxConnIdle)*time.Millisecond, time.Duration(maxConnIdleLeft)*time.Millisecond
 	if err := r.decodeCounts(upstreams, requests); err != nil {
 		return nil, err
 	}
@@ -344,16 +349,16 @@
 	return r, r.decodeFailures(failures)
 }
 
-// eachField calls take with each field of a message and what follows its tag. Take returns
-// how many bytes the field has, or a negative number if it is malformed.
-func eachField(b []byte, take func(field protowire.Number, kind protowire.Type, b []byte) int) error {
+// eachField calls consume with each field of a message and the bytes after the field's tag.
+// consume returns the length of the field in bytes, or a negative number if it is malformed.
+func eachField(b []byte, consume func(field protowire.Number, kind protowire.Type, b []byte) int) error {
 	for len(b) > 0 {
 		field, kind, n := protowire.ConsumeTag(b)
 		if n < 0 {
 			return errMalformed
 		}
 		b = b[n:]
-		if n = take(field, kind, b); n < 0 {
+		if n = consume(field, kind, b); n < 0 {
 			return errMalformed
 		}
 		b = b[n:]
@@ -361,7 +366,7 @@
 	return nil
 }
 
-// consumeHash reads a hash and returns what follows it.
+// consumeHash decodes a hash and returns the bytes after it.
 func consumeHash(b []byte) (hash uint32, rest []byte, err error) {
 	hash, n := protowire.ConsumeFixed32(b)
 	if n < 0 {
@@ -370,7 +375,7 @@
 	return hash, b[n:], nil
 }
 
-// consumeVarints reads as many numbers as there is room for and returns what follows them.
+// consumeVarints decodes len(into) varints and returns the bytes after them.
 func consumeVarints(b []byte, into []uint64) (rest []byte, err error) {
 	for i := range into {
 		v, n := protowire.ConsumeVarint(b)
@@ -382,7 +387,7 @@
 	return b, nil
 }
 
-// decodeFailures reads what appendFailures wrote.
+// decodeFailures decodes the output of appendFailures into r.Counts.
 func (r *Report) decodeFailures(b []byte) error {
 	var v [3]uint64
 	var err error
@@ -399,12 +404,15 @@
 	return nil
 }
 
-// maxDoubt bounds the times of a doubt in milliseconds.
-const maxDoubt = 60_000
+// maxConnIdleMillis bounds MaxConnIdle and MaxConnIdleLeft of an accepted report, in
+// milliseconds.
+const maxConnIdleMillis = 60_000
 
-// maxRequests bounds what one entry can have under way at one upstream.
+// maxRequests bounds the requests in flight of one entry at one upstream in an accepted
+// report.
 const maxRequests = 1 << 16
 
+// decodeCounts decodes upstreams and their requests, two lists of equal length, into r.Counts.
 func (r *Report) decodeCounts(upstreams, requests []byte) error {
 	for len(upstreams) > 0 {
 		u, n := protowire.ConsumeFixed32(upstreams)
@@ -414,7 +422,7 @@
 		upstreams = upstreams[n:]
 		q, m := protowire.ConsumeVarint(requests)
 		if m < 0 {
-			return errUneven
+			return errCountMismatch
 		}
 		requests = requests[m:]
 		if q > maxRequests {
@@ -423,7 +431,7 @@
 		r.Counts = append(r.Counts, Count{Upstream: u, Requests: int(q)})
 	}
 	if len(requests) > 0 {
-		return errUneven
+		return errCountMismatch
 	}
 	return nil
 }
--- a/internal/inflight/report_test.go
+++ b/internal/inflight/report_test.go
@@ -20,7 +20,7 @@
 		r.Counts = append(r.Counts, Count{uint32(i), 400, 100, 1000})
 	}
 	if n := len(r.Append(nil)); n > maxDatagram {
-		t.Errorf("%d bytes", n)
+		t.Errorf("report has %d bytes, more than a datagram", n)
 	}
 }
 
@@ -33,7 +33,7 @@
 		"half an upstream":        {fieldUpstreams<<3 | 2, 2, 1, 2},
 	} {
 		if _, err := Decode(b); err == nil {
-			t.Errorf("%s is taken", name)
+			t.Errorf("%s is accepted", name)
 		}
 	}
 }
--- a/internal/inflight/uses.go
+++ b/internal/inflight/uses.go
@@ -11,45 +11,52 @@
 	"github.com/loomkeel/loomkeel/internal/quota"
 )
 
-// This file has what entries tell each other of the use of organisations' limits. It goes
-// the ways of the reports of requests under way, in reports of its own: whose requests are
-// counted says UsesScope, and First and Last bound the organisations that are covered.
+// This file has the reports of the use of organisations' limits; see package quota. They go to
+// the peers that also get the reports of requests in flight, as separate reports: UsesScope
+// selects the entries whose use is reported, First and Last bound the hashes of the
+// organisations.
 
 const (
-	// maxUses bounds the organisations of one report, so that it fits a datagram; one takes
-	// up to 12 bytes.
+	// maxUses bounds the organisations of one report, so that it fits a datagram; an
+	// organisation takes up to 12 bytes.
 	maxUses = 110
-	// usePart is the part of a request per second that is told.
-	usePart = 0.1
-	// maxUse bounds what is believed of a rate, in parts, and maxCovered of the weight that a
-	// report speaks for.
-	maxUse     = 1 << 27
-	maxCovered = 1 << 24
+	// useUnit is the unit in which rates are encoded, in requests per second.
+	useUnit = 0.1
+	// maxUseUnits bounds the rates accepted from a report, in units of useUnit, and
+	// maxCovered the weight that a report may cover.
+	maxUseUnits = 1 << 27
+	maxCovered  = 1 << 24
 )
 
-// Limits is what an Exchange tells of the use of limits, and where it brings what it is told.
+// Limits holds the use of organisations' limits that an Exchange reports, and takes what
+// peers report. Reports are kept under the name of their speaker; see sourceOf.
 type Limits interface {
-	// Uses returns the use by the own entry, and what the speakers tell that are asked for.
+	// Uses returns the sum of the use reported by the speakers that from selects, and,
+	// if own is set, the use by the own entry.
 	Uses(own bool, from func(speaker string) bool, now time.Time) []quota.Use
-	// Limits reports whether there is anything to tell at all.
+	// Limits reports whether any organisation has a limit whose use is to be reported.
 	Limits() bool
-	// Covered returns the weight of the entries beside the own one that the speakers tell of.
+	// Covered returns the weight of the other entries whose use is reported by the
+	// speakers that from selects.
 	Covered(from func(speaker string) bool, now time.Time) int
-	// Heard takes in what a speaker tells.
+	// Heard takes the report of a speaker.
 	Heard(t quota.Told, now time.Time)
-	// Expect sets the weight of the own entry, and which sources there are.
+	// Expect sets the weight of the own entry and the sources from which reports are
+	// expected.
 	Expect(self int, sources []quota.Source, now time.Time)
 }
 
+// appendUses appends the encoding of the use of up to maxUses organisations.
 func appendUses(b []byte, uses []quota.Use) []byte {
 	for _, u := range uses[:min(len(uses), maxUses)] {
 		b = protowire.AppendFixed32(b, u.Organisation)
-		b = protowire.AppendVarint(b, uint64(math.Round(u.Admitted/usePart)))
-		b = protowire.AppendVarint(b, uint64(math.Round(u.Asked/usePart)))
+		b = protowire.AppendVarint(b, uint64(math.Round(u.Admitted/useUnit)))
+		b = protowire.AppendVarint(b, uint64(math.Round(u.Asked/useUnit)))
 	}
 	return b
 }
 
+// decodeUses decodes the output of appendUses.
 func decodeUses(b []byte) ([]quota.Use, error) {
 	var out []quota.Use
 	var h uint32
@@ -62,34 +69,35 @@
 		if b, err = consumeVarints(b, v[:]); err != nil {
 			return nil, err
 		}
-		if v[0] > maxUse || v[1] > maxUse {
+		if v[0] > maxUseUnits || v[1] > maxUseUnits {
 			return nil, errMalformed
 		}
-		out = append(out, quota.Use{Organisation: h, Admitted: float64(v[0]) * usePart, Asked: float64(v[1]) * usePart})
+		out = append(out, quota.Use{Organisation: h, Admitted: float64(v[0]) * useUnit, Asked: float64(v[1]) * useUnit})
 	}
 	return out, nil
 }
 
-// splitUses divides the uses into reports that fit a datagram.
+// splitUses divides uses into copies of a report that fit a datagram.
 func splitUses(r Report, uses []quota.Use) []Report {
 	return splitByHash(r, uses, maxUses, func(u quota.Use) uint32 { return u.Organisation }, func(r *Report, part []quota.Use) { r.Uses = part })
 }
 
-// tellUses tells peers the use of limits.
-func (x *Exchange) tellUses(peers []Peer, scope Scope, own bool, from func(speaker string) bool, now time.Time) {
+// sendUses reports the use of limits to peers: the use by the speakers that fromSpeaker
+// selects, and, if own is set, by the own entry.
+func (x *Exchange) sendUses(peers []Peer, scope Scope, own bool, fromSpeaker func(speaker string) bool, now time.Time) {
 	if len(peers) == 0 {
 		return
 	}
-	whole := Report{
+	template := Report{
 		Entry: x.opt.Entry, Incarnation: x.opt.Incarnation, Sequence: x.seq,
 		Scope: ScopeNone, HasUses: true, UsesScope: scope,
-		Covered: x.opt.Limits.Covered(from, now), Idle: x.idle(now),
-		Relayed: scope == ScopeOthers && x.relays,
+		Covered: x.opt.Limits.Covered(fromSpeaker, now), Idle: x.idle(now),
+		Relayed: scope == ScopeOthers && x.hasHub,
 	}
 	if own {
-		whole.Covered += x.weight
+		template.Covered += x.weight
 	}
-	for _, r := range splitUses(whole, x.opt.Limits.Uses(own, from, now)) {
+	for _, r := range splitUses(template, x.opt.Limits.Uses(own, fromSpeaker, now)) {
 		x.buf = r.Append(x.buf[:0])
 		for _, p := range peers {
 			_, _ = x.conn.WriteToUDPAddrPort(x.buf, p.Address)
@@ -97,148 +105,154 @@
 	}
 }
 
-// limits reports whether the use of limits is to be told.
-func (x *Exchange) limits() bool { return x.opt.Limits != nil && x.opt.Limits.Limits() }
+// hasLimits reports whether the use of limits is to be reported.
+func (x *Exchange) hasLimits() bool { return x.opt.Limits != nil && x.opt.Limits.Limits() }
 
-// useToAll tells all peers of a small fleet.
-func (x *Exchange) useToAll(fleet Fleet, now time.Time) {
-	if !x.limits() {
+// sendUsesToAll reports the own entry's use to all peers of a small fleet.
+func (x *Exchange) sendUsesToAll(fleet Fleet, now time.Time) {
+	if !x.hasLimits() {
 		return
 	}
 	w := fleet.weigh()
 	x.weight = w.self
 	x.opt.Limits.Expect(w.self, []quota.Source{{Name: peersSource, Weight: w.all()}}, now)
-	x.tellUses(fleet.Peers, ScopeOwn, true, nobody, now)
+	x.sendUses(fleet.Peers, ScopeOwn, true, noSpeaker, now)
 }
 
-// useByHubs tells by hubs: an entry tells its hub its own use; a hub the other hubs the sum
-// of its failure domain, and each entry of it that carries requests the sum of all others.
+// sendUsesByHubs reports the use of limits in a fleet with hubs. An entry reports its own use
+// to its hub; a hub reports the sum of its failure domain to the other hubs, and the sum of
+// all other entries to each entry of the domain that is busy or advertised.
 //
-// Entries may disagree for a while on who is hub. One that others take for theirs, but which
-// has one itself, tells that one the sum of the others, and them what that one tells. No sum
-// is made of sums that were made in the same way, or they would go round and grow.
-func (x *Exchange) useByHubs(fleet Fleet, hub Peer, busy, idle, remote []Peer, now time.Time) {
-	if !x.limits() {
+// Entries may disagree for a while on which entry is the hub. An entry that some use as their
+// hub, but which has a hub itself, reports to its hub the sum of these entries, and to them
+// the sum that its hub reported. No sum includes sums that were made in the same way: such
+// sums would go round between hubs and grow.
+func (x *Exchange) sendUsesByHubs(fleet Fleet, hub Peer, busy, idle, remote []Peer, now time.Time) {
+	if !x.hasLimits() {
 		return
 	}
 	w := fleet.weigh()
 	x.weight = w.self
-	mine := make(map[string]bool, 2*len(fleet.HubCandidates))
+	inDomain := make(map[string]bool, 2*len(fleet.HubCandidates))
 	for _, p := range fleet.HubCandidates {
-		mine[p.ID] = p.ID != hub.ID
+		inDomain[p.ID] = p.ID != hub.ID
 	}
-	below := func(speaker string) bool { return mine[speaker] }
-	told := func(p Peer) func(string) bool {
+	fromDomain := func(speaker string) bool { return inDomain[speaker] }
+	speakersFor := func(p Peer) func(string) bool {
 		return func(speaker string) bool { return speaker != p.ID }
 	}
-	x.relays = hub.ID != x.opt.Entry
-	if !x.relays {
+	x.hasHub = hub.ID != x.opt.Entry
+	if !x.hasHub {
 		x.opt.Limits.Expect(w.self, fleet.hubSources(w), now)
-		domain := func(speaker string) bool { return mine[strings.TrimSuffix(speaker, sumMark)] }
-		x.tellUses(remote, ScopeDomain, true, domain, now)
+		fromDomainOrSum := func(speaker string) bool { return inDomain[strings.TrimSuffix(speaker, sumSuffix)] }
+		x.sendUses(remote, ScopeDomain, true, fromDomainOrSum, now)
 	} else {
-		x.opt.Limits.Expect(w.self, []quota.Source{{Name: others, Weight: w.all(), Whole: true}, {Name: peersSource}}, now)
-		x.tellUses([]Peer{hub}, ScopeOwn, true, nobody, now)
+		x.opt.Limits.Expect(w.self, []quota.Source{{Name: allOthers, Weight: w.all(), Whole: true}, {Name: peersSource}}, now)
+		x.sendUses([]Peer{hub}, ScopeOwn, true, noSpeaker, now)
 		if len(busy)+len(idle) > 0 {
-			x.tellUses([]Peer{hub}, ScopeDomain, false, below, now)
+			x.sendUses([]Peer{hub}, ScopeDomain, false, fromDomain, now)
 		}
-		told = func(Peer) func(string) bool { return fromHub }
+		speakersFor = func(Peer) func(string) bool { return fromHub }
 	}
-	for _, p := range slices.Concat(busy, carriersAmong(idle)) {
-		x.tellUses([]Peer{p}, ScopeOthers, true, told(p), now)
+	for _, p := range slices.Concat(busy, advertisedAmong(idle)) {
+		x.sendUses([]Peer{p}, ScopeOthers, true, speakersFor(p), now)
 	}
 }
 
-// Names of speakers: an entry's own use goes by its id, a sum of others by that and a mark.
+// Suffixes of speaker names. The own use of an entry has the entry's id as its name; a sum
+// over several entries has the id of the entry that reports it and one of these suffixes.
 const (
-	sumMark     = "+"
-	wholeMark   = "*"
-	relayedMark = "~"
+	sumSuffix     = "+"
+	wholeSuffix   = "*"
+	relayedSuffix = "~"
 )
 
-// fromHub asks for the hub's word on all others, unless that is relayed itself.
-func fromHub(speaker string) bool { return strings.HasSuffix(speaker, wholeMark) }
+// fromHub selects the hub's sum over all other entries, except a relayed one.
+func fromHub(speaker string) bool { return strings.HasSuffix(speaker, wholeSuffix) }
 
-// peersSource names the entries that report to this one, as a source.
+// peersSource is the name of the source for the entries that report to this one.
 const peersSource = "peers"
 
-// nobody asks for no speaker.
-func nobody(string) bool { return false }
+// noSpeaker selects no speaker.
+func noSpeaker(string) bool { return false }
 
-// sourceOf names what a report of uses speaks for, and who speaks.
+// sourceOf returns the source that a report of uses covers, and the name of its speaker.
+// own has the ids of the entries of the own failure domain.
 func (x *Exchange) sourceOf(r *Report, from Peer, own map[string]bool) (source, speaker string) {
 	switch {
 	case r.UsesScope == ScopeOthers && r.Relayed:
-		return others, from.ID + relayedMark
+		return allOthers, from.ID + relayedSuffix
 	case r.UsesScope == ScopeOthers:
-		return others, from.ID + wholeMark
+		return allOthers, from.ID + wholeSuffix
 	case r.UsesScope == ScopeDomain && own[from.ID]:
-		return peersSource, from.ID + sumMark
+		return peersSource, from.ID + sumSuffix
 	case r.UsesScope == ScopeDomain:
-		return others + from.Domain, from.ID + sumMark
+		return allOthers + from.Domain, from.ID + sumSuffix
 	}
 	return peersSource, from.ID
 }
 
-// carriersOf is 1 for a peer that carries requests.
-func carriersOf(p Peer) int {
+// advertisedCount returns 1 for an advertised peer and 0 for others.
+func advertisedCount(p Peer) int {
 	if p.Advertised {
 		return 1
 	}
 	return 0
 }
 
-// carriersAmong returns the peers that carry requests.
-func carriersAmong(peers []Peer) []Peer {
+// advertisedAmong returns the peers that are advertised.
+func advertisedAmong(peers []Peer) []Peer {
 	return slices.DeleteFunc(slices.Clone(peers), func(p Peer) bool { return !p.Advertised })
 }
 
 const (
-	// carrierWeight is the weight of an entry that look-ups name in the limits.
-	carrierWeight = 1000
-	// weakShare is the part of the limits that the others have together while they are not
-	// heard. They carry few requests, and some more while those that look-ups name are lost.
-	weakShare = 0.25
+	// advertisedWeight is the weight of an advertised entry in the limits.
+	advertisedWeight = 1000
+	// unadvertisedShare is the part of the limits that is reserved for all other entries
+	// together while none of them reports. They serve few requests, and more while
+	// advertised entries are lost.
+	unadvertisedShare = 0.25
 )
 
-// weights are the parts that entries have in the limits: what is set aside for each while
-// it is not heard, and what it may admit while it hears nobody.
+// weights has the weights of entries in the limits. The weight of an entry decides which part
+// of a limit the others reserve for it while it does not report, and which part it may admit
+// itself while it gets no reports.
 type weights struct {
-	self, weak int
-	peers      []Peer
+	self, unadvertised int
+	peers              []Peer
 }
 
-// weigh returns the weights of a fleet's entries.
+// weigh returns the weights of the entries of a fleet.
 func (f *Fleet) weigh() weights {
-	w := weights{self: carrierWeight, weak: carrierWeight, peers: f.Peers}
-	weak := 0
+	w := weights{self: advertisedWeight, unadvertised: advertisedWeight, peers: f.Peers}
+	unadvertised := 0
 	for _, p := range f.Peers {
-		weak += 1 - carriersOf(p)
+		unadvertised += 1 - advertisedCount(p)
 	}
-	carriers := len(f.Peers) - weak
+	advertised := len(f.Peers) - unadvertised
 	if f.Advertised {
-		carriers++
+		advertised++
 	} else {
-		weak++
+		unadvertised++
 	}
-	if carriers > 0 && weak > 0 {
-		w.weak = max(1, int(weakShare/(1-weakShare)*carrierWeight*float64(carriers)/float64(weak)))
+	if advertised > 0 && unadvertised > 0 {
+		w.unadvertised = max(1, int(unadvertisedShare/(1-unadvertisedShare)*advertisedWeight*float64(advertised)/float64(unadvertised)))
 	}
 	if !f.Advertised {
-		w.self = w.weak
+		w.self = w.unadvertised
 	}
 	return w
 }
 
-// of is the weight of a peer.
+// of returns the weight of a peer.
 func (w weights) of(p Peer) int {
 	if p.Advertised {
-		return carrierWeight
+		return advertisedWeight
 	}
-	return w.weak
+	return w.unadvertised
 }
 
-// all is the weight of all peers.
+// all returns the sum of the weights of all peers.
 func (w weights) all() int {
 	n := 0
 	for _, p := range w.peers {
@@ -247,31 +261,31 @@
 	return n
 }
 
-// hubSources are the sources of a hub: the entries of its failure domain and the other
-// failure domains.
+// hubSources returns the sources of a hub: the entries of its failure domain together, and
+// each of the other failure domains.
 func (f *Fleet) hubSources(w weights) []quota.Source {
 	byDomain := make(map[string]int)
 	own := make(map[string]bool, len(f.HubCandidates))
 	for _, p := range f.HubCandidates {
 		own[p.ID] = true
 	}
-	mine := 0
+	ownWeight := 0
 	for _, p := range f.Peers {
 		if own[p.ID] {
-			mine += w.of(p)
+			ownWeight += w.of(p)
 		} else {
 			byDomain[p.Domain] += w.of(p)
 		}
 	}
-	out := []quota.Source{{Name: peersSource, Weight: mine}}
+	out := []quota.Source{{Name: peersSource, Weight: ownWeight}}
 	for domain, weight := range byDomain {
-		out = append(out, quota.Source{Name: others + domain, Weight: weight})
+		out = append(out, quota.Source{Name: allOthers + domain, Weight: weight})
 	}
 	return out
 }
 
-// takeUses brings in what a peer told of the use of limits.
-func (x *Exchange) takeUses(r *Report, from Peer, fleet Fleet, now time.Time) {
+// handleUses passes a peer's report of uses to Limits.
+func (x *Exchange) handleUses(r *Report, from Peer, fleet Fleet, now time.Time) {
 	if x.opt.Limits == nil {
 		return
 	}
--- a/internal/inflight/uses_hub_test.go
+++ b/internal/inflight/uses_hub_test.go
@@ -15,24 +15,26 @@
 	"github.com/loomkeel/loomkeel/internal/quota"
 )
 
-// ledger is Limits that keep what is heard, and tell one request a second of an organisation.
-type ledger struct {
-	mu   sync.Mutex
-	told map[string]quota.Told
+// fakeLimits implements Limits: it keeps the reports, and the own use is one request per second
+// of one organisation.
+type fakeLimits struct {
+	mu sync.Mutex
+	// reports has the last report by speaker.
+	reports map[string]quota.Told
 	// changed receives a value for each report.
 	changed chan struct{}
 }
 
-func (l *ledger) Limits() bool { return true }
+func (l *fakeLimits) Limits() bool { return true }
 
-func (l *ledger) Uses(own bool, from func(string) bool, _ time.Time) []quota.Use {
+func (l *fakeLimits) Uses(own bool, from func(string) bool, _ time.Time) []quota.Use {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sum := 0.0
 	if own {
 		sum = 1
 	}
-	for speaker, t := range l.told {
+	for speaker, t := range l.reports {
 		if from(speaker) && len(t.Uses) > 0 {
 			sum += t.Uses[0].Admitted
 		}
@@ -40,11 +42,11 @@
 	return []quota.Use{{Organisation: 7, Admitted: sum, Asked: sum}}
 }
 
-func (l *ledger) Covered(from func(string) bool, _ time.Time) int {
+func (l *fakeLimits) Covered(from func(string) bool, _ time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
-	for speaker, t := range l.told {
+	for speaker, t := range l.reports {
 		if from(speaker) {
 			n += t.Covered
 		}
@@ -52,25 +54,25 @@
 	return n
 }
 
-func (l *ledger) Heard(t quota.Told, _ time.Time) {
+func (l *fakeLimits) Heard(t quota.Told, _ time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.told[t.Speaker] = t
+	l.reports[t.Speaker] = t
 	select {
 	case l.changed <- struct{}{}:
 	default:
 	}
 }
 
-func (l *ledger) Expect(int, []quota.Source, time.Time) {}
+func (l *fakeLimits) Expect(int, []quota.Source, time.Time) {}
 
-// Three entries of a fleet with hubs take each other for hubs, in a ring. What they tell must
-// not grow by going round: callers of all organisations were refused for four seconds after it
-// had.
-func TestSumsDoNotGoRound(t *testing.T) {
+// Three entries of a fleet with hubs use each other as hubs, in a ring. The reported sums must
+// not grow by circulating: when they did, requests of all organisations were refused for four
+// seconds.
+func TestSumsDoNotCirculateBetweenHubs(t *testing.T) {
 	ids := []string{"a", "b", "c"}
 	exchanges := make(map[string]*Exchange)
-	ledgers := make(map[string]*ledger)
+	limits := make(map[string]*fakeLimits)
 	peers := make(map[string]Peer)
 	fleet := func(self string) func() Fleet {
 		return func() Fleet {
@@ -90,9 +92,9 @@
 		}
 	}
 	for _, id := range ids {
-		ledgers[id] = &ledger{told: make(map[string]quota.Told), changed: make(chan struct{}, 1)}
+		limits[id] = &fakeLimits{reports: make(map[string]quota.Told), changed: make(chan struct{}, 1)}
 		x, err := Listen(Options{
-			Address: "127.0.0.1:0", Entry: id, Fleet: fleet(id), Limits: ledgers[id],
+			Address: "127.0.0.1:0", Entry: id, Fleet: fleet(id), Limits: limits[id],
 			Counts: func(balance.Counted) []Count { return nil }, MaxConnIdle: func() (rest, left time.Duration) { return 0, 0 },
 			Leaving: func() bool { return false }, OnReport: func(string, *Report) {}, OnUnknownSender: func(netip.AddrPort) {},
 		})
@@ -108,23 +110,23 @@
 		go x.Run(ctx)
 	}
 	for rounds := 0; rounds < 60; {
-		for _, l := range ledgers {
+		for _, l := range limits {
 			if all := l.Uses(true, func(string) bool { return true }, t0); all[0].Admitted > 4*float64(len(ids)) {
-				t.Fatalf("%.0f requests a second are known, there are %d", all[0].Admitted, len(ids))
+				t.Fatalf("%.0f requests per second are reported, there are %d", all[0].Admitted, len(ids))
 			}
 		}
 		select {
-		case <-ledgers["a"].changed:
+		case <-limits["a"].changed:
 			rounds++
 		case <-t.Context().Done():
-			t.Fatal("nothing is told")
+			t.Fatal("no report arrived")
 		}
 	}
 }
 
-// An entry that was cut off from all others, and whose registrations then lapsed, is alone:
-// nothing of the limits is set aside for anybody any more.
-func TestAloneHasTheWholeLimit(t *testing.T) {
+// An entry that was cut off from all others, and whose registrations then expired, is the only
+// one: no part of a limit is reserved for other entries.
+func TestSingleEntryHasWholeLimit(t *testing.T) {
 	peers := []Peer{{ID: "b", Advertised: true}}
 	x := &Exchange{hubs: newHubs("a"), presence: newPresence()}
 	limits := quota.NewLimiter()
@@ -143,15 +145,15 @@
 	}
 	defer x.conn.Close()
 	missing := func(now time.Time) float64 {
-		x.send(now)
+		x.sendDue(now)
 		limits.Take("o", now)
 		return limits.Status(1, now)[0].Missing
 	}
 	if got := missing(t0.Add(time.Second)); got != 0.5 {
-		t.Errorf("beside one that is not heard %v of the limit is set aside", got)
+		t.Errorf("beside one silent entry %v of the limit is reserved, want 0.5", got)
 	}
 	peers = nil
 	if got := missing(t0.Add(2 * time.Second)); got != 0 {
-		t.Errorf("alone %v of the limit is set aside", got)
+		t.Errorf("as the only entry %v of the limit is reserved, want 0", got)
 	}
 }
--- a/internal/inflight/uses_test.go
+++ b/internal/inflight/uses_test.go
@@ -7,7 +7,7 @@
 	"github.com/loomkeel/loomkeel/internal/quota"
 )
 
-func TestUsesAreReadBack(t *testing.T) {
+func TestUsesRoundTrip(t *testing.T) {
 	want := Report{Entry: "edge-sohar-hall-12", Scope: ScopeNone, HasUses: true, UsesScope: ScopeDomain, Covered: 3, Last: allUpstreams}
 	var uses []quota.Use
 	for i := range 2*maxUses + 7 {
@@ -19,7 +19,7 @@
 	for _, r := range parts {
 		b := r.Append(nil)
 		if len(b) > maxDatagram {
-			t.Errorf("%d bytes", len(b))
+			t.Errorf("report has %d bytes, more than a datagram", len(b))
 		}
 		back, err := Decode(b)
 		if err != nil {
@@ -32,30 +32,30 @@
 		got = append(got, back.Uses...)
 	}
 	if len(parts) != 3 || next != 0 || !reflect.DeepEqual(got, uses) {
-		t.Errorf("%d reports, the last ends at %d, %d uses", len(parts), next, len(got))
+		t.Errorf("%d reports, next hash %d, %d uses", len(parts), next, len(got))
 	}
 }
 
-func TestBadUsesAreRefused(t *testing.T) {
+func TestMalformedUsesAreRefused(t *testing.T) {
 	r := Report{Entry: "e", Scope: ScopeNone, HasUses: true, Covered: maxCovered + 1, Last: allUpstreams}
 	if _, err := Decode(r.Append(nil)); err == nil {
-		t.Error("a report that speaks for too many is taken")
+		t.Error("a report that covers too large a weight is accepted")
 	}
-	r.Covered, r.Uses = 1, []quota.Use{{Organisation: 1, Admitted: maxUse}}
+	r.Covered, r.Uses = 1, []quota.Use{{Organisation: 1, Admitted: maxUseUnits}}
 	if _, err := Decode(r.Append(nil)); err == nil {
-		t.Error("a use beyond all bounds is taken")
+		t.Error("a use above maxUseUnits is accepted")
 	}
 	r.Uses = []quota.Use{{Organisation: 1, Admitted: 5, Asked: 5}}
 	whole := r.Append(nil)
 	for n := 1; n < 6; n++ {
 		if _, err := Decode(whole[:len(whole)-n]); err == nil {
-			t.Errorf("a report cut by %d bytes is taken", n)
+			t.Errorf("a report cut by %d bytes is accepted", n)
 		}
 	}
 }
 
-// Where each entry tells each other one they are all sources; a hub's are the entries of its
-// failure domain and the other domains.
+// In a fleet with direct reports all peers are one source; a hub has the entries of its failure
+// domain as one source and each of the other domains as another.
 func TestSourcesOfAHub(t *testing.T) {
 	f := Fleet{
 		Peers: []Peer{
@@ -72,10 +72,10 @@
 		t.Errorf("%v", got)
 	}
 	if w := f.weigh(); w.self != 333 || w.all() != 3666 {
-		t.Errorf("weights %d and %d", w.self, w.all())
+		t.Errorf("weights are %d and %d", w.self, w.all())
 	}
 	f.Advertised = true
-	if w := f.weigh(); w.self != carrierWeight || w.weak != 666 {
-		t.Errorf("weights %d and %d", w.self, w.weak)
+	if w := f.weigh(); w.self != advertisedWeight || w.unadvertised != 666 {
+		t.Errorf("weights are %d and %d", w.self, w.unadvertised)
 	}
 }
--- a/internal/model/capacity.go
+++ b/internal/model/capacity.go
@@ -20,11 +20,11 @@
 // upstreams and reuse connections to them, where each of many entries would open a
 // connection for nearly every request.
 func HighCapacity(members []Member) []Member {
-	best := maxResources(members)
+	maxResources := maxResources(members)
 	var out []Member
 	sum, total := 0.0, 0.0
 	for _, m := range members {
-		c := relativeCapacity(m, best)
+		c := relativeCapacity(m, maxResources)
 		total += c
 		if c >= highCapacityRatio {
 			sum += c
