--- a/internal/inflight/claim.go
+++ b/internal/inflight/claim.go
@@ -52,11 +52,11 @@
 		b = protowire.AppendTag(b, fieldCrashes, protowire.BytesType)
 		b = protowire.AppendBytes(b, crashes)
 	}
-	if c.HeldLeft > 0 {
+	if c.HoldRemaining > 0 {
 		b = protowire.AppendTag(b, fieldHeldLeft, protowire.VarintType)
-		b = protowire.AppendVarint(b, millis(c.HeldLeft))
+		b = protowire.AppendVarint(b, millis(c.HoldRemaining))
 		b = protowire.AppendTag(b, fieldHeldAge, protowire.VarintType)
-		b = protowire.AppendVarint(b, millis(c.HeldAge))
+		b = protowire.AppendVarint(b, millis(c.HoldAge))
 	}
 	if c.Answered {
 		b = protowire.AppendTag(b, fieldAnswered, protowire.VarintType)
@@ -107,7 +107,7 @@
 	if hasHead {
 		c.Head = poison.Key(head)
 	}
-	c.HeldLeft, c.HeldAge = time.Duration(heldLeft)*time.Millisecond, time.Duration(heldAge)*time.Millisecond
+	c.HoldRemaining, c.HoldAge = time.Duration(heldLeft)*time.Millisecond, time.Duration(heldAge)*time.Millisecond
 	c.AnsweredAge = time.Duration(answered) * time.Millisecond
 	return c, decodeCrashes(crashes, &c)
 }
--- a/internal/inflight/exchange.go
+++ b/internal/inflight/exchange.go
@@ -43,7 +43,7 @@
 	// Fleet returns the other entries and the hubs among them.
 	Fleet func() Fleet
 	// Counts returns the requests in flight to report.
-	Counts func(balance.Counted) []Count
+	Counts func(balance.EntryFilter) []Count
 	// MaxConnIdle returns the values of Report.MaxConnIdle and Report.MaxConnIdleLeft.
 	MaxConnIdle func() (idle, left time.Duration)
 	// Claims returns up to n Claims to report about requests that crashed upstreams; nil
@@ -152,7 +152,7 @@
 	}
 	out := make(map[string]bool)
 	for _, p := range domain {
-		if at, avoided := x.hubs.avoidedAt[p.ID]; reported[poison.SourceOf(p.ID)] || avoided && now.Sub(at) < hubAvoidTime {
+		if at, avoided := x.hubs.avoidedAt[p.ID]; reported[poison.HashEntry(p.ID)] || avoided && now.Sub(at) < hubAvoidTime {
 			out[p.ID] = true
 		}
 	}
@@ -224,7 +224,7 @@
 	case len(fleet.Peers) == 0:
 		x.sendUsesToAll(fleet, now)
 	case len(fleet.Peers) <= maxDirect:
-		x.sendReport(fleet.Peers, Report{Scope: ScopeOwn}, balance.Counted{Own: true})
+		x.sendReport(fleet.Peers, Report{Scope: ScopeOwn}, balance.EntryFilter{Own: true})
 		x.sendClaims(fleet.Peers, false)
 		x.sendPeriodicRates(fleet, fleet.Peers)
 		x.sendUsesToAll(fleet, now)
@@ -254,17 +254,17 @@
 	isHub := hub.ID == x.opt.Entry
 	x.sendUsesByHubs(fleet, hub, busy, idle, remote, now)
 	if !isHub {
-		x.sendReport([]Peer{hub}, Report{Scope: ScopeOwn, Idle: x.idle(now)}, balance.Counted{Own: true})
+		x.sendReport([]Peer{hub}, Report{Scope: ScopeOwn, Idle: x.idle(now)}, balance.EntryFilter{Own: true})
 	}
 	toReporters := Report{Scope: ScopeOthers, Absent: absent}
 	for _, p := range busy {
-		x.sendReport([]Peer{p}, toReporters, balance.Counted{Own: true, Peers: func(peer string) bool { return peer != p.ID && peer != allOthers }})
+		x.sendReport([]Peer{p}, toReporters, balance.EntryFilter{Own: true, Peers: func(peer string) bool { return peer != p.ID && peer != allOthers }})
 	}
 	if len(idle) > 0 && now.Sub(x.idleSentAt) >= idlePeriod-localPeriod/2 {
 		// Idle entries have little use for the loads of upstreams. An entry that becomes
 		// busy gets all counts within one period.
 		x.idleSentAt = now
-		x.sendReport(idle, toReporters, balance.Counted{})
+		x.sendReport(idle, toReporters, balance.EntryFilter{})
 	}
 	x.sendPeriodicRates(fleet, ratePeersByHubs(x.opt.Entry, hub, busy, idle, remote))
 	if !isHub && len(busy)+len(idle) == 0 {
@@ -276,7 +276,7 @@
 		for _, p := range append(busy, idle...) {
 			from[p.ID] = true
 		}
-		x.sendReport(remote, Report{Scope: ScopeDomain}, balance.Counted{Own: isHub, Peers: func(peer string) bool { return from[peer] }})
+		x.sendReport(remote, Report{Scope: ScopeDomain}, balance.EntryFilter{Own: isHub, Peers: func(peer string) bool { return from[peer] }})
 	}
 }
 
@@ -288,7 +288,7 @@
 	var out []uint32
 	for _, p := range domain {
 		if x.presence.leaving[p.ID] || slices.Contains(silent, p.ID) {
-			out = append(out, poison.SourceOf(p.ID))
+			out = append(out, poison.HashEntry(p.ID))
 		}
 	}
 	if len(x.hubs.reporters) > 0 {
@@ -299,7 +299,7 @@
 
 // sendReport sends a report to those of the peers that are due for one, with the counts
 // that counted selects. Send errors are ignored, as a later report replaces a lost one.
-func (x *Exchange) sendReport(peers []Peer, template Report, counted balance.Counted) {
+func (x *Exchange) sendReport(peers []Peer, template Report, counted balance.EntryFilter) {
 	remoteDue := x.remoteDue()
 	due := make([]netip.AddrPort, 0, len(peers))
 	for _, p := range peers {
@@ -421,7 +421,7 @@
 	if byHubs {
 		return r.Claims
 	}
-	sender := poison.SourceOf(r.Entry)
+	sender := poison.HashEntry(r.Entry)
 	return slices.DeleteFunc(r.Claims, func(w poison.Claim) bool { return w.Source != sender })
 }
 
--- a/internal/inflight/hub_test.go
+++ b/internal/inflight/hub_test.go
@@ -135,7 +135,7 @@
 const testUpstream = 7
 
 // counts implements Options.Counts.
-func (e *entry) counts(counted balance.Counted) []Count {
+func (e *entry) counts(counted balance.EntryFilter) []Count {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n := 0
@@ -154,7 +154,7 @@
 // onReport implements Options.OnReport.
 func (e *entry) onReport(peer string, r *Report) {
 	for _, claim := range r.Claims {
-		e.tracker.Heard(time.Now(), claim)
+		e.tracker.HandleClaim(time.Now(), claim)
 	}
 	if r.Scope == ScopeNone {
 		return
--- a/internal/inflight/rates.go
+++ b/internal/inflight/rates.go
@@ -41,17 +41,17 @@
 	// UrgentRates returns a channel that has a value when a report is to be sent at once.
 	UrgentRates() <-chan struct{}
 	// RateNews returns the limits and request counts to report.
-	RateNews(scope balance.NewsScope) []balance.RateNews
+	RateNews(scope balance.UpdateScope) []balance.LimitUpdate
 	// RateSenders returns the ids of the entries that share the limit of an upstream with
 	// this entry.
 	RateSenders() map[string]bool
 	// HeardRates takes what an incarnation of a peer has reported.
-	HeardRates(peer string, incarnation uint64, rates []balance.RateNews)
+	HeardRates(peer string, incarnation uint64, rates []balance.LimitUpdate)
 }
 
 // appendRates appends the encoding of up to maxRates limits. A limit is encoded as its units
 // plus one, where 0 means no limit.
-func appendRates(b []byte, rates []balance.RateNews) []byte {
+func appendRates(b []byte, rates []balance.LimitUpdate) []byte {
 	for _, n := range rates[:min(len(rates), maxRates)] {
 		units := uint64(0)
 		if n.PerSecond < ratelimit.Unlimited {
@@ -66,8 +66,8 @@
 }
 
 // decodeRates decodes the output of appendRates.
-func decodeRates(b []byte) ([]balance.RateNews, error) {
-	var out []balance.RateNews
+func decodeRates(b []byte) ([]balance.LimitUpdate, error) {
+	var out []balance.LimitUpdate
 	var upstream uint32
 	var v [3]uint64
 	var err error
@@ -81,7 +81,7 @@
 		if v[0] > maxRateUnits || v[1] > math.MaxUint32 || v[2] > math.MaxUint32 || len(out) == maxRates {
 			return nil, errMalformed
 		}
-		r := balance.RateNews{Upstream: upstream, PerSecond: ratelimit.Unlimited, Version: uint32(v[1]), Sent: uint32(v[2])}
+		r := balance.LimitUpdate{Upstream: upstream, PerSecond: ratelimit.Unlimited, Version: uint32(v[1]), Sent: uint32(v[2])}
 		if v[0] > 0 {
 			r.PerSecond = ratelimit.Round(float64(v[0]-1) * ratelimit.Resolution)
 		}
@@ -92,7 +92,7 @@
 
 // sendRates sends limits to peers, in as many reports as needed. It sends an empty report if
 // there are no limits, as this still confirms that the entry is present.
-func (x *Exchange) sendRates(peers []Peer, news []balance.RateNews) {
+func (x *Exchange) sendRates(peers []Peer, news []balance.LimitUpdate) {
 	for first := true; first || len(news) > 0; first = false {
 		n := min(len(news), maxRates)
 		r := Report{
@@ -110,9 +110,9 @@
 // sendUrgentRates sends unsent request counts to the other senders of their upstreams, and
 // changed limits to the peers of the periodic reports.
 func (x *Exchange) sendUrgentRates(now time.Time) {
-	news := x.opt.Rates.RateNews(balance.NewsUntold)
+	news := x.opt.Rates.RateNews(balance.UnsentUpdates)
 	x.sendRatesToSenders(x.opt.Fleet(), news, nil)
-	changed := slices.DeleteFunc(news, func(n balance.RateNews) bool { return !n.Changed })
+	changed := slices.DeleteFunc(news, func(n balance.LimitUpdate) bool { return !n.Changed })
 	if len(changed) > 0 && now.Sub(x.changesSentAt) >= changesGap {
 		x.changesSentAt = now
 		x.sendRates(x.ratePeers, changed)
@@ -140,7 +140,7 @@
 
 // sendRatesToStarted sends all limits to a peer that has started.
 func (x *Exchange) sendRatesToStarted(p Peer) {
-	if news := x.opt.Rates.RateNews(balance.NewsAll); len(news) > 0 {
+	if news := x.opt.Rates.RateNews(balance.AllUpdates); len(news) > 0 {
 		x.sendRates([]Peer{p}, news)
 	}
 }
@@ -152,9 +152,9 @@
 	if x.opt.Rates == nil || x.seq%ratesPeriods != 0 {
 		return
 	}
-	scope := balance.NewsRecent
+	scope := balance.RecentUpdates
 	if x.seq%allRatesPeriods == 0 {
-		scope = balance.NewsAll
+		scope = balance.AllUpdates
 	}
 	news := x.opt.Rates.RateNews(scope)
 	x.sendRatesToSenders(fleet, news, x.opt.Rates.RateSenders())
@@ -179,11 +179,11 @@
 // sendRatesToSenders sends each entry the news of the upstreams to which that entry may send
 // as well. The entries in always get a report in any case, which confirms that this entry is
 // present.
-func (x *Exchange) sendRatesToSenders(fleet Fleet, news []balance.RateNews, always map[string]bool) {
+func (x *Exchange) sendRatesToSenders(fleet Fleet, news []balance.LimitUpdate, always map[string]bool) {
 	if len(news)+len(always) == 0 {
 		return
 	}
-	shared := make(map[string][]balance.RateNews)
+	shared := make(map[string][]balance.LimitUpdate)
 	for _, n := range news {
 		for _, id := range n.Senders {
 			shared[id] = append(shared[id], n)
--- a/internal/inflight/report.go
+++ b/internal/inflight/report.go
@@ -65,7 +65,7 @@
 	// often to idle entries.
 	Idle bool
 	// Absent are the hashes of the ids of entries of the sender's failure domain that are
-	// stopping or silent; see poison.SourceOf. Only hubs set it.
+	// stopping or silent; see poison.HashEntry. Only hubs set it.
 	Absent []uint32
 	Counts []Count
 	// Claims are about requests that crashed upstreams. They are sent in separate reports.
@@ -74,14 +74,14 @@
 	// UsesScope selects. First and Last then bound the hashes of the organisations.
 	HasUses   bool
 	UsesScope Scope
-	Uses      []quota.Use
+	Uses      []quota.Usage
 	// Covered is the sum of the weights of the entries whose use is reported; see weights.
 	Covered int
 	// Relayed is set if the sender has the uses from another hub.
 	Relayed bool
 	// HasRates is set if the report has limits of upstreams, Rates.
 	HasRates bool
-	Rates    []balance.RateNews
+	Rates    []balance.LimitUpdate
 }
 
 // Field numbers of the encoding of a Report, a protobuf message.
--- a/internal/inflight/uses.go
+++ b/internal/inflight/uses.go
@@ -31,34 +31,34 @@
 // Limits holds the use of organisations' limits that an Exchange reports, and takes what
 // peers report. Reports are kept under the name of their speaker; see sourceOf.
 type Limits interface {
-	// Uses returns the sum of the use reported by the speakers that from selects, and,
+	// Usages returns the sum of the use reported by the speakers that from selects, and,
 	// if own is set, the use by the own entry.
-	Uses(own bool, from func(speaker string) bool, now time.Time) []quota.Use
-	// Limits reports whether any organisation has a limit whose use is to be reported.
-	Limits() bool
-	// Covered returns the weight of the other entries whose use is reported by the
+	Usages(own bool, from func(speaker string) bool, now time.Time) []quota.Usage
+	// HasLimits reports whether any organisation has a limit whose use is to be reported.
+	HasLimits() bool
+	// CoveredWeight returns the weight of the other entries whose use is reported by the
 	// speakers that from selects.
-	Covered(from func(speaker string) bool, now time.Time) int
-	// Heard takes the report of a speaker.
-	Heard(t quota.Told, now time.Time)
-	// Expect sets the weight of the own entry and the sources from which reports are
+	CoveredWeight(from func(speaker string) bool, now time.Time) int
+	// HandleReport takes the report of a speaker.
+	HandleReport(t quota.Report, now time.Time)
+	// SetSources sets the weight of the own entry and the sources from which reports are
 	// expected.
-	Expect(self int, sources []quota.Source, now time.Time)
+	SetSources(self int, sources []quota.Source, now time.Time)
 }
 
 // appendUses appends the encoding of the use of up to maxUses organisations.
-func appendUses(b []byte, uses []quota.Use) []byte {
+func appendUses(b []byte, uses []quota.Usage) []byte {
 	for _, u := range uses[:min(len(uses), maxUses)] {
 		b = protowire.AppendFixed32(b, u.Organisation)
 		b = protowire.AppendVarint(b, uint64(math.Round(u.Admitted/useUnit)))
-		b = protowire.AppendVarint(b, uint64(math.Round(u.Asked/useUnit)))
+		b = protowire.AppendVarint(b, uint64(math.Round(u.Requested/useUnit)))
 	}
 	return b
 }
 
 // decodeUses decodes the output of appendUses.
-func decodeUses(b []byte) ([]quota.Use, error) {
-	var out []quota.Use
+func decodeUses(b []byte) ([]quota.Usage, error) {
+	var out []quota.Usage
 	var h uint32
 	var v [2]uint64
 	var err error
@@ -72,14 +72,14 @@
 		if v[0] > maxUseUnits || v[1] > maxUseUnits {
 			return nil, errMalformed
 		}
-		out = append(out, quota.Use{Organisation: h, Admitted: float64(v[0]) * useUnit, Asked: float64(v[1]) * useUnit})
+		out = append(out, quota.Usage{Organisation: h, Admitted: float64(v[0]) * useUnit, Requested: float64(v[1]) * useUnit})
 	}
 	return out, nil
 }
 
 // splitUses divides uses into copies of a report that fit a datagram.
-func splitUses(r Report, uses []quota.Use) []Report {
-	return splitByHash(r, uses, maxUses, func(u quota.Use) uint32 { return u.Organisation }, func(r *Report, part []quota.Use) { r.Uses = part })
+func splitUses(r Report, uses []quota.Usage) []Report {
+	return splitByHash(r, uses, maxUses, func(u quota.Usage) uint32 { return u.Organisation }, func(r *Report, part []quota.Usage) { r.Uses = part })
 }
 
 // sendUses reports the use of limits to peers: the use by the speakers that fromSpeaker
@@ -91,13 +91,13 @@
 	template := Report{
 		Entry: x.opt.Entry, Incarnation: x.opt.Incarnation, Sequence: x.seq,
 		Scope: ScopeNone, HasUses: true, UsesScope: scope,
-		Covered: x.opt.Limits.Covered(fromSpeaker, now), Idle: x.idle(now),
+		Covered: x.opt.Limits.CoveredWeight(fromSpeaker, now), Idle: x.idle(now),
 		Relayed: scope == ScopeOthers && x.hasHub,
 	}
 	if own {
 		template.Covered += x.weight
 	}
-	for _, r := range splitUses(template, x.opt.Limits.Uses(own, fromSpeaker, now)) {
+	for _, r := range splitUses(template, x.opt.Limits.Usages(own, fromSpeaker, now)) {
 		x.buf = r.Append(x.buf[:0])
 		for _, p := range peers {
 			_, _ = x.conn.WriteToUDPAddrPort(x.buf, p.Address)
@@ -106,7 +106,7 @@
 }
 
 // hasLimits reports whether the use of limits is to be reported.
-func (x *Exchange) hasLimits() bool { return x.opt.Limits != nil && x.opt.Limits.Limits() }
+func (x *Exchange) hasLimits() bool { return x.opt.Limits != nil && x.opt.Limits.HasLimits() }
 
 // sendUsesToAll reports the own entry's use to all peers of a small fleet.
 func (x *Exchange) sendUsesToAll(fleet Fleet, now time.Time) {
@@ -115,7 +115,7 @@
 	}
 	w := fleet.weigh()
 	x.weight = w.self
-	x.opt.Limits.Expect(w.self, []quota.Source{{Name: peersSource, Weight: w.all()}}, now)
+	x.opt.Limits.SetSources(w.self, []quota.Source{{Name: peersSource, Weight: w.all()}}, now)
 	x.sendUses(fleet.Peers, ScopeOwn, true, noSpeaker, now)
 }
 
@@ -143,11 +143,11 @@
 	}
 	x.hasHub = hub.ID != x.opt.Entry
 	if !x.hasHub {
-		x.opt.Limits.Expect(w.self, fleet.hubSources(w), now)
+		x.opt.Limits.SetSources(w.self, fleet.hubSources(w), now)
 		fromDomainOrSum := func(speaker string) bool { return inDomain[strings.TrimSuffix(speaker, sumSuffix)] }
 		x.sendUses(remote, ScopeDomain, true, fromDomainOrSum, now)
 	} else {
-		x.opt.Limits.Expect(w.self, []quota.Source{{Name: allOthers, Weight: w.all(), Whole: true}, {Name: peersSource}}, now)
+		x.opt.Limits.SetSources(w.self, []quota.Source{{Name: allOthers, Weight: w.all(), Complete: true}, {Name: peersSource}}, now)
 		x.sendUses([]Peer{hub}, ScopeOwn, true, noSpeaker, now)
 		if len(busy)+len(idle) > 0 {
 			x.sendUses([]Peer{hub}, ScopeDomain, false, fromDomain, now)
@@ -293,7 +293,7 @@
 	for _, p := range fleet.HubCandidates {
 		own[p.ID] = true
 	}
-	t := quota.Told{Covered: r.Covered, Idle: r.Idle, First: r.First, Last: r.Last, Uses: r.Uses}
-	t.Source, t.Speaker = x.sourceOf(r, from, own)
-	x.opt.Limits.Heard(t, now)
+	t := quota.Report{CoveredWeight: r.Covered, Idle: r.Idle, First: r.First, Last: r.Last, Usages: r.Uses}
+	t.Source, t.Reporter = x.sourceOf(r, from, own)
+	x.opt.Limits.HandleReport(t, now)
 }
--- a/internal/inflight/uses_hub_test.go
+++ b/internal/inflight/uses_hub_test.go
@@ -20,14 +20,14 @@
 type fakeLimits struct {
 	mu sync.Mutex
 	// reports has the last report by speaker.
-	reports map[string]quota.Told
+	reports map[string]quota.Report
 	// changed receives a value for each report.
 	changed chan struct{}
 }
 
-func (l *fakeLimits) Limits() bool { return true }
+func (l *fakeLimits) HasLimits() bool { return true }
 
-func (l *fakeLimits) Uses(own bool, from func(string) bool, _ time.Time) []quota.Use {
+func (l *fakeLimits) Usages(own bool, from func(string) bool, _ time.Time) []quota.Usage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sum := 0.0
@@ -35,36 +35,36 @@
 		sum = 1
 	}
 	for speaker, t := range l.reports {
-		if from(speaker) && len(t.Uses) > 0 {
-			sum += t.Uses[0].Admitted
+		if from(speaker) && len(t.Usages) > 0 {
+			sum += t.Usages[0].Admitted
 		}
 	}
-	return []quota.Use{{Organisation: 7, Admitted: sum, Asked: sum}}
+	return []quota.Usage{{Organisation: 7, Admitted: sum, Requested: sum}}
 }
 
-func (l *fakeLimits) Covered(from func(string) bool, _ time.Time) int {
+func (l *fakeLimits) CoveredWeight(from func(string) bool, _ time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
 	for speaker, t := range l.reports {
 		if from(speaker) {
-			n += t.Covered
+			n += t.CoveredWeight
 		}
 	}
 	return n
 }
 
-func (l *fakeLimits) Heard(t quota.Told, _ time.Time) {
+func (l *fakeLimits) HandleReport(t quota.Report, _ time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.reports[t.Speaker] = t
+	l.reports[t.Reporter] = t
 	select {
 	case l.changed <- struct{}{}:
 	default:
 	}
 }
 
-func (l *fakeLimits) Expect(int, []quota.Source, time.Time) {}
+func (l *fakeLimits) SetSources(int, []quota.Source, time.Time) {}
 
 // Three entries of a fleet with hubs use each other as hubs, in a ring. The reported sums must
 // not grow by circulating: when they did, requests of all organisations were refused for four
@@ -92,10 +92,10 @@
 		}
 	}
 	for _, id := range ids {
-		limits[id] = &fakeLimits{reports: make(map[string]quota.Told), changed: make(chan struct{}, 1)}
+		limits[id] = &fakeLimits{reports: make(map[string]quota.Report), changed: make(chan struct{}, 1)}
 		x, err := Listen(Options{
 			Address: "127.0.0.1:0", Entry: id, Fleet: fleet(id), Limits: limits[id],
-			Counts: func(balance.Counted) []Count { return nil }, MaxConnIdle: func() (rest, left time.Duration) { return 0, 0 },
+			Counts: func(balance.EntryFilter) []Count { return nil }, MaxConnIdle: func() (rest, left time.Duration) { return 0, 0 },
 			Leaving: func() bool { return false }, OnReport: func(string, *Report) {}, OnUnknownSender: func(netip.AddrPort) {},
 		})
 		if err != nil {
@@ -111,7 +111,7 @@
 	}
 	for rounds := 0; rounds < 60; {
 		for _, l := range limits {
-			if all := l.Uses(true, func(string) bool { return true }, t0); all[0].Admitted > 4*float64(len(ids)) {
+			if all := l.Usages(true, func(string) bool { return true }, t0); all[0].Admitted > 4*float64(len(ids)) {
 				t.Fatalf("%.0f requests per second are reported, there are %d", all[0].Admitted, len(ids))
 			}
 		}
@@ -137,7 +137,7 @@
 	limits.Update(table, 0, t0)
 	x.opt = Options{
 		Entry: "a", Limits: limits, Fleet: func() Fleet { return Fleet{Peers: peers, Advertised: true} }, Busy: func() bool { return false },
-		Counts: func(balance.Counted) []Count { return nil }, MaxConnIdle: func() (rest, left time.Duration) { return 0, 0 },
+		Counts: func(balance.EntryFilter) []Count { return nil }, MaxConnIdle: func() (rest, left time.Duration) { return 0, 0 },
 		Leaving: func() bool { return false }, Claims: func(int, bool) []poison.Claim { return nil },
 	}
 	if x.conn, err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
@@ -147,7 +147,7 @@
 	missing := func(now time.Time) float64 {
 		x.sendDue(now)
 		limits.Take("o", now)
-		return limits.Status(1, now)[0].Missing
+		return limits.Status(1, now)[0].MissingShare
 	}
 	if got := missing(t0.Add(time.Second)); got != 0.5 {
 		t.Errorf("beside one silent entry %v of the limit is reserved, want 0.5", got)
