--- a/internal/forward/rates.go
+++ b/internal/forward/rates.go
@@ -36,11 +36,11 @@
 	}
 }
 
-// UrgentRates has a value when other entries are to hear of the limits of upstreams at once.
-func (c *Proxy) UrgentRates() <-chan struct{} { return c.rateNews }
+// UrgentUpdates has a value when other entries are to hear of the limits of upstreams at once.
+func (c *Proxy) UrgentUpdates() <-chan struct{} { return c.rateNews }
 
-// RateNews returns what to tell other entries of the limits of upstreams.
-func (c *Proxy) RateNews(scope balance.UpdateScope) []balance.LimitUpdate {
+// LimitUpdates returns what to tell other entries of the limits of upstreams.
+func (c *Proxy) LimitUpdates(scope balance.UpdateScope) []balance.LimitUpdate {
 	now := c.now()
 	var out []balance.LimitUpdate
 	for _, l := range c.allLanes() {
@@ -49,8 +49,8 @@
 	return out
 }
 
-// RateSenders returns the ids of the entries that share the limit of an upstream with this one.
-func (c *Proxy) RateSenders() map[string]bool {
+// LimitSenders returns the ids of the entries that share the limit of an upstream with this one.
+func (c *Proxy) LimitSenders() map[string]bool {
 	out := make(map[string]bool)
 	for _, l := range c.allLanes() {
 		l.group.VisitLimitSenders(func(id string) { out[id] = true })
@@ -58,8 +58,8 @@
 	return out
 }
 
-// HeardRates takes in what a peer told of the limits of upstreams in one of its lives.
-func (c *Proxy) HeardRates(peer string, life uint64, told []balance.LimitUpdate) {
+// ApplyPeerLimits takes in what a peer told of the limits of upstreams in one of its lives.
+func (c *Proxy) ApplyPeerLimits(peer string, life uint64, told []balance.LimitUpdate) {
 	now := c.now()
 	for _, l := range c.allLanes() {
 		l.group.ApplyPeerLimits(now, peer, life, told)
--- a/internal/inflight/exchange.go
+++ b/internal/inflight/exchange.go
@@ -168,7 +168,7 @@
 	defer tick.Stop()
 	var urgent <-chan struct{}
 	if x.opt.Rates != nil {
-		urgent = x.opt.Rates.UrgentRates()
+		urgent = x.opt.Rates.UrgentUpdates()
 	}
 	for {
 		select {
@@ -222,12 +222,12 @@
 	fleet := x.opt.Fleet()
 	switch {
 	case len(fleet.Peers) == 0:
-		x.sendUsesToAll(fleet, now)
+		x.sendUsagesToAll(fleet, now)
 	case len(fleet.Peers) <= maxDirect:
 		x.sendReport(fleet.Peers, Report{Scope: ScopeOwn}, balance.EntryFilter{Own: true})
 		x.sendClaims(fleet.Peers, false)
 		x.sendPeriodicRates(fleet, fleet.Peers)
-		x.sendUsesToAll(fleet, now)
+		x.sendUsagesToAll(fleet, now)
 	default:
 		x.sendByHubs(fleet, now)
 	}
@@ -252,7 +252,7 @@
 	}
 	x.mu.Unlock()
 	isHub := hub.ID == x.opt.Entry
-	x.sendUsesByHubs(fleet, hub, busy, idle, remote, now)
+	x.sendUsagesByHubs(fleet, hub, busy, idle, remote, now)
 	if !isHub {
 		x.sendReport([]Peer{hub}, Report{Scope: ScopeOwn, Idle: x.idle(now)}, balance.EntryFilter{Own: true})
 	}
@@ -382,12 +382,12 @@
 		x.noteIncarnation(p, r.Incarnation, fleet)
 		if r.HasRates {
 			if x.opt.Rates != nil {
-				x.opt.Rates.HeardRates(r.Entry, r.Incarnation, r.Rates)
+				x.opt.Rates.ApplyPeerLimits(r.Entry, r.Incarnation, r.Rates)
 			}
 			return
 		}
-		if r.HasUses {
-			x.handleUses(r, p, fleet, now)
+		if r.HasUsages {
+			x.handleUsages(r, p, fleet, now)
 			return
 		}
 		if r.Scope == ScopeNone {
--- a/internal/inflight/hub_test.go
+++ b/internal/inflight/hub_test.go
@@ -270,7 +270,7 @@
 }
 
 // noMaxConnIdle implements Options.MaxConnIdle without a limit.
-func noMaxConnIdle() (rest, left time.Duration) { return 0, 0 }
+func noMaxConnIdle() (idle, left time.Duration) { return 0, 0 }
 
 // fleetFor returns the fleet as seen by one of its entries.
 func fleetFor(self *entry, all []*entry) Fleet {
--- a/internal/inflight/rates.go
+++ b/internal/inflight/rates.go
@@ -22,7 +22,7 @@
 	// maxRateUnits bounds the limits accepted from a report, in units of
 	// ratelimit.Resolution.
 	maxRateUnits = 1 << 50
-	// ratesPeriods is the number of localPeriods between two reports that confirm to other
+	// ratesPeriods is the number of periods (localPeriod) between two reports that confirm to other
 	// senders that this entry is present, allRatesPeriods the number between two reports of
 	// all limits.
 	ratesPeriods    = 2
@@ -38,15 +38,15 @@
 // Rates holds the limits of upstreams that an Exchange reports, and takes the limits and
 // counts that peers report.
 type Rates interface {
-	// UrgentRates returns a channel that has a value when a report is to be sent at once.
-	UrgentRates() <-chan struct{}
-	// RateNews returns the limits and request counts to report.
-	RateNews(scope balance.UpdateScope) []balance.LimitUpdate
-	// RateSenders returns the ids of the entries that share the limit of an upstream with
+	// UrgentUpdates returns a channel that has a value when a report is to be sent at once.
+	UrgentUpdates() <-chan struct{}
+	// LimitUpdates returns the limits and request counts to report.
+	LimitUpdates(scope balance.UpdateScope) []balance.LimitUpdate
+	// LimitSenders returns the ids of the entries that share the limit of an upstream with
 	// this entry.
-	RateSenders() map[string]bool
-	// HeardRates takes what an incarnation of a peer has reported.
-	HeardRates(peer string, incarnation uint64, rates []balance.LimitUpdate)
+	LimitSenders() map[string]bool
+	// ApplyPeerLimits takes what an incarnation of a peer has reported.
+	ApplyPeerLimits(peer string, incarnation uint64, rates []balance.LimitUpdate)
 }
 
 // appendRates appends the encoding of up to maxRates limits. A limit is encoded as its units
@@ -92,14 +92,14 @@
 
 // sendRates sends limits to peers, in as many reports as needed. It sends an empty report if
 // there are no limits, as this still confirms that the entry is present.
-func (x *Exchange) sendRates(peers []Peer, news []balance.LimitUpdate) {
-	for first := true; first || len(news) > 0; first = false {
-		n := min(len(news), maxRates)
+func (x *Exchange) sendRates(peers []Peer, updates []balance.LimitUpdate) {
+	for first := true; first || len(updates) > 0; first = false {
+		n := min(len(updates), maxRates)
 		r := Report{
 			Entry: x.opt.Entry, Incarnation: x.opt.Incarnation, Sequence: x.seq,
-			Scope: ScopeNone, Last: allUpstreams, HasRates: true, Rates: news[:n],
+			Scope: ScopeNone, Last: allUpstreams, HasRates: true, Rates: updates[:n],
 		}
-		news = news[n:]
+		updates = updates[n:]
 		x.buf = r.Append(x.buf[:0])
 		for _, p := range peers {
 			_, _ = x.conn.WriteToUDPAddrPort(x.buf, p.Address)
@@ -110,9 +110,9 @@
 // sendUrgentRates sends unsent request counts to the other senders of their upstreams, and
 // changed limits to the peers of the periodic reports.
 func (x *Exchange) sendUrgentRates(now time.Time) {
-	news := x.opt.Rates.RateNews(balance.UnsentUpdates)
-	x.sendRatesToSenders(x.opt.Fleet(), news, nil)
-	changed := slices.DeleteFunc(news, func(n balance.LimitUpdate) bool { return !n.Changed })
+	updates := x.opt.Rates.LimitUpdates(balance.UnsentUpdates)
+	x.sendRatesToSenders(x.opt.Fleet(), updates, nil)
+	changed := slices.DeleteFunc(updates, func(n balance.LimitUpdate) bool { return !n.Changed })
 	if len(changed) > 0 && now.Sub(x.changesSentAt) >= changesGap {
 		x.changesSentAt = now
 		x.sendRates(x.ratePeers, changed)
@@ -140,8 +140,8 @@
 
 // sendRatesToStarted sends all limits to a peer that has started.
 func (x *Exchange) sendRatesToStarted(p Peer) {
-	if news := x.opt.Rates.RateNews(balance.AllUpdates); len(news) > 0 {
-		x.sendRates([]Peer{p}, news)
+	if updates := x.opt.Rates.LimitUpdates(balance.AllUpdates); len(updates) > 0 {
+		x.sendRates([]Peer{p}, updates)
 	}
 }
 
@@ -156,15 +156,15 @@
 	if x.seq%allRatesPeriods == 0 {
 		scope = balance.AllUpdates
 	}
-	news := x.opt.Rates.RateNews(scope)
-	x.sendRatesToSenders(fleet, news, x.opt.Rates.RateSenders())
-	if len(news) > 0 {
-		x.sendRates(to, news)
+	updates := x.opt.Rates.LimitUpdates(scope)
+	x.sendRatesToSenders(fleet, updates, x.opt.Rates.LimitSenders())
+	if len(updates) > 0 {
+		x.sendRates(to, updates)
 	}
 }
 
-// ratePeersByHubs returns the peers to which an entry of a fleet with hubs sends limits: the
-// hub, or, if it acts as a hub itself, its reporters and the other hubs.
+// ratePeersByHubs returns the peers to which an entry of a fleet with hubs sends limits: its
+// hub, and, if it acts as a hub, its reporters and the hubs of the other failure domains.
 func ratePeersByHubs(self string, hub Peer, busy, idle, remote []Peer) []Peer {
 	out := slices.Concat(busy, idle)
 	if hub.ID != self {
@@ -176,15 +176,15 @@
 	return out
 }
 
-// sendRatesToSenders sends each entry the news of the upstreams to which that entry may send
+// sendRatesToSenders sends each entry the updates of the upstreams to which that entry may send
 // as well. The entries in always get a report in any case, which confirms that this entry is
 // present.
-func (x *Exchange) sendRatesToSenders(fleet Fleet, news []balance.LimitUpdate, always map[string]bool) {
-	if len(news)+len(always) == 0 {
+func (x *Exchange) sendRatesToSenders(fleet Fleet, updates []balance.LimitUpdate, always map[string]bool) {
+	if len(updates)+len(always) == 0 {
 		return
 	}
 	shared := make(map[string][]balance.LimitUpdate)
-	for _, n := range news {
+	for _, n := range updates {
 		for _, id := range n.Senders {
 			shared[id] = append(shared[id], n)
 		}
--- a/internal/inflight/rates_test.go
+++ b/internal/inflight/rates_test.go
@@ -16,31 +16,31 @@
 type fakeRates struct {
 	mu       sync.Mutex
 	register ratelimit.Register
-	untold   bool
+	unsent   bool
 	urgent   chan struct{}
 }
 
 func newFakeRates() *fakeRates { return &fakeRates{urgent: make(chan struct{}, 1)} }
 
-func (b *fakeRates) UrgentRates() <-chan struct{} { return b.urgent }
+func (b *fakeRates) UrgentUpdates() <-chan struct{} { return b.urgent }
 
-func (b *fakeRates) RateNews(scope balance.UpdateScope) []balance.LimitUpdate {
+func (b *fakeRates) LimitUpdates(scope balance.UpdateScope) []balance.LimitUpdate {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.register.Version() == 0 || scope == balance.UnsentUpdates && !b.untold {
+	if b.register.Version() == 0 || scope == balance.UnsentUpdates && !b.unsent {
 		return nil
 	}
-	n := balance.LimitUpdate{Upstream: testUpstream, PerSecond: b.register.PerSecond(), Version: b.register.Version(), Changed: b.untold}
-	b.untold = false
+	n := balance.LimitUpdate{Upstream: testUpstream, PerSecond: b.register.PerSecond(), Version: b.register.Version(), Changed: b.unsent}
+	b.unsent = false
 	return []balance.LimitUpdate{n}
 }
 
-func (b *fakeRates) RateSenders() map[string]bool { return nil }
+func (b *fakeRates) LimitSenders() map[string]bool { return nil }
 
-func (b *fakeRates) HeardRates(_ string, _ uint64, told []balance.LimitUpdate) {
+func (b *fakeRates) ApplyPeerLimits(_ string, _ uint64, updates []balance.LimitUpdate) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, n := range told {
+	for _, n := range updates {
 		if b.register.Merge(n.PerSecond, n.Version, time.Now()) == ratelimit.MergeAdopted {
 			b.limitChanged()
 		}
@@ -59,7 +59,7 @@
 
 // limitChanged requests an urgent report. The caller holds b.mu.
 func (b *fakeRates) limitChanged() {
-	b.untold = true
+	b.unsent = true
 	select {
 	case b.urgent <- struct{}{}:
 	default:
--- a/internal/inflight/report.go
+++ b/internal/inflight/report.go
@@ -40,7 +40,7 @@
 	ScopeDomain
 	// ScopeOthers is the requests of all entries except the receiver.
 	ScopeOthers
-	// ScopeNone is no requests: the report has only Claims, Uses or Rates.
+	// ScopeNone is no requests: the report has only Claims, Usages or Rates.
 	ScopeNone
 )
 
@@ -70,14 +70,14 @@
 	Counts []Count
 	// Claims are about requests that crashed upstreams. They are sent in separate reports.
 	Claims []poison.Claim
-	// HasUses is set if the report has the use of limits, Uses, by the entries that
+	// HasUsages is set if the report has the use of limits, Usages, by the entries that
 	// UsesScope selects. First and Last then bound the hashes of the organisations.
-	HasUses   bool
-	UsesScope Scope
-	Uses      []quota.Usage
+	HasUsages   bool
+	UsagesScope Scope
+	Usages      []quota.Usage
 	// Covered is the sum of the weights of the entries whose use is reported; see weights.
 	Covered int
-	// Relayed is set if the sender has the uses from another hub.
+	// Relayed is set if the sender has the usages from another hub.
 	Relayed bool
 	// HasRates is set if the report has limits of upstreams, Rates.
 	HasRates bool
@@ -101,8 +101,8 @@
 	fieldIdle            = 13
 	fieldAbsent          = 14
 	fieldClaim           = 15
-	fieldUsesScope       = 16
-	fieldUses            = 17
+	fieldUsagesScope     = 16
+	fieldUsages          = 17
 	fieldCovered         = 18
 	fieldRelayed         = 19
 	fieldRates           = 20
@@ -196,17 +196,17 @@
 	b = protowire.AppendTag(b, fieldRequests, protowire.BytesType)
 	b = protowire.AppendBytes(b, requests)
 	b = appendFailures(b, counts)
-	if r.HasUses {
-		b = protowire.AppendTag(b, fieldUsesScope, protowire.VarintType)
-		b = protowire.AppendVarint(b, uint64(r.UsesScope))
+	if r.HasUsages {
+		b = protowire.AppendTag(b, fieldUsagesScope, protowire.VarintType)
+		b = protowire.AppendVarint(b, uint64(r.UsagesScope))
 		b = protowire.AppendTag(b, fieldCovered, protowire.VarintType)
 		b = protowire.AppendVarint(b, uint64(r.Covered))
 		if r.Relayed {
 			b = protowire.AppendTag(b, fieldRelayed, protowire.VarintType)
 			b = protowire.AppendVarint(b, 1)
 		}
-		b = protowire.AppendTag(b, fieldUses, protowire.BytesType)
-		b = protowire.AppendBytes(b, appendUses(nil, r.Uses))
+		b = protowire.AppendTag(b, fieldUsages, protowire.BytesType)
+		b = protowire.AppendBytes(b, appendUsages(nil, r.Usages))
 	}
 	if r.HasRates {
 		b = protowire.AppendTag(b, fieldRates, protowire.BytesType)
@@ -265,9 +265,9 @@
 // Decode decodes a report and checks the ranges of its values. Unknown fields are skipped.
 func Decode(b []byte) (*Report, error) {
 	r := &Report{Last: allUpstreams}
-	var upstreams, requests, failures, absent, claim, uses, rates []byte
+	var upstreams, requests, failures, absent, claim, usages, rates []byte
 	var claims [][]byte
-	var relayed, covered, usesScope, scope, maxConnIdle, maxConnIdleLeft, leaving, idle uint64
+	var relayed, covered, usagesScope, scope, maxConnIdle, maxConnIdleLeft, leaving, idle uint64
 	err := eachField(b, func(field protowire.Number, kind protowire.Type, b []byte) (n int) {
 		switch {
 		case field == fieldEntry && kind == protowire.BytesType:
@@ -297,15 +297,15 @@
 		case field == fieldClaim && kind == protowire.BytesType:
 			claim, n = protowire.ConsumeBytes(b)
 			claims = append(claims, claim)
-		case field == fieldUsesScope && kind == protowire.VarintType:
-			usesScope, n = protowire.ConsumeVarint(b)
-			r.HasUses = true
+		case field == fieldUsagesScope && kind == protowire.VarintType:
+			usagesScope, n = protowire.ConsumeVarint(b)
+			r.HasUsages = true
 		case field == fieldCovered && kind == protowire.VarintType:
 			covered, n = protowire.ConsumeVarint(b)
 		case field == fieldRelayed && kind == protowire.VarintType:
 			relayed, n = protowire.ConsumeVarint(b)
-		case field == fieldUses && kind == protowire.BytesType:
-			uses, n = protowire.ConsumeBytes(b)
+		case field == fieldUsages && kind == protowire.BytesType:
+			usages, n = protowire.ConsumeBytes(b)
 		case field == fieldRates && kind == protowire.BytesType:
 			rates, n = protowire.ConsumeBytes(b)
 			r.HasRates = true
@@ -321,7 +321,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if covered > maxCovered || usesScope >= uint64(ScopeNone) || scope > uint64(ScopeNone) || r.First > r.Last || maxConnIdle > maxConnIdleMillis || maxConnIdleLeft > maxConnIdleMillis {
+	if covered > maxCovered || usagesScope >= uint64(ScopeNone) || scope > uint64(ScopeNone) || r.First > r.Last || maxConnIdle > maxConnIdleMillis || maxConnIdleLeft > maxConnIdleMillis {
 		return nil, errMalformed
 	}
 	r.Scope, r.Leaving, r.Idle = Scope(scope), leaving != 0, idle != 0
@@ -329,8 +329,8 @@
 	if err := r.decodeCounts(upstreams, requests); err != nil {
 		return nil, err
 	}
-	r.UsesScope, r.Covered, r.Relayed = Scope(usesScope), int(covered), relayed != 0
-	if r.Uses, err = decodeUses(uses); err != nil {
+	r.UsagesScope, r.Covered, r.Relayed = Scope(usagesScope), int(covered), relayed != 0
+	if r.Usages, err = decodeUsages(usages); err != nil {
 		return nil, err
 	}
 	if r.Rates, err = decodeRates(rates); err != nil {
--- a/internal/inflight/uses.go
+++ b/internal/inflight/usages.go
@@ -17,47 +17,47 @@
 // organisations.
 
 const (
-	// maxUses bounds the organisations of one report, so that it fits a datagram; an
+	// maxUsages bounds the organisations of one report, so that it fits a datagram; an
 	// organisation takes up to 12 bytes.
-	maxUses = 110
-	// useUnit is the unit in which rates are encoded, in requests per second.
-	useUnit = 0.1
-	// maxUseUnits bounds the rates accepted from a report, in units of useUnit, and
+	maxUsages = 110
+	// usageUnit is the unit in which rates are encoded, in requests per second.
+	usageUnit = 0.1
+	// maxUsageUnits bounds the rates accepted from a report, in units of usageUnit, and
 	// maxCovered the weight that a report may cover.
-	maxUseUnits = 1 << 27
-	maxCovered  = 1 << 24
+	maxUsageUnits = 1 << 27
+	maxCovered    = 1 << 24
 )
 
 // Limits holds the use of organisations' limits that an Exchange reports, and takes what
-// peers report. Reports are kept under the name of their speaker; see sourceOf.
+// peers report. Reports are kept under the name of their reporter; see sourceOf.
 type Limits interface {
-	// Usages returns the sum of the use reported by the speakers that from selects, and,
+	// Usages returns the sum of the use that the reporters selected by from have reported, and,
 	// if own is set, the use by the own entry.
-	Usages(own bool, from func(speaker string) bool, now time.Time) []quota.Usage
+	Usages(own bool, from func(reporter string) bool, now time.Time) []quota.Usage
 	// HasLimits reports whether any organisation has a limit whose use is to be reported.
 	HasLimits() bool
 	// CoveredWeight returns the weight of the other entries whose use is reported by the
-	// speakers that from selects.
-	CoveredWeight(from func(speaker string) bool, now time.Time) int
-	// HandleReport takes the report of a speaker.
+	// reporters that from selects.
+	CoveredWeight(from func(reporter string) bool, now time.Time) int
+	// HandleReport takes the report of a reporter.
 	HandleReport(t quota.Report, now time.Time)
 	// SetSources sets the weight of the own entry and the sources from which reports are
 	// expected.
 	SetSources(self int, sources []quota.Source, now time.Time)
 }
 
-// appendUses appends the encoding of the use of up to maxUses organisations.
-func appendUses(b []byte, uses []quota.Usage) []byte {
-	for _, u := range uses[:min(len(uses), maxUses)] {
+// appendUsages appends the encoding of the use of up to maxUsages organisations.
+func appendUsages(b []byte, usages []quota.Usage) []byte {
+	for _, u := range usages[:min(len(usages), maxUsages)] {
 		b = protowire.AppendFixed32(b, u.Organisation)
-		b = protowire.AppendVarint(b, uint64(math.Round(u.Admitted/useUnit)))
-		b = protowire.AppendVarint(b, uint64(math.Round(u.Requested/useUnit)))
+		b = protowire.AppendVarint(b, uint64(math.Round(u.Admitted/usageUnit)))
+		b = protowire.AppendVarint(b, uint64(math.Round(u.Requested/usageUnit)))
 	}
 	return b
 }
 
-// decodeUses decodes the output of appendUses.
-func decodeUses(b []byte) ([]quota.Usage, error) {
+// decodeUsages decodes the output of appendUsages.
+func decodeUsages(b []byte) ([]quota.Usage, error) {
 	var out []quota.Usage
 	var h uint32
 	var v [2]uint64
@@ -69,35 +69,35 @@
 		if b, err = consumeVarints(b, v[:]); err != nil {
 			return nil, err
 		}
-		if v[0] > maxUseUnits || v[1] > maxUseUnits {
+		if v[0] > maxUsageUnits || v[1] > maxUsageUnits {
 			return nil, errMalformed
 		}
-		out = append(out, quota.Usage{Organisation: h, Admitted: float64(v[0]) * useUnit, Requested: float64(v[1]) * useUnit})
+		out = append(out, quota.Usage{Organisation: h, Admitted: float64(v[0]) * usageUnit, Requested: float64(v[1]) * usageUnit})
 	}
 	return out, nil
 }
 
-// splitUses divides uses into copies of a report that fit a datagram.
-func splitUses(r Report, uses []quota.Usage) []Report {
-	return splitByHash(r, uses, maxUses, func(u quota.Usage) uint32 { return u.Organisation }, func(r *Report, part []quota.Usage) { r.Uses = part })
+// splitUsages divides usages into copies of a report that fit a datagram.
+func splitUsages(r Report, usages []quota.Usage) []Report {
+	return splitByHash(r, usages, maxUsages, func(u quota.Usage) uint32 { return u.Organisation }, func(r *Report, part []quota.Usage) { r.Usages = part })
 }
 
-// sendUses reports the use of limits to peers: the use by the speakers that fromSpeaker
+// sendUsages reports the use of limits to peers: the use by the reporters that fromReporter
 // selects, and, if own is set, by the own entry.
-func (x *Exchange) sendUses(peers []Peer, scope Scope, own bool, fromSpeaker func(speaker string) bool, now time.Time) {
+func (x *Exchange) sendUsages(peers []Peer, scope Scope, own bool, fromReporter func(reporter string) bool, now time.Time) {
 	if len(peers) == 0 {
 		return
 	}
 	template := Report{
 		Entry: x.opt.Entry, Incarnation: x.opt.Incarnation, Sequence: x.seq,
-		Scope: ScopeNone, HasUses: true, UsesScope: scope,
-		Covered: x.opt.Limits.CoveredWeight(fromSpeaker, now), Idle: x.idle(now),
+		Scope: ScopeNone, HasUsages: true, UsagesScope: scope,
+		Covered: x.opt.Limits.CoveredWeight(fromReporter, now), Idle: x.idle(now),
 		Relayed: scope == ScopeOthers && x.hasHub,
 	}
 	if own {
 		template.Covered += x.weight
 	}
-	for _, r := range splitUses(template, x.opt.Limits.Usages(own, fromSpeaker, now)) {
+	for _, r := range splitUsages(template, x.opt.Limits.Usages(own, fromReporter, now)) {
 		x.buf = r.Append(x.buf[:0])
 		for _, p := range peers {
 			_, _ = x.conn.WriteToUDPAddrPort(x.buf, p.Address)
@@ -108,18 +108,18 @@
 // hasLimits reports whether the use of limits is to be reported.
 func (x *Exchange) hasLimits() bool { return x.opt.Limits != nil && x.opt.Limits.HasLimits() }
 
-// sendUsesToAll reports the own entry's use to all peers of a small fleet.
-func (x *Exchange) sendUsesToAll(fleet Fleet, now time.Time) {
+// sendUsagesToAll reports the own entry's use to all peers of a small fleet.
+func (x *Exchange) sendUsagesToAll(fleet Fleet, now time.Time) {
 	if !x.hasLimits() {
 		return
 	}
 	w := fleet.weigh()
 	x.weight = w.self
 	x.opt.Limits.SetSources(w.self, []quota.Source{{Name: peersSource, Weight: w.all()}}, now)
-	x.sendUses(fleet.Peers, ScopeOwn, true, noSpeaker, now)
+	x.sendUsages(fleet.Peers, ScopeOwn, true, noReporter, now)
 }
 
-// sendUsesByHubs reports the use of limits in a fleet with hubs. An entry reports its own use
+// sendUsagesByHubs reports the use of limits in a fleet with hubs. An entry reports its own use
 // to its hub; a hub reports the sum of its failure domain to the other hubs, and the sum of
 // all other entries to each entry of the domain that is busy or advertised.
 //
@@ -127,7 +127,7 @@
 // hub, but which has a hub itself, reports to its hub the sum of these entries, and to them
 // the sum that its hub reported. No sum includes sums that were made in the same way: such
 // sums would go round between hubs and grow.
-func (x *Exchange) sendUsesByHubs(fleet Fleet, hub Peer, busy, idle, remote []Peer, now time.Time) {
+func (x *Exchange) sendUsagesByHubs(fleet Fleet, hub Peer, busy, idle, remote []Peer, now time.Time) {
 	if !x.hasLimits() {
 		return
 	}
@@ -137,29 +137,29 @@
 	for _, p := range fleet.HubCandidates {
 		inDomain[p.ID] = p.ID != hub.ID
 	}
-	fromDomain := func(speaker string) bool { return inDomain[speaker] }
-	speakersFor := func(p Peer) func(string) bool {
-		return func(speaker string) bool { return speaker != p.ID }
+	fromDomain := func(reporter string) bool { return inDomain[reporter] }
+	reportersFor := func(p Peer) func(string) bool {
+		return func(reporter string) bool { return reporter != p.ID }
 	}
 	x.hasHub = hub.ID != x.opt.Entry
 	if !x.hasHub {
 		x.opt.Limits.SetSources(w.self, fleet.hubSources(w), now)
-		fromDomainOrSum := func(speaker string) bool { return inDomain[strings.TrimSuffix(speaker, sumSuffix)] }
-		x.sendUses(remote, ScopeDomain, true, fromDomainOrSum, now)
+		fromDomainOrSum := func(reporter string) bool { return inDomain[strings.TrimSuffix(reporter, sumSuffix)] }
+		x.sendUsages(remote, ScopeDomain, true, fromDomainOrSum, now)
 	} else {
 		x.opt.Limits.SetSources(w.self, []quota.Source{{Name: allOthers, Weight: w.all(), Complete: true}, {Name: peersSource}}, now)
-		x.sendUses([]Peer{hub}, ScopeOwn, true, noSpeaker, now)
+		x.sendUsages([]Peer{hub}, ScopeOwn, true, noReporter, now)
 		if len(busy)+len(idle) > 0 {
-			x.sendUses([]Peer{hub}, ScopeDomain, false, fromDomain, now)
+			x.sendUsages([]Peer{hub}, ScopeDomain, false, fromDomain, now)
 		}
-		speakersFor = func(Peer) func(string) bool { return fromHub }
+		reportersFor = func(Peer) func(string) bool { return fromHub }
 	}
 	for _, p := range slices.Concat(busy, advertisedAmong(idle)) {
-		x.sendUses([]Peer{p}, ScopeOthers, true, speakersFor(p), now)
+		x.sendUsages([]Peer{p}, ScopeOthers, true, reportersFor(p), now)
 	}
 }
 
-// Suffixes of speaker names. The own use of an entry has the entry's id as its name; a sum
+// Suffixes of reporter names. The own use of an entry has the entry's id as its name; a sum
 // over several entries has the id of the entry that reports it and one of these suffixes.
 const (
 	sumSuffix     = "+"
@@ -168,25 +168,25 @@
 )
 
 // fromHub selects the hub's sum over all other entries, except a relayed one.
-func fromHub(speaker string) bool { return strings.HasSuffix(speaker, wholeSuffix) }
+func fromHub(reporter string) bool { return strings.HasSuffix(reporter, wholeSuffix) }
 
 // peersSource is the name of the source for the entries that report to this one.
 const peersSource = "peers"
 
-// noSpeaker selects no speaker.
-func noSpeaker(string) bool { return false }
+// noReporter selects no reporter.
+func noReporter(string) bool { return false }
 
-// sourceOf returns the source that a report of uses covers, and the name of its speaker.
+// sourceOf returns the source that a report of usages covers, and the name of its reporter.
 // own has the ids of the entries of the own failure domain.
-func (x *Exchange) sourceOf(r *Report, from Peer, own map[string]bool) (source, speaker string) {
+func (x *Exchange) sourceOf(r *Report, from Peer, own map[string]bool) (source, reporter string) {
 	switch {
-	case r.UsesScope == ScopeOthers && r.Relayed:
+	case r.UsagesScope == ScopeOthers && r.Relayed:
 		return allOthers, from.ID + relayedSuffix
-	case r.UsesScope == ScopeOthers:
+	case r.UsagesScope == ScopeOthers:
 		return allOthers, from.ID + wholeSuffix
-	case r.UsesScope == ScopeDomain && own[from.ID]:
+	case r.UsagesScope == ScopeDomain && own[from.ID]:
 		return peersSource, from.ID + sumSuffix
-	case r.UsesScope == ScopeDomain:
+	case r.UsagesScope == ScopeDomain:
 		return allOthers + from.Domain, from.ID + sumSuffix
 	}
 	return peersSource, from.ID
@@ -284,8 +284,8 @@
 	return out
 }
 
-// handleUses passes a peer's report of uses to Limits.
-func (x *Exchange) handleUses(r *Report, from Peer, fleet Fleet, now time.Time) {
+// handleUsages passes a peer's report of usages to Limits.
+func (x *Exchange) handleUsages(r *Report, from Peer, fleet Fleet, now time.Time) {
 	if x.opt.Limits == nil {
 		return
 	}
@@ -293,7 +293,7 @@
 	for _, p := range fleet.HubCandidates {
 		own[p.ID] = true
 	}
-	t := quota.Report{CoveredWeight: r.Covered, Idle: r.Idle, First: r.First, Last: r.Last, Usages: r.Uses}
+	t := quota.Report{CoveredWeight: r.Covered, Idle: r.Idle, First: r.First, Last: r.Last, Usages: r.Usages}
 	t.Source, t.Reporter = x.sourceOf(r, from, own)
 	x.opt.Limits.HandleReport(t, now)
 }
--- a/internal/inflight/uses_hub_test.go
+++ b/internal/inflight/usages_hub_test.go
@@ -19,7 +19,7 @@
 // of one organisation.
 type fakeLimits struct {
 	mu sync.Mutex
-	// reports has the last report by speaker.
+	// reports has the last report by reporter.
 	reports map[string]quota.Report
 	// changed receives a value for each report.
 	changed chan struct{}
@@ -34,8 +34,8 @@
 	if own {
 		sum = 1
 	}
-	for speaker, t := range l.reports {
-		if from(speaker) && len(t.Usages) > 0 {
+	for reporter, t := range l.reports {
+		if from(reporter) && len(t.Usages) > 0 {
 			sum += t.Usages[0].Admitted
 		}
 	}
@@ -46,8 +46,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
-	for speaker, t := range l.reports {
-		if from(speaker) {
+	for reporter, t := range l.reports {
+		if from(reporter) {
 			n += t.CoveredWeight
 		}
 	}
@@ -95,7 +95,7 @@
 		limits[id] = &fakeLimits{reports: make(map[string]quota.Report), changed: make(chan struct{}, 1)}
 		x, err := Listen(Options{
 			Address: "127.0.0.1:0", Entry: id, Fleet: fleet(id), Limits: limits[id],
-			Counts: func(balance.EntryFilter) []Count { return nil }, MaxConnIdle: func() (rest, left time.Duration) { return 0, 0 },
+			Counts: func(balance.EntryFilter) []Count { return nil }, MaxConnIdle: func() (idle, left time.Duration) { return 0, 0 },
 			Leaving: func() bool { return false }, OnReport: func(string, *Report) {}, OnUnknownSender: func(netip.AddrPort) {},
 		})
 		if err != nil {
@@ -137,7 +137,7 @@
 	limits.Update(table, 0, t0)
 	x.opt = Options{
 		Entry: "a", Limits: limits, Fleet: func() Fleet { return Fleet{Peers: peers, Advertised: true} }, Busy: func() bool { return false },
-		Counts: func(balance.EntryFilter) []Count { return nil }, MaxConnIdle: func() (rest, left time.Duration) { return 0, 0 },
+		Counts: func(balance.EntryFilter) []Count { return nil }, MaxConnIdle: func() (idle, left time.Duration) { return 0, 0 },
 		Leaving: func() bool { return false }, Claims: func(int, bool) []poison.Claim { return nil },
 	}
 	if x.conn, err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
--- a/internal/inflight/uses_test.go
+++ b/internal/inflight/usages_test.go
@@ -7,15 +7,15 @@
 	"github.com/loomkeel/loomkeel/internal/quota"
 )
 
-func TestUsesRoundTrip(t *testing.T) {
-	want := Report{Entry: "edge-sohar-hall-12", Scope: ScopeNone, HasUses: true, UsesScope: ScopeDomain, Covered: 3, Last: allUpstreams}
-	var uses []quota.Usage
-	for i := range 2*maxUses + 7 {
-		uses = append(uses, quota.Usage{Organisation: uint32(i) << 20, Admitted: 100_000, Requested: 200_000.5})
+func TestUsagesRoundTrip(t *testing.T) {
+	want := Report{Entry: "edge-sohar-hall-12", Scope: ScopeNone, HasUsages: true, UsagesScope: ScopeDomain, Covered: 3, Last: allUpstreams}
+	var usages []quota.Usage
+	for i := range 2*maxUsages + 7 {
+		usages = append(usages, quota.Usage{Organisation: uint32(i) << 20, Admitted: 100_000, Requested: 200_000.5})
 	}
 	var got []quota.Usage
 	next := uint32(0)
-	parts := splitUses(want, uses)
+	parts := splitUsages(want, usages)
 	for _, r := range parts {
 		b := r.Append(nil)
 		if len(b) > maxDatagram {
@@ -25,27 +25,27 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !back.HasUses || back.UsesScope != ScopeDomain || back.Covered != 3 || back.First != next {
+		if !back.HasUsages || back.UsagesScope != ScopeDomain || back.Covered != 3 || back.First != next {
 			t.Errorf("%+v", back)
 		}
 		next = back.Last + 1
-		got = append(got, back.Uses...)
+		got = append(got, back.Usages...)
 	}
-	if len(parts) != 3 || next != 0 || !reflect.DeepEqual(got, uses) {
-		t.Errorf("%d reports, next hash %d, %d uses", len(parts), next, len(got))
+	if len(parts) != 3 || next != 0 || !reflect.DeepEqual(got, usages) {
+		t.Errorf("%d reports, next hash %d, %d usages", len(parts), next, len(got))
 	}
 }
 
-func TestMalformedUsesAreRefused(t *testing.T) {
-	r := Report{Entry: "e", Scope: ScopeNone, HasUses: true, Covered: maxCovered + 1, Last: allUpstreams}
+func TestMalformedUsagesAreRefused(t *testing.T) {
+	r := Report{Entry: "e", Scope: ScopeNone, HasUsages: true, Covered: maxCovered + 1, Last: allUpstreams}
 	if _, err := Decode(r.Append(nil)); err == nil {
 		t.Error("a report that covers too large a weight is accepted")
 	}
-	r.Covered, r.Uses = 1, []quota.Usage{{Organisation: 1, Admitted: maxUseUnits}}
+	r.Covered, r.Usages = 1, []quota.Usage{{Organisation: 1, Admitted: maxUsageUnits}}
 	if _, err := Decode(r.Append(nil)); err == nil {
-		t.Error("a use above maxUseUnits is accepted")
+		t.Error("a usage above maxUsageUnits is accepted")
 	}
-	r.Uses = []quota.Usage{{Organisation: 1, Admitted: 5, Requested: 5}}
+	r.Usages = []quota.Usage{{Organisation: 1, Admitted: 5, Requested: 5}}
 	whole := r.Append(nil)
 	for n := 1; n < 6; n++ {
 		if _, err := Decode(whole[:len(whole)-n]); err == nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -301,7 +301,7 @@
 // busy reports whether others have to hear of the node's requests at once.
 func (n *Node) busy() bool {
 	c := n.Entry.Carrier
-	return c.InFlight() > lightLoad || c.OrganisationLimits().InUse(n.now()) || len(c.RateSenders()) > 0
+	return c.InFlight() > lightLoad || c.OrganisationLimits().InUse(n.now()) || len(c.LimitSenders()) > 0
 }
 
 func (n *Node) counts(whose balance.EntryFilter) []inflight.Count {
