--- a/internal/balance/ratelimit_fleet_test.go
+++ b/internal/balance/ratelimit_fleet_test.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"github.com/loomkeel/loomkeel/internal/agenda"
+	"github.com/loomkeel/loomkeel/internal/eventsim"
 	"github.com/loomkeel/loomkeel/internal/model"
 	"github.com/loomkeel/loomkeel/internal/ratelimit"
 )
@@ -55,7 +55,7 @@
 // simFleet is a simulated fleet of entries and upstreams of one service.
 type simFleet struct {
 	rnd     *rand.Rand
-	agenda  *agenda.Agenda
+	agenda  *eventsim.Scheduler
 	entries []*simEntry
 	service *model.Service
 	// limitOf returns the limit that an upstream announces at a time since the start.
@@ -78,7 +78,7 @@
 // domains in three regions.
 func newSimFleet(seed uint64, entries, upstreams int) *simFleet {
 	f := &simFleet{
-		rnd: rand.New(rand.NewPCG(seed, 3)), agenda: agenda.New(t0), arrivals: make(map[string][]time.Duration),
+		rnd: rand.New(rand.NewPCG(seed, 3)), agenda: eventsim.New(t0), arrivals: make(map[string][]time.Duration),
 		service: &model.Service{Name: "s", Routed: true}, serviceTime: 150 * time.Millisecond, objects: 40 * upstreams,
 	}
 	place := func(i int) (region, domain string) {
