--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -74,7 +74,7 @@
 	table     *membership.Table
 	directory *directory
 	draining  *draining
-	keeper    *share.Keeper
+	allocator *share.Keeper
 	stats     Stats
 
 	// proberMu protects prober and rnd, which are not safe for concurrent use.
@@ -138,7 +138,7 @@
 		rnd:       opt.Rand,
 		processes: make(map[string]*process),
 	}
-	a.keeper = share.NewKeeper(opt.Store, opt.Self.ID+"@"+opt.BootID, opt.Self.Region, opt.BootClock, time.Now)
+	a.allocator = share.NewKeeper(opt.Store, opt.Self.ID+"@"+opt.BootID, opt.Self.Region, opt.BootClock, time.Now)
 	a.committer = configlog.NewCommitter(opt.Store, a.log, time.Now)
 	a.prober = membership.NewProber(a.table, opt.Rand)
 	a.origin.Store("nothing yet")
--- a/internal/agent/dump.go
+++ b/internal/agent/dump.go
@@ -43,7 +43,7 @@
 		Directory:      list,
 		PendingUpdates: a.table.PendingUpdates(),
 		Processes:      a.processStates(),
-		Shares:         a.keeper.Dump(),
+		Shares:         a.allocator.Dump(),
 		Stats:          a.Counters(),
 	}
 }
--- a/internal/agent/readers.go
+++ b/internal/agent/readers.go
@@ -13,7 +13,7 @@
 const (
 	// watchTimeout is the longest duration of one watch of the log or the list.
 	// After each watch of the log, a reader also reads the next slot, which finds a
-	// record whose writer failed before it raised the head.
+	// record whose writer failed before it updated the head.
 	watchTimeout = 3 * time.Second
 	// minBackoff and maxBackoff are the limits of the pause after a failed call.
 	minBackoff = 200 * time.Millisecond
--- a/internal/agent/shares.go
+++ b/internal/agent/shares.go
@@ -26,12 +26,12 @@
 // shareLoop renews the instance's shares of the caps at intervals until ctx ends.
 func (a *Agent) shareLoop(ctx context.Context) {
 	for wait.For(ctx, a.jitter(shareInterval)) {
-		terms, hold := a.terms()
-		if len(terms) == 0 {
+		configs, hold := a.capConfigs()
+		if len(configs) == 0 {
 			continue
 		}
 		call, cancel := context.WithTimeout(ctx, shareTimeout)
-		if err := a.keeper.Round(call, terms, hold); err != nil && ctx.Err() == nil {
+		if err := a.allocator.Round(call, configs, hold); err != nil && ctx.Err() == nil {
 			a.stats.StoreFailed.Add(1)
 			klog.V(1).InfoS("renewal of shares failed", "err", err)
 		}
@@ -39,9 +39,9 @@
 	}
 }
 
-// terms returns the configured caps on requests in flight, by region, and the
+// capConfigs returns the configured caps on requests in flight, by region, and the
 // longest deadline of a request to any listed service.
-func (a *Agent) terms() ([]share.Terms, time.Duration) {
+func (a *Agent) capConfigs() ([]share.Terms, time.Duration) {
 	_, t, _ := a.log.View()
 	list, _ := a.directory.get()
 	byRegion := make(map[string]*share.Terms)
@@ -60,26 +60,26 @@
 		}
 	}
 	var out []share.Terms
-	for _, terms := range byRegion {
-		slices.SortFunc(terms.Caps, func(a, b share.Cap) int { return cmp.Compare(a.Service, b.Service) })
-		out = append(out, *terms)
+	for _, config := range byRegion {
+		slices.SortFunc(config.Caps, func(a, b share.Cap) int { return cmp.Compare(a.Service, b.Service) })
+		out = append(out, *config)
 	}
 	slices.SortFunc(out, func(a, b share.Terms) int { return cmp.Compare(a.Region, b.Region) })
 	return out, hold
 }
 
-// addCap adds the cap total for the upstream's service to its region's terms.
+// addCap adds the cap total for the upstream's service to its region's configuration.
 func addCap(byRegion map[string]*share.Terms, t *tree.Tree, u model.Upstream, total int) {
-	terms := byRegion[u.Region]
-	if terms == nil {
+	config := byRegion[u.Region]
+	if config == nil {
 		path := tree.RegionPath(u.Region)
-		terms = &share.Terms{Region: u.Region, Floor: t.Float(path, tree.KeyCapFloor), Seats: t.Int(path, tree.KeyCapSeats)}
-		byRegion[u.Region] = terms
+		config = &share.Terms{Region: u.Region, Floor: t.Float(path, tree.KeyCapFloor), Seats: t.Int(path, tree.KeyCapSeats)}
+		byRegion[u.Region] = config
 	}
-	terms.Caps = append(terms.Caps, share.Cap{Service: u.Service, Total: total})
+	config.Caps = append(config.Caps, share.Cap{Service: u.Service, Total: total})
 }
 
-// capLimits reports the entry's usage of the caps to the keeper and returns the
+// capLimits reports the entry's usage of the caps to the allocator and returns the
 // entry's limits.
 func (a *Agent) capLimits(usage []*pb.CapUsage) []*pb.CapLimit {
 	reported := make([]share.Reported, len(usage))
@@ -89,7 +89,7 @@
 		}}
 	}
 	var out []*pb.CapLimit
-	for _, l := range a.keeper.Report(reported) {
+	for _, l := range a.allocator.Report(reported) {
 		out = append(out, &pb.CapLimit{
 			Service: l.Service, Region: l.Region,
 			Floor: uint32(l.Floor), FloorUntil: l.FloorUntil, Grant: uint32(l.Grant), GrantUntil: l.GrantUntil,
