--- a/internal/forward/rates.go
+++ b/internal/forward/rates.go
@@ -36,12 +36,12 @@
 	}
 }
 
-// UrgentRates returns a channel that receives a value when changed rate limits of upstreams
+// UrgentUpdates returns a channel that receives a value when changed rate limits of upstreams
 // should be sent to other entries without delay.
-func (p *Proxy) UrgentRates() <-chan struct{} { return p.ratesChanged }
+func (p *Proxy) UrgentUpdates() <-chan struct{} { return p.ratesChanged }
 
-// RateNews returns the updates about rate limits of upstreams to send to other entries.
-func (p *Proxy) RateNews(scope balance.UpdateScope) []balance.LimitUpdate {
+// LimitUpdates returns the updates about rate limits of upstreams to send to other entries.
+func (p *Proxy) LimitUpdates(scope balance.UpdateScope) []balance.LimitUpdate {
 	now := p.now()
 	var out []balance.LimitUpdate
 	for _, state := range p.allServices() {
@@ -50,9 +50,9 @@
 	return out
 }
 
-// RateSenders returns the IDs of the entries that share a rate limit of an upstream with this
+// LimitSenders returns the IDs of the entries that share a rate limit of an upstream with this
 // entry.
-func (p *Proxy) RateSenders() map[string]bool {
+func (p *Proxy) LimitSenders() map[string]bool {
 	out := make(map[string]bool)
 	for _, state := range p.allServices() {
 		state.balancer.VisitLimitSenders(func(id string) { out[id] = true })
@@ -60,9 +60,9 @@
 	return out
 }
 
-// HeardRates merges the updates that a peer sent about rate limits of upstreams. life is the
+// ApplyPeerLimits merges the updates that a peer sent about rate limits of upstreams. life is the
 // incarnation of the peer.
-func (p *Proxy) HeardRates(peer string, life uint64, updates []balance.LimitUpdate) {
+func (p *Proxy) ApplyPeerLimits(peer string, life uint64, updates []balance.LimitUpdate) {
 	now := p.now()
 	for _, state := range p.allServices() {
 		state.balancer.ApplyPeerLimits(now, peer, life, updates)
