--- a/cmd/loomkeel-entry/main.go
+++ b/cmd/loomkeel-entry/main.go
@@ -44,18 +44,18 @@
 	e := entry.New(forward.Options{Self: s.Instance.ID, MaxInFlight: s.Entry.Room, MaxBody: int64(s.Entry.MaxBody), TLS: upstreamTLS, Now: time.Now})
 	f := follow.New(follow.Options{
 		Dialer: dialer, Agent: s.Agent.Peer, Process: agent.ProcessEntry, Region: s.Instance.Region,
-		Update: e.Carrier.Update, Skip: tree.IsBlocks,
+		Update: e.Proxy.Update, Skip: tree.IsBlocks,
 	})
 	metrics.Publish("entry", func() any { return e.Metrics() })
 	debug := chi.NewRouter()
-	ready := func() bool { return e.Carrier.Snapshot() != nil && ctx.Err() == nil }
+	ready := func() bool { return e.Proxy.Snapshot() != nil && ctx.Err() == nil }
 	process.Debug(debug, ready, func() any { return e.Dump(f.Status()) })
 	debugServer, err := process.Listen(s.Entry.Debug, debug)
 	if err != nil {
 		return eris.Wrap(err, "debug address")
 	}
 	go debugServer.Serve()
-	srv, err := process.ListenTLS(s.Entry.Listen, e.Carrier, serverTLS)
+	srv, err := process.ListenTLS(s.Entry.Listen, e.Proxy, serverTLS)
 	if err != nil {
 		return eris.Wrap(err, "listen address")
 	}
@@ -64,7 +64,7 @@
 	following, end := context.WithCancel(context.Background())
 	defer end()
 	go f.Run(following)
-	go e.Report(following, f)
+	go e.RunReports(following, f)
 	<-ctx.Done()
 	return e.Stop(context.Background(), srv, entry.StopOptions{
 		Linger:  s.Entry.Linger,
--- a/cmd/loomkeel-node/main.go
+++ b/cmd/loomkeel-node/main.go
@@ -110,18 +110,18 @@
 	feed := platform.NewFeed(platform.FeedOptions{
 		Store: store, Apply: n.Apply, Self: self, Members: n.Members, Now: clock.Check,
 		Peers:         relay.NewClient(relay.NewCall(dialer), clock.Now),
-		Seeds:         func() []relay.Source { return n.Strangers.Sources(clock.Now()) },
+		Seeds:         func() []relay.Source { return n.UnknownSenders.Sources(clock.Now()) },
 		MaxApplyDelay: s.Bounds.MaxApplyDelay,
 	})
 	registrar, err := platform.NewRegistrar(store, feed, self, s.Store.MinLeaseTTL)
 	if err != nil {
 		return eris.Wrap(err, "registration")
 	}
-	exchange, err := inflight.Listen(n.Reports(self))
+	exchange, err := inflight.Listen(n.ReportOptions(self))
 	if err != nil {
 		return eris.Wrapf(err, "listen on %s", s.PeerAddress)
 	}
-	named := func() []model.Member { return n.Named(exchange.Absent(clock.Now())) }
+	named := func() []model.Member { return n.LookupMembers(exchange.Absent(clock.Now())) }
 	metrics.Publish("store", func() any { return store.CallCounts() })
 	metrics.Publish("answer_fields", func() any { return fields.Status() })
 	metrics.Publish("feed", func() any { return feed.Status() })
@@ -136,11 +136,11 @@
 	following, end := context.WithCancel(context.Background())
 	defer end()
 	go feed.Run(following)
-	go n.Tick(following)
+	go n.RunExpiry(following)
 	go exchange.Run(following)
 	go func() {
 		<-feed.Ready()
-		n.Synced()
+		n.MarkSynced()
 	}()
 	go registrar.Run(stop)
 	var grace atomic.Int64
@@ -180,7 +180,7 @@
 	}{
 		{s.EntryAddress, func() (*process.Server, error) { return process.Listen(s.EntryAddress, n.Handler()) }},
 		{s.DirectoryAddress, func() (*process.Server, error) {
-			return process.Listen(s.DirectoryAddress, platform.DirectoryHandler(named, n.Homes, s.Bounds.MaxLookupTTL))
+			return process.Listen(s.DirectoryAddress, platform.DirectoryHandler(named, n.ServingRegions, s.Bounds.MaxLookupTTL))
 		}},
 		{s.DebugAddress, func() (*process.Server, error) { return process.Listen(s.DebugAddress, debugHandler(n, dump)) }},
 		{s.ReadinessAddress, func() (*process.Server, error) {
@@ -223,8 +223,8 @@
 // debugHandler serves the metrics and the dump of the process's state.
 func debugHandler(n *node.Node, dump func() any) http.Handler {
 	metrics.Publish("entry", func() any { return n.Entry.Metrics() })
-	metrics.Publish("limits", func() any { return n.Limits() })
-	metrics.Publish("upstream_limits", func() any { return n.Rates() })
+	metrics.Publish("limits", func() any { return n.OrganisationLimits() })
+	metrics.Publish("upstream_limits", func() any { return n.UpstreamLimits() })
 	metrics.Publish("node", func() any { return n.Status() })
 	r := chi.NewRouter()
 	process.Debug(r, n.Ready, dump)
--- a/internal/ctl/app.go
+++ b/internal/ctl/app.go
@@ -24,21 +24,21 @@
 	ExitUnknown  = 3
 )
 
-// StatusError is an error with the status to exit with.
-type StatusError struct {
+// ExitError is an error with the status to exit with.
+type ExitError struct {
 	Status int
 	Err    error
 }
 
 // Error implements error.
-func (e *StatusError) Error() string { return e.Err.Error() }
+func (e *ExitError) Error() string { return e.Err.Error() }
 
 // Unwrap returns the cause.
-func (e *StatusError) Unwrap() error { return e.Err }
+func (e *ExitError) Unwrap() error { return e.Err }
 
-// Status returns the status to exit with after err.
-func Status(err error) int {
-	var s *StatusError
+// ExitStatus returns the status to exit with after err.
+func ExitStatus(err error) int {
+	var s *ExitError
 	switch {
 	case err == nil:
 		return ExitAccepted
@@ -49,7 +49,7 @@
 }
 
 func usagef(format string, args ...any) error {
-	return &StatusError{ExitUsage, fmt.Errorf(format, args...)}
+	return &ExitError{ExitUsage, fmt.Errorf(format, args...)}
 }
 
 // Main runs the command line and ends the process.
@@ -58,7 +58,7 @@
 	if err != nil && err.Error() != "" {
 		fmt.Fprintln(os.Stderr, "loomkeelctl:", err)
 	}
-	os.Exit(Status(err))
+	os.Exit(ExitStatus(err))
 }
 
 // New returns the command line, which prints to w.
@@ -108,7 +108,7 @@
 	}
 	res, err := client.Change(ctx, ch)
 	if err != nil {
-		return &StatusError{ExitUnknown, fmt.Errorf("outcome unknown: %w\nask again with: loomkeelctl outcome %s, or send the same change with --change-id %s", err, ch.ID, ch.ID)}
+		return &ExitError{ExitUnknown, fmt.Errorf("outcome unknown: %w\nask again with: loomkeelctl outcome %s, or send the same change with --change-id %s", err, ch.ID, ch.ID)}
 	}
 	if err := printResult(c, res); err != nil {
 		return err
@@ -121,9 +121,9 @@
 	case accepted(res):
 		return nil
 	case res.Outcome == configlog.Unknown:
-		return &StatusError{ExitUnknown, errors.New("")}
+		return &ExitError{ExitUnknown, errors.New("")}
 	}
-	return &StatusError{ExitRefused, errors.New("")}
+	return &ExitError{ExitRefused, errors.New("")}
 }
 
 func clientOf(c *cli.Command) (*Client, error) {
--- a/internal/ctl/change.go
+++ b/internal/ctl/change.go
@@ -86,7 +86,7 @@
 	}
 	edits, err := ReadTreeFile(c.Args().First())
 	if err != nil {
-		return nil, &StatusError{ExitRefused, err}
+		return nil, &ExitError{ExitRefused, err}
 	}
 	return edits, nil
 }
@@ -175,14 +175,14 @@
 	}
 	t, err := client.Tree(ctx, path)
 	if err != nil {
-		return &StatusError{ExitRefused, err}
+		return &ExitError{ExitRefused, err}
 	}
 	var edits []command.Edit
 	for _, s := range t.Settings {
 		edits = append(edits, command.Edit{Path: path, Key: s.Key, Unset: true})
 	}
 	if len(edits) == 0 {
-		return &StatusError{ExitRefused, fmt.Errorf("%s does not exist", path)}
+		return &ExitError{ExitRefused, fmt.Errorf("%s does not exist", path)}
 	}
 	return send(ctx, c, edits)
 }
--- a/internal/ctl/read.go
+++ b/internal/ctl/read.go
@@ -30,7 +30,7 @@
 			}
 			v, err := client.Value(ctx, c.Args().Get(0), c.Args().Get(1))
 			if err != nil {
-				return &StatusError{ExitRefused, err}
+				return &ExitError{ExitRefused, err}
 			}
 			return print(c, v, func(w io.Writer) { printValue(w, v, c.Bool("explain")) })
 		},
@@ -52,7 +52,7 @@
 func getTree(ctx context.Context, c *cli.Command, client *Client) error {
 	t, err := client.Tree(ctx, c.Args().First())
 	if err != nil {
-		return &StatusError{ExitRefused, err}
+		return &ExitError{ExitRefused, err}
 	}
 	return print(c, t, func(w io.Writer) {
 		path := ""
@@ -82,7 +82,7 @@
 			}
 			now, err := client.Tree(ctx, "")
 			if err != nil {
-				return &StatusError{ExitRefused, err}
+				return &ExitError{ExitRefused, err}
 			}
 			lines := diff(now, edits)
 			return print(c, lines, func(w io.Writer) {
@@ -106,7 +106,7 @@
 			}
 			h, err := client.History(ctx, c.Int("limit"))
 			if err != nil {
-				return &StatusError{ExitRefused, err}
+				return &ExitError{ExitRefused, err}
 			}
 			return print(c, h, func(w io.Writer) {
 				for _, ch := range h {
@@ -135,7 +135,7 @@
 			}
 			r, err := client.Outcome(ctx, c.Args().First())
 			if err != nil {
-				return &StatusError{ExitUnknown, err}
+				return &ExitError{ExitUnknown, err}
 			}
 			if err := printResult(c, r); err != nil {
 				return err
@@ -156,7 +156,7 @@
 			}
 			ms, err := client.Members(ctx)
 			if err != nil {
-				return &StatusError{ExitRefused, err}
+				return &ExitError{ExitRefused, err}
 			}
 			return print(c, ms, func(w io.Writer) {
 				tw := tabwriter.NewWriter(w, 2, 8, 2, ' ', 0)
@@ -181,7 +181,7 @@
 			}
 			d, err := client.Dump(ctx)
 			if err != nil {
-				return &StatusError{ExitRefused, err}
+				return &ExitError{ExitRefused, err}
 			}
 			names := make([]string, 0, len(d))
 			for n := range d {
--- a/internal/ctl/treefile.go
+++ b/internal/ctl/treefile.go
@@ -12,16 +12,16 @@
 	"github.com/loomkeel/loomkeel/internal/tree"
 )
 
-// FileFaults are all that is wrong with a tree file.
-type FileFaults struct {
+// TreeFileError are all that is wrong with a tree file.
+type TreeFileError struct {
 	File   string
-	Faults []error
+	Errors []error
 }
 
 // Error implements error.
-func (f *FileFaults) Error() string {
-	lines := make([]string, len(f.Faults))
-	for i, e := range f.Faults {
+func (f *TreeFileError) Error() string {
+	lines := make([]string, len(f.Errors))
+	for i, e := range f.Errors {
 		lines[i] = f.File + ": " + e.Error()
 	}
 	return strings.Join(lines, "\n")
@@ -55,7 +55,7 @@
 	faults := tree.CheckEdits(plain)
 	faults = append(faults, new(tree.Tree).Apply(plain, 1).Check()...)
 	if len(faults) > 0 {
-		return &FileFaults{file, faults}
+		return &TreeFileError{file, faults}
 	}
 	return nil
 }
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -60,8 +60,8 @@
 	Revision uint64  `json:"revision"`
 }
 
-// Failure is the answer to a look-up that is refused.
-type Failure struct {
+// ErrorResponse is the answer to a look-up that is refused.
+type ErrorResponse struct {
 	Reason string `json:"reason"`
 	Detail string `json:"detail,omitempty"`
 	// RetryAfter is when to ask again, in seconds.
@@ -74,23 +74,23 @@
 func (d *Director) lookup(w http.ResponseWriter, r *http.Request) {
 	t := d.table.Load()
 	if t == nil {
-		d.refuse(w, http.StatusServiceUnavailable, Failure{"starting", "no configuration yet", retryAfter.Seconds()})
+		d.refuse(w, http.StatusServiceUnavailable, ErrorResponse{"starting", "no configuration yet", retryAfter.Seconds()})
 		return
 	}
 	q := r.URL.Query()
 	caller, err := callerOf(q.Get("client"), r.RemoteAddr)
 	if err != nil {
-		d.refuse(w, http.StatusBadRequest, Failure{"bad-client", err.Error(), 0})
+		d.refuse(w, http.StatusBadRequest, ErrorResponse{"bad-client", err.Error(), 0})
 		return
 	}
 	service := q.Get("service")
 	if !t.HasService(service) {
-		d.refuse(w, http.StatusNotFound, Failure{"unknown-service", "service " + service + " is not known", 0})
+		d.refuse(w, http.StatusNotFound, ErrorResponse{"unknown-service", "service " + service + " is not known", 0})
 		return
 	}
 	a := t.Lookup(service, caller, d.now())
 	if a.N == 0 {
-		d.refuse(w, http.StatusServiceUnavailable, Failure{"no-entry", "no entry instance is live", retryAfter.Seconds()})
+		d.refuse(w, http.StatusServiceUnavailable, ErrorResponse{"no-entry", "no entry instance is live", retryAfter.Seconds()})
 		return
 	}
 	d.counts.answered.Add(1)
@@ -114,7 +114,7 @@
 	return ap.Addr(), err
 }
 
-func (d *Director) refuse(w http.ResponseWriter, status int, f Failure) {
+func (d *Director) refuse(w http.ResponseWriter, status int, f ErrorResponse) {
 	d.counts.refused.Add(1)
 	if f.RetryAfter > 0 {
 		w.Header().Set("Retry-After", "1")
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -25,7 +25,7 @@
 
 // Entry carries requests and counts how they end.
 type Entry struct {
-	Carrier *forward.Proxy
+	Proxy   *forward.Proxy
 	book    *share.Book
 	leaving atomic.Bool
 	mu      sync.Mutex
@@ -48,7 +48,7 @@
 		lines: logs.NewLimiter(linesPerSecond, lineBurst), routine: logs.NewLimiter(routinePerSecond, routineBurst)}
 	opt.Observe, opt.NewID = e.observe, newID
 	opt.CapShares, opt.BootClock = e.book, bootclock.Now
-	e.Carrier = forward.New(opt)
+	e.Proxy = forward.New(opt)
 	return e
 }
 
@@ -135,22 +135,22 @@
 	defer e.mu.Unlock()
 	out := make(map[string]ServiceMetrics)
 	for service, l := range e.latency {
-		out[service] = ServiceMetrics{Latency: l.Summary(), Ends: make(map[string]int64)}
+		out[service] = ServiceMetrics{Latency: l.Summary(), Outcomes: make(map[string]int64)}
 	}
 	for k, n := range e.byEnd {
 		name := k.verdict.String()
 		if k.reason != "" {
 			name += " " + k.reason
 		}
-		out[k.service].Ends[name] += n
+		out[k.service].Outcomes[name] += n
 	}
 	return out
 }
 
 // ServiceMetrics are the metrics of one service.
 type ServiceMetrics struct {
-	Latency metrics.Summary  `json:"latency"`
-	Ends    map[string]int64 `json:"ends"`
+	Latency  metrics.Summary  `json:"latency"`
+	Outcomes map[string]int64 `json:"ends"`
 }
 
 // Dump is everything that the entry decides by.
@@ -166,7 +166,7 @@
 
 // Dump returns the entry's state.
 func (e *Entry) Dump(agent follow.Status) Dump {
-	return Dump{agent, revisionOf(e.Carrier.Snapshot()), e.Carrier.InFlight(), e.Carrier.Dump(), e.book.Look(bootclock.Now()), e.Metrics()}
+	return Dump{agent, revisionOf(e.Proxy.Snapshot()), e.Proxy.InFlight(), e.Proxy.Dump(), e.book.Look(bootclock.Now()), e.Metrics()}
 }
 
 func revisionOf(s *model.Snapshot) uint64 {
@@ -205,10 +205,10 @@
 	case <-time.After(opt.Linger):
 	case <-ctx.Done():
 	}
-	e.Carrier.Stop()
+	e.Proxy.Stop()
 	ctx, cancel := context.WithTimeout(ctx, opt.Timeout)
 	defer cancel()
 	err := srv.Shutdown(ctx)
-	klog.InfoS("stopped", "in_flight", e.Carrier.InFlight(), "err", err)
+	klog.InfoS("stopped", "in_flight", e.Proxy.InFlight(), "err", err)
 	return err
 }
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -16,10 +16,10 @@
 	Report(ctx context.Context, req *pb.ReportRequest) (*pb.ReportReply, error)
 }
 
-// Report tells the agent again and again what the entry uses of the caps, and
+// RunReports tells the agent again and again what the entry uses of the caps, and
 // takes in what it may use, until ctx ends. While the agent is away, grants run
 // out by their times and the floors stay.
-func (e *Entry) Report(ctx context.Context, r Reporter) {
+func (e *Entry) RunReports(ctx context.Context, r Reporter) {
 	tick := time.NewTicker(reportEvery)
 	defer tick.Stop()
 	for {
@@ -33,8 +33,8 @@
 }
 
 func (e *Entry) report(ctx context.Context, r Reporter, leaving bool) error {
-	req := &pb.ReportRequest{Leaving: leaving, Draining: e.Carrier.DrainingUpstreams()}
-	for _, u := range e.Carrier.CapUsage() {
+	req := &pb.ReportRequest{Leaving: leaving, Draining: e.Proxy.DrainingUpstreams()}
+	for _, u := range e.Proxy.CapUsage() {
 		req.Usage = append(req.Usage, &pb.CapUsage{
 			Service: u.Service, Region: u.Region,
 			InFlight: uint32(max(0, u.InFlight)), Refused: uint32(u.Refused), Limit: uint32(u.Limit),
--- a/internal/node/apply_bench_test.go
+++ b/internal/node/apply_bench_test.go
@@ -34,7 +34,7 @@
 			v.PutNode(m.ID, m)
 		}
 	})
-	n.Synced()
+	n.MarkSynced()
 	return n
 }
 
@@ -56,6 +56,6 @@
 	n := largeNode()
 	b.ReportAllocs()
 	for range b.N {
-		route.Nearest(n.Named(nil), "r0", "d0", nil)
+		route.Nearest(n.LookupMembers(nil), "r0", "d0", nil)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -50,9 +50,9 @@
 // Node is the state of one process. It is safe for concurrent use.
 type Node struct {
 	Entry *entry.Entry
-	// Strangers are entries that report to this one without being known.
-	Strangers *relay.UnknownSenders
-	now       func() time.Time
+	// UnknownSenders are entries that report to this one without being known.
+	UnknownSenders *relay.UnknownSenders
+	now            func() time.Time
 	// check is now after a look whether the machine was suspended meanwhile.
 	check func() time.Time
 
@@ -67,7 +67,7 @@
 
 // New returns a Node that refuses everything until it is synced.
 func New(opt view.Options, carrier forward.Options) *Node {
-	n := &Node{Entry: entry.New(carrier), Strangers: relay.NewUnknownSenders(), now: carrier.Now, check: carrier.SyncNow, view: view.New(opt)}
+	n := &Node{Entry: entry.New(carrier), UnknownSenders: relay.NewUnknownSenders(), now: carrier.Now, check: carrier.SyncNow, view: view.New(opt)}
 	if n.check == nil {
 		n.check = n.now
 	}
@@ -92,7 +92,7 @@
 		return
 	}
 	if s := n.view.Snapshot(); s != nil {
-		n.Entry.Carrier.Update(s)
+		n.Entry.Proxy.Update(s)
 	}
 }
 
@@ -102,8 +102,8 @@
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// Synced records that all that there is to know has been read once.
-func (n *Node) Synced() {
+// MarkSynced records that all that there is to know has been read once.
+func (n *Node) MarkSynced() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.synced.Store(true)
@@ -113,7 +113,7 @@
 
 // Ready reports whether the node takes requests and is to be named to callers.
 func (n *Node) Ready() bool {
-	return n.Entry.Carrier.Snapshot() != nil && !n.stopping.Load()
+	return n.Entry.Proxy.Snapshot() != nil && !n.stopping.Load()
 }
 
 // Members returns the live nodes, the own one only while it is ready.
@@ -125,20 +125,20 @@
 	return n.view.WithoutSelf(all)
 }
 
-// Homes returns the regions that may serve the requests of a host; empty means all.
-func (n *Node) Homes(host string) []string {
-	snap := n.Entry.Carrier.Snapshot()
+// ServingRegions returns the regions that may serve the requests of a host; empty means all.
+func (n *Node) ServingRegions(host string) []string {
+	snap := n.Entry.Proxy.Snapshot()
 	if snap == nil {
 		return nil
 	}
 	return snap.Routes.ServingRegions(host)
 }
 
-// Named returns the nodes to name to callers: the live ones but for those that are
+// LookupMembers returns the nodes to name to callers: the live ones but for those that are
 // known to be absent, whose registrations may outlive them while the platform's service
 // is away. A node that has not read everything yet names none: it may know only itself, and
 // its caller may have come from another region.
-func (n *Node) Named(absent map[string]bool) []model.Member {
+func (n *Node) LookupMembers(absent map[string]bool) []model.Member {
 	if !n.synced.Load() {
 		return nil
 	}
@@ -150,8 +150,8 @@
 	return slices.DeleteFunc(slices.Clone(members), func(m model.Member) bool { return absent[m.ID] })
 }
 
-// Tick drops lapsed entries until ctx ends.
-func (n *Node) Tick(ctx context.Context) {
+// RunExpiry drops lapsed entries until ctx ends.
+func (n *Node) RunExpiry(ctx context.Context) {
 	tick := time.NewTicker(tickEvery)
 	defer tick.Stop()
 	for {
@@ -165,7 +165,7 @@
 }
 
 func (n *Node) dropLapsed() {
-	n.Entry.Carrier.Tick()
+	n.Entry.Proxy.Tick()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	kept := n.view.Retained()
@@ -183,7 +183,7 @@
 		if n.stopping.Load() {
 			w.Header().Set("Connection", "close")
 		}
-		n.Entry.Carrier.ServeHTTP(w, r)
+		n.Entry.Proxy.ServeHTTP(w, r)
 	})
 }
 
@@ -194,53 +194,53 @@
 	klog.InfoS("stopping", "grace", grace)
 	began := n.now()
 	n.stopping.Store(true)
-	n.Entry.Carrier.StopRateLimited()
+	n.Entry.Proxy.StopRateLimited()
 	time.Sleep(min(linger, grace/2))
-	n.Entry.Carrier.Stop()
-	for n.Entry.Carrier.InFlight() > 0 && n.now().Sub(began) < grace-killMargin {
+	n.Entry.Proxy.Stop()
+	for n.Entry.Proxy.InFlight() > 0 && n.now().Sub(began) < grace-killMargin {
 		time.Sleep(pollEvery)
 	}
-	klog.InfoS("stopped", "in_flight", n.Entry.Carrier.InFlight(), "took", n.now().Sub(began))
+	klog.InfoS("stopped", "in_flight", n.Entry.Proxy.InFlight(), "took", n.now().Sub(began))
 }
 
 // Status is what the node knows, for metrics.
 type Status struct {
-	Ready    bool   `json:"ready"`
-	Stopping bool   `json:"stopping"`
-	Version  uint64 `json:"config_version"`
-	Members  int    `json:"members"`
+	Ready         bool   `json:"ready"`
+	Stopping      bool   `json:"stopping"`
+	ConfigVersion uint64 `json:"config_version"`
+	Members       int    `json:"members"`
 	// Upstreams is how many each service has, Leaving how many of them get no new
 	// work.
 	Upstreams map[string]int `json:"upstreams"`
-	Leaving   map[string]int `json:"leaving"`
+	Draining  map[string]int `json:"leaving"`
 	InFlight  int            `json:"in_flight"`
 	// Poison is how many requests under which upstreams ended the node knows.
 	Poison poison.Status `json:"poison"`
-	// Service is what the node believes of the platform's service.
-	Service view.StoreStatus `json:"service"`
+	// Store is what the node believes of the platform's service.
+	Store view.StoreStatus `json:"service"`
 }
 
 // Status returns what the node knows in short.
 func (n *Node) Status() Status {
 	s := Status{
-		Ready: n.Ready(), Stopping: n.stopping.Load(), Members: len(*n.members.Load()), InFlight: n.Entry.Carrier.InFlight(),
-		Upstreams: make(map[string]int), Leaving: make(map[string]int),
+		Ready: n.Ready(), Stopping: n.stopping.Load(), Members: len(*n.members.Load()), InFlight: n.Entry.Proxy.InFlight(),
+		Upstreams: make(map[string]int), Draining: make(map[string]int),
 	}
-	s.Poison = n.Entry.Carrier.PoisonStatus()
+	s.Poison = n.Entry.Proxy.PoisonStatus()
 	n.mu.Lock()
-	s.Service = n.view.StoreStatus()
+	s.Store = n.view.StoreStatus()
 	n.mu.Unlock()
-	snap := n.Entry.Carrier.Snapshot()
+	snap := n.Entry.Proxy.Snapshot()
 	if snap == nil {
 		return s
 	}
-	s.Version = snap.Revision
+	s.ConfigVersion = snap.Revision
 	now := n.now()
 	for name, svc := range snap.Services {
 		s.Upstreams[name] = len(svc.Upstreams)
 		for i := range svc.Upstreams {
 			if snap.Draining(&svc.Upstreams[i], now) {
-				s.Leaving[name]++
+				s.Draining[name]++
 			}
 		}
 	}
@@ -253,33 +253,33 @@
 	Members  []model.Member                   `json:"members"`
 	Services map[string]forward.ServiceStatus `json:"services"`
 	Metrics  map[string]entry.ServiceMetrics  `json:"metrics"`
-	// Limits are those of the organisations that have requests.
-	Limits []quota.Status `json:"limits,omitempty"`
-	// Rates are the limits that upstreams name.
-	Rates []balance.LimitStatus `json:"rates,omitempty"`
+	// OrganisationLimits are those of the organisations that have requests.
+	OrganisationLimits []quota.Status `json:"limits,omitempty"`
+	// UpstreamLimits are the limits that upstreams name.
+	UpstreamLimits []balance.LimitStatus `json:"rates,omitempty"`
 }
 
 // Dump returns the node's state.
 func (n *Node) Dump() Dump {
-	return Dump{n.Status(), *n.members.Load(), n.Entry.Carrier.Dump(), n.Entry.Metrics(), n.Limits(), n.Rates()}
+	return Dump{n.Status(), *n.members.Load(), n.Entry.Proxy.Dump(), n.Entry.Metrics(), n.OrganisationLimits(), n.UpstreamLimits()}
 }
 
 // maxLimits bounds the organisations in metrics and dumps.
 const maxLimits = 1000
 
-// Limits returns the limits of the organisations that have requests.
-func (n *Node) Limits() []quota.Status {
-	return n.Entry.Carrier.OrganisationLimits().Status(maxLimits, n.now())
+// OrganisationLimits returns the limits of the organisations that have requests.
+func (n *Node) OrganisationLimits() []quota.Status {
+	return n.Entry.Proxy.OrganisationLimits().Status(maxLimits, n.now())
 }
 
 // maxRates bounds the upstreams with limits of each service in metrics and dumps.
 const maxRates = 1000
 
-// Rates returns the limits that upstreams name.
-func (n *Node) Rates() []balance.LimitStatus { return n.Entry.Carrier.Rates(maxRates) }
+// UpstreamLimits returns the limits that upstreams name.
+func (n *Node) UpstreamLimits() []balance.LimitStatus { return n.Entry.Proxy.Rates(maxRates) }
 
-// Reports sets up the exchange of reports with the other nodes.
-func (n *Node) Reports(self model.Member) inflight.Options {
+// ReportOptions sets up the exchange of reports with the other nodes.
+func (n *Node) ReportOptions(self model.Member) inflight.Options {
 	return inflight.Options{
 		Address:         self.Agent,
 		Entry:           self.ID,
@@ -287,33 +287,33 @@
 		Fleet:           func() inflight.Fleet { return n.fleet.of(self, n.members.Load()) },
 		Counts:          n.counts,
 		MaxConnIdle:     n.doubt,
-		Claims:          n.Entry.Carrier.PoisonClaims,
-		Limits:          n.Entry.Carrier.OrganisationLimits(),
-		Rates:           n.Entry.Carrier,
+		Claims:          n.Entry.Proxy.PoisonClaims,
+		Limits:          n.Entry.Proxy.OrganisationLimits(),
+		Rates:           n.Entry.Proxy,
 		Leaving:         n.stopping.Load,
 		Busy:            n.busy,
 		OnReport:        n.heard,
 		Now:             n.check,
-		OnUnknownSender: func(from netip.AddrPort) { n.Strangers.RecordReport(from.String(), n.now()) },
+		OnUnknownSender: func(from netip.AddrPort) { n.UnknownSenders.RecordReport(from.String(), n.now()) },
 	}
 }
 
 // busy reports whether others have to hear of the node's requests at once.
 func (n *Node) busy() bool {
-	c := n.Entry.Carrier
+	c := n.Entry.Proxy
 	return c.InFlight() > lightLoad || c.OrganisationLimits().InUse(n.now()) || len(c.LimitSenders()) > 0
 }
 
 func (n *Node) counts(whose balance.EntryFilter) []inflight.Count {
 	var out []inflight.Count
-	n.Entry.Carrier.VisitLoads(whose, func(upstream uint32, l balance.Load) {
+	n.Entry.Proxy.VisitLoads(whose, func(upstream uint32, l balance.Load) {
 		out = append(out, inflight.Count{Upstream: upstream, Requests: l.Requests, Failed: l.Failed, Answered: l.Total})
 	})
 	return out
 }
 
 func (n *Node) heard(peer string, r *inflight.Report) {
-	n.Entry.Carrier.MergePoisonClaims(r.Claims)
+	n.Entry.Proxy.MergePoisonClaims(r.Claims)
 	if r.Scope == inflight.ScopeNone {
 		return
 	}
@@ -321,16 +321,16 @@
 	for _, c := range r.Counts {
 		load.Loads[c.Upstream] = balance.Load{Requests: c.Requests, Outcomes: balance.Outcomes{Failed: c.Failed, Total: c.Answered}}
 	}
-	n.Entry.Carrier.MergePeerLoad(load)
+	n.Entry.Proxy.MergePeerLoad(load)
 	if r.MaxConnIdleLeft > 0 {
-		n.Entry.Carrier.MergeReuseLimit(forward.ReuseLimit{MaxIdle: r.MaxConnIdle, Until: n.now().Add(r.MaxConnIdleLeft)})
+		n.Entry.Proxy.MergeReuseLimit(forward.ReuseLimit{MaxIdle: r.MaxConnIdle, Until: n.now().Add(r.MaxConnIdleLeft)})
 	}
 }
 
 // doubt returns what the node knows of upstreams that forget connections, and for how
 // long that holds.
 func (n *Node) doubt() (rest, left time.Duration) {
-	d := n.Entry.Carrier.ReuseLimit()
+	d := n.Entry.Proxy.ReuseLimit()
 	if d.Until.IsZero() {
 		return 0, 0
 	}
--- a/internal/node/suspended_test.go
+++ b/internal/node/suspended_test.go
@@ -35,7 +35,7 @@
 	if got := n.view.Retained(); len(got) != 0 {
 		t.Errorf("kept %v after the suspension", got)
 	}
-	if now := n.Reports(self).Now(); now.Sub(clock.Now()) != 0 || now.Sub(start) < slept {
+	if now := n.ReportOptions(self).Now(); now.Sub(clock.Now()) != 0 || now.Sub(start) < slept {
 		t.Errorf("reports go by %v", now)
 	}
 }
