--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,5 +1,6 @@
-// Package entry is the process that carries callers' requests: a
-// forward.Carrier with metrics, and the steps of a planned stop.
+// Package entry implements the process that forwards callers' requests to
+// upstreams: a forward.Proxy with metrics and logs of requests, the reports to
+// the agent, and the steps of a planned stop.
 package entry
 
 import (
@@ -23,45 +24,52 @@
 	"github.com/loomkeel/loomkeel/internal/verdict"
 )
 
-// Entry carries requests and counts how they end.
+// Entry forwards requests, counts their outcomes and logs the unusual ones. It is safe for
+// concurrent use.
 type Entry struct {
-	Proxy   *forward.Proxy
-	book    *share.Book
+	// Proxy forwards the requests.
+	Proxy     *forward.Proxy
+	capShares *share.Book
+	// leaving is set when Stop begins.
 	leaving atomic.Bool
-	mu      sync.Mutex
-	byEnd   map[end]int64
-	latency map[string]*metrics.Latency
-	// lines and routine bound the lines about requests.
-	lines, routine *logs.Limiter
+	// mu guards outcomes and latency, which is keyed by service.
+	mu       sync.Mutex
+	outcomes map[outcomeKey]int64
+	latency  map[string]*metrics.Latency
+	// routineLimiter limits the log lines about requests of the kind kindSecondReplica, and
+	// logLimiter all others about requests.
+	logLimiter, routineLimiter *logs.Limiter
 }
 
-// end is a way for a request to end.
-type end struct {
+// outcomeKey identifies the requests that are counted together.
+type outcomeKey struct {
 	service string
 	verdict verdict.Verdict
 	reason  string
 }
 
-// New returns an Entry. It sets Options.Observe, NewID, Book and Boot.
+// New returns an Entry whose Proxy has the options opt. The fields Observe, NewID,
+// CapShares and BootClock of opt are replaced.
 func New(opt forward.Options) *Entry {
-	e := &Entry{book: share.NewBook(), byEnd: make(map[end]int64), latency: make(map[string]*metrics.Latency),
-		lines: logs.NewLimiter(linesPerSecond, lineBurst), routine: logs.NewLimiter(routinePerSecond, routineBurst)}
+	e := &Entry{capShares: share.NewBook(), outcomes: make(map[outcomeKey]int64), latency: make(map[string]*metrics.Latency),
+		logLimiter: logs.NewLimiter(linesPerSecond, lineBurst), routineLimiter: logs.NewLimiter(routinePerSecond, routineBurst)}
 	opt.Observe, opt.NewID = e.observe, newID
-	opt.CapShares, opt.BootClock = e.book, bootclock.Now
+	opt.CapShares, opt.BootClock = e.capShares, bootclock.Now
 	e.Proxy = forward.New(opt)
 	return e
 }
 
-// newID returns a random request id.
+// newID returns a random request ID.
 func newID() string {
 	var b [12]byte
 	_, _ = rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
+// observe counts and logs a finished request.
 func (e *Entry) observe(o forward.Outcome) {
 	e.mu.Lock()
-	e.byEnd[end{o.Service, o.Verdict, o.Reason}]++
+	e.outcomes[outcomeKey{o.Service, o.Verdict, o.Reason}]++
 	l := e.latency[o.Service]
 	if l == nil {
 		l = metrics.NewLatency()
@@ -73,28 +81,29 @@
 }
 
 const (
-	// linesPerSecond and lineBurst bound the lines of each kind about requests.
+	// linesPerSecond and lineBurst limit the log lines about requests, for each kind.
 	linesPerSecond = 10
 	lineBurst      = 40
-	// routinePerSecond and routineBurst bound those about requests that were served in
-	// time. Under load they would push what a node says of the store out of a collector
-	// that keeps only the last lines.
+	// routinePerSecond and routineBurst limit the log lines of kindSecondReplica, about
+	// requests that were served in time. Without this lower limit such lines would, under
+	// load, displace a node's lines about the key-value store in collectors that keep only
+	// the newest lines.
 	routinePerSecond = 1
 	routineBurst     = 10
 )
 
-// log writes a line about a request that did not simply succeed in its time; at
-// verbosity 2 about every request.
+// log writes a log line about a request that has a kind, or about every request at
+// verbosity 2. Lines above the limits are left out, and the next line has their number.
 func (e *Entry) log(o forward.Outcome) {
-	k := kindOf(o)
+	k := logKind(o)
 	if k == "" && !klog.V(2).Enabled() {
 		return
 	}
-	lines := e.lines
+	limiter := e.logLimiter
 	if k == kindSecondReplica {
-		lines = e.routine
+		limiter = e.routineLimiter
 	}
-	left, ok := lines.Allow(time.Now(), k)
+	left, ok := limiter.Allow(time.Now(), k)
 	if !ok {
 		return
 	}
@@ -104,12 +113,13 @@
 		"ahead", o.Choice.Outstanding, "expected", o.Choice.ExpectedLatency, "load", o.Response.Load, "waiting", o.Response.Waiting, "left_out", left)
 }
 
-// kindSecondReplica are requests that another than the first upstream of their object
-// served in time.
+// kindSecondReplica is the kind of the requests that were served in time, but not by the
+// first replica of their object.
 const kindSecondReplica = "second-replica"
 
-// kindOf says what is remarkable about a request; empty if nothing is.
-func kindOf(o forward.Outcome) string {
+// logKind returns the kind of a request for the log: how it failed or what was unusual. It
+// returns "" if nothing was unusual.
+func logKind(o forward.Outcome) string {
 	switch {
 	case o.Status == http.StatusServiceUnavailable && o.Verdict == verdict.NotRun:
 		return "refused"
@@ -129,7 +139,7 @@
 	return ""
 }
 
-// Metrics returns the counters and percentiles of each service.
+// Metrics returns the metrics of each service by name.
 func (e *Entry) Metrics() map[string]ServiceMetrics {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -137,7 +147,7 @@
 	for service, l := range e.latency {
 		out[service] = ServiceMetrics{Latency: l.Summary(), Outcomes: make(map[string]int64)}
 	}
-	for k, n := range e.byEnd {
+	for k, n := range e.outcomes {
 		name := k.verdict.String()
 		if k.reason != "" {
 			name += " " + k.reason
@@ -149,26 +159,29 @@
 
 // ServiceMetrics are the metrics of one service.
 type ServiceMetrics struct {
+	// Latency summarizes the durations of the requests. Outcomes counts the requests by
+	// verdict, followed by a space and the reason if there is one.
 	Latency  metrics.Summary  `json:"latency"`
 	Outcomes map[string]int64 `json:"ends"`
 }
 
-// Dump is everything that the entry decides by.
+// Dump is the state on which the entry's decisions depend, for debugging.
 type Dump struct {
 	Agent    follow.Status                    `json:"agent"`
 	Revision uint64                           `json:"revision"`
 	InFlight int                              `json:"in_flight"`
 	Services map[string]forward.ServiceStatus `json:"services"`
-	// Caps is what the entry uses and may use of the caps.
+	// Caps are the entry's shares of the in-flight caps, with the requests refused by them.
 	Caps    []share.Use               `json:"caps,omitempty"`
 	Metrics map[string]ServiceMetrics `json:"metrics"`
 }
 
-// Dump returns the entry's state.
+// Dump returns the entry's state, with that of its connection to the agent.
 func (e *Entry) Dump(agent follow.Status) Dump {
-	return Dump{agent, revisionOf(e.Proxy.Snapshot()), e.Proxy.InFlight(), e.Proxy.Dump(), e.book.Look(bootclock.Now()), e.Metrics()}
+	return Dump{agent, revisionOf(e.Proxy.Snapshot()), e.Proxy.InFlight(), e.Proxy.Dump(), e.capShares.Look(bootclock.Now()), e.Metrics()}
 }
 
+// revisionOf returns the revision of a snapshot, or 0 for nil.
 func revisionOf(s *model.Snapshot) uint64 {
 	if s == nil {
 		return 0
@@ -176,30 +189,33 @@
 	return s.Revision
 }
 
-// Shutdowner is the server that a Stop ends.
+// Shutdowner is a server that Stop shuts down.
 type Shutdowner interface {
+	// Shutdown stops accepting requests and waits for those in flight until ctx ends.
 	Shutdown(ctx context.Context) error
 }
 
-// StopOptions sets the times of a planned stop.
+// StopOptions holds the parameters of a planned stop.
 type StopOptions struct {
-	// Linger is how long requests are still taken after the look-ups have ceased
-	// to name the entry.
+	// Linger is how long requests are still accepted after the agent has been informed
+	// that the entry is leaving.
 	Linger time.Duration
 	// Timeout is how long requests in flight may take after that.
 	Timeout time.Duration
-	// Agent is told that the entry leaves.
+	// Agent receives the report that the entry is leaving.
 	Agent Reporter
 }
 
-// Stop is the planned stop: the entry leaves the look-up answers, waits out
-// those already given, refuses new work as not run, and ends when the last
-// request in flight has.
+// Stop performs a planned stop. It reports to the agent that the entry is leaving, so that
+// look-ups no longer return the entry; accepts requests for the time Linger from callers
+// with older answers; then rejects new requests as not run, and shuts the server down once
+// the requests in flight have ended. It returns the error of the shutdown, for example that
+// requests were still in flight after Timeout.
 func (e *Entry) Stop(ctx context.Context, srv Shutdowner, opt StopOptions) error {
 	klog.InfoS("stopping", "linger", opt.Linger)
 	e.leaving.Store(true)
 	if err := e.report(ctx, opt.Agent, true); err != nil {
-		klog.ErrorS(err, "agent not told of the stop")
+		klog.ErrorS(err, "failed to report the stop to the agent")
 	}
 	select {
 	case <-time.After(opt.Linger):
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -8,19 +8,20 @@
 	"github.com/loomkeel/loomkeel/internal/share"
 )
 
-// reportEvery is the time between two reports to the agent.
-const reportEvery = 500 * time.Millisecond
+// reportInterval is the time between two reports to the agent.
+const reportInterval = 500 * time.Millisecond
 
 // Reporter is the connection to the agent.
 type Reporter interface {
+	// Report sends a report and returns the agent's reply.
 	Report(ctx context.Context, req *pb.ReportRequest) (*pb.ReportReply, error)
 }
 
-// RunReports tells the agent again and again what the entry uses of the caps, and
-// takes in what it may use, until ctx ends. While the agent is away, grants run
-// out by their times and the floors stay.
+// RunReports periodically reports the entry's use of the in-flight caps to the agent and
+// applies the limits in the replies, until ctx ends. Failed reports are skipped: while the
+// agent is unreachable, grants expire at their times and the floors stay in force.
 func (e *Entry) RunReports(ctx context.Context, r Reporter) {
-	tick := time.NewTicker(reportEvery)
+	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -32,6 +33,7 @@
 	}
 }
 
+// report sends one report to the agent and applies the limits in its reply.
 func (e *Entry) report(ctx context.Context, r Reporter, leaving bool) error {
 	req := &pb.ReportRequest{Leaving: leaving, Draining: e.Proxy.DrainingUpstreams()}
 	for _, u := range e.Proxy.CapUsage() {
@@ -52,6 +54,6 @@
 			Grant: int(l.GetGrant()), GrantUntil: l.GetGrantUntil(),
 		}
 	}
-	e.book.Set(limits)
+	e.capShares.Set(limits)
 	return nil
 }
--- a/internal/node/apply_bench_test.go
+++ b/internal/node/apply_bench_test.go
@@ -12,7 +12,8 @@
 	"github.com/loomkeel/loomkeel/internal/view"
 )
 
-// largeNode is a node of a fleet of 295 with 1,617 upstreams in nine failure domains.
+// largeNode returns a node of a fleet of 295 nodes and 1,617 upstreams in nine failure
+// domains.
 func largeNode() *Node {
 	regions := make(map[string]string)
 	for d := range 9 {
@@ -38,11 +39,12 @@
 	return n
 }
 
+// largeUpstream returns the upstream with index i of the fleet of largeNode.
 func largeUpstream(i int) model.Upstream {
 	return model.Upstream{ID: fmt.Sprint("i-", i), Service: fmt.Sprint("s", i%3), Domain: fmt.Sprint("d", i%9), Address: "10.0.1.1:80", Slots: 9}
 }
 
-// BenchmarkApply measures a change of one upstream.
+// BenchmarkApply measures the application of a change of one upstream.
 func BenchmarkApply(b *testing.B) {
 	n := largeNode()
 	b.ReportAllocs()
@@ -51,8 +53,8 @@
 	}
 }
 
-// BenchmarkNamed measures whom a look-up names.
-func BenchmarkNamed(b *testing.B) {
+// BenchmarkLookupMembers measures the choice of the nodes that a look-up returns.
+func BenchmarkLookupMembers(b *testing.B) {
 	n := largeNode()
 	b.ReportAllocs()
 	for range b.N {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,9 +1,9 @@
-// Package node joins the look-ups and the requests of an instance in one
-// process, for instances so small that a process for each would cost more than
-// it gives.
+// Package node serves the look-ups and forwards the requests of an instance in
+// one process. It is for instances so small that separate processes would cost
+// more than they give.
 //
-// What the node knows comes through Apply; every change is compiled into a
-// snapshot, which the carrier and the look-ups then decide by.
+// Changes of state come in through Apply. Each change is compiled into a
+// snapshot, which the proxy and the look-ups use from then on.
 package node
 
 import (
@@ -31,51 +31,61 @@
 )
 
 const (
-	// tickEvery is the time between looks for entries that have lapsed.
-	tickEvery = 250 * time.Millisecond
-	// pollEvery is how often a stopping node looks whether all requests have ended.
-	pollEvery = 50 * time.Millisecond
-	// linger is how long a stopping node still takes requests: callers hold
-	// look-up answers that name it for about as long.
+	// expireInterval is the time between checks for lapsed records.
+	expireInterval = 250 * time.Millisecond
+	// drainPollInterval is the time between checks of a stopping node for requests in
+	// flight.
+	drainPollInterval = 50 * time.Millisecond
+	// linger is how long a stopping node still accepts requests. Callers keep look-up
+	// answers with this node for about as long.
 	linger = 3 * time.Second
-	// lightLoad is up to how many requests at a time a node counts as idle in reports.
-	// Nodes that look-ups do not name still get one now and then, by callers whose answer
-	// is old and by checks of the configuration in force. Others decide alike whether they
-	// hear of so few at once or half a second later.
-	lightLoad = 2
-	// killMargin is how long before the kill a stopping node ends by itself.
+	// idleMaxInFlight is the number of requests in flight up to which a node counts as
+	// idle in reports. Nodes that look-ups do not return still receive single requests,
+	// from callers with an old look-up answer and from checks of the configuration in
+	// force. For so few requests it makes no difference to other nodes whether the report
+	// arrives at once or half a second later.
+	idleMaxInFlight = 2
+	// killMargin is how long before the end of the grace period, at which the process is
+	// killed, a stopping node ends by itself.
 	killMargin = 500 * time.Millisecond
 )
 
-// Node is the state of one process. It is safe for concurrent use.
+// Node is the state of one process: a view of the fleet, and the entry that forwards
+// requests by its snapshots. It is safe for concurrent use.
 type Node struct {
+	// Entry forwards the requests.
 	Entry *entry.Entry
-	// UnknownSenders are entries that report to this one without being known.
+	// UnknownSenders holds the senders of reports that are not among the members.
 	UnknownSenders *relay.UnknownSenders
 	now            func() time.Time
-	// check is now after a look whether the machine was suspended meanwhile.
-	check func() time.Time
+	// syncNow is forward.Options.SyncNow: it corrects the clock for a suspension of the
+	// machine and then returns the current time.
+	syncNow func() time.Time
 
+	// mu guards the state of view, and orders the updates of members and of the proxy.
 	mu      sync.Mutex
 	view    *view.View
 	members atomic.Pointer[[]model.Member]
 	fleet   fleetCache
-	synced  atomic.Bool
-	// stopping is set by the signal to stop.
+	// synced is set by MarkSynced.
+	synced atomic.Bool
+	// stopping is set when Stop begins.
 	stopping atomic.Bool
 }
 
-// New returns a Node that refuses everything until it is synced.
-func New(opt view.Options, carrier forward.Options) *Node {
-	n := &Node{Entry: entry.New(carrier), UnknownSenders: relay.NewUnknownSenders(), now: carrier.Now, check: carrier.SyncNow, view: view.New(opt)}
-	if n.check == nil {
-		n.check = n.now
+// New returns a Node that rejects all requests until MarkSynced is called and a
+// configuration is known. Proxy must have a clock in Now.
+func New(opt view.Options, proxy forward.Options) *Node {
+	n := &Node{Entry: entry.New(proxy), UnknownSenders: relay.NewUnknownSenders(), now: proxy.Now, syncNow: proxy.SyncNow, view: view.New(opt)}
+	if n.syncNow == nil {
+		n.syncNow = n.now
 	}
 	n.members.Store(new([]model.Member))
 	return n
 }
 
-// Apply changes what the node knows and brings the carrier up to date.
+// Apply calls change with the node's view and the current time, and passes the resulting
+// snapshot to the proxy. Change must not call methods of the Node.
 func (n *Node) Apply(change func(v *view.View, now time.Time)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -83,9 +93,10 @@
 	n.publish()
 }
 
-// publish compiles the view. The caller holds the lock.
+// publish updates the list of members and, once the node is synced, passes a new snapshot
+// of the view to the proxy. n.mu must be held.
 func (n *Node) publish() {
-	if members := n.view.Members(); !sameList(members, *n.members.Load()) {
+	if members := n.view.Members(); !sameSlice(members, *n.members.Load()) {
 		n.members.Store(&members)
 	}
 	if !n.synced.Load() {
@@ -96,13 +107,15 @@
 	}
 }
 
-// sameList reports whether two lists are one in memory. Whoever works from the members
-// keeps what was made of them until there is a new list.
-func sameList(a, b []model.Member) bool {
+// sameSlice reports whether two slices share their memory. The pointer to the members is
+// replaced only with a new list, because fleetCache keeps the fleet until the pointer
+// changes.
+func sameSlice(a, b []model.Member) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// MarkSynced records that all that there is to know has been read once.
+// MarkSynced records that the whole state has been read once, and passes the first
+// snapshot to the proxy.
 func (n *Node) MarkSynced() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -111,12 +124,13 @@
 	klog.InfoS("node ready", "members", len(*n.members.Load()))
 }
 
-// Ready reports whether the node takes requests and is to be named to callers.
+// Ready reports whether the node accepts requests and look-ups should return it to callers.
 func (n *Node) Ready() bool {
 	return n.Entry.Proxy.Snapshot() != nil && !n.stopping.Load()
 }
 
-// Members returns the live nodes, the own one only while it is ready.
+// Members returns the live nodes, without the local node once it is stopping. The list is
+// shared and must not be modified.
 func (n *Node) Members() []model.Member {
 	all := *n.members.Load()
 	if !n.stopping.Load() {
@@ -125,7 +139,7 @@
 	return n.view.WithoutSelf(all)
 }
 
-// ServingRegions returns the regions that may serve the requests of a host; empty means all.
+// ServingRegions returns the regions that may serve requests for a host; empty means all.
 func (n *Node) ServingRegions(host string) []string {
 	snap := n.Entry.Proxy.Snapshot()
 	if snap == nil {
@@ -134,37 +148,41 @@
 	return snap.Routes.ServingRegions(host)
 }
 
-// LookupMembers returns the nodes to name to callers: the live ones but for those that are
-// known to be absent, whose registrations may outlive them while the platform's service
-// is away. A node that has not read everything yet names none: it may know only itself, and
-// its caller may have come from another region.
+// LookupMembers returns the nodes that look-ups return to callers: the live ones except
+// those in absent, which have stopped or are silent, but whose registrations may remain
+// during an outage of the key-value store. It returns none before MarkSynced: until then
+// the node may know only itself, and the caller may be in another region. The list may be
+// shared and must not be modified.
 func (n *Node) LookupMembers(absent map[string]bool) []model.Member {
 	if !n.synced.Load() {
 		return nil
 	}
 	members := n.Members()
 	if len(absent) == 0 {
-		// The usual case must not copy the whole fleet for each look-up.
+		// Without absent members no copy is needed; copying the whole fleet for each look-up
+		// would be expensive.
 		return members
 	}
 	return slices.DeleteFunc(slices.Clone(members), func(m model.Member) bool { return absent[m.ID] })
 }
 
-// RunExpiry drops lapsed entries until ctx ends.
+// RunExpiry periodically removes records that have lapsed and state of the proxy that has
+// expired, until ctx ends.
 func (n *Node) RunExpiry(ctx context.Context) {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(expireInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			n.dropLapsed()
+			n.expireLapsed()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (n *Node) dropLapsed() {
+// expireLapsed does one round of RunExpiry.
+func (n *Node) expireLapsed() {
 	n.Entry.Proxy.Tick()
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -173,11 +191,11 @@
 		return
 	}
 	n.publish()
-	klog.InfoS("entries did not come back, forgotten", "count", len(kept), "first", logs.Few(kept))
+	klog.InfoS("removed lapsed records after the grace period", "count", len(kept), "first", logs.Few(kept))
 }
 
-// Handler carries requests. While the node stops it asks callers to close their
-// connections.
+// Handler returns the handler of callers' requests. While the node is stopping, its
+// responses ask callers to close their connections.
 func (n *Node) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if n.stopping.Load() {
@@ -187,9 +205,10 @@
 	})
 }
 
-// Stop is the planned stop: the node is no longer named to callers, takes
-// requests for a little longer, refuses further ones as not run, and returns
-// when the last request has ended, or shortly before the kill.
+// Stop performs a planned stop within the time grace. Look-ups no longer return the node.
+// Requests are still accepted for the time linger, or half of grace if that is shorter, and
+// later ones are rejected as not run. Stop returns when the last request has ended, at the
+// latest killMargin before the end of grace.
 func (n *Node) Stop(grace time.Duration) {
 	klog.InfoS("stopping", "grace", grace)
 	began := n.now()
@@ -198,29 +217,29 @@
 	time.Sleep(min(linger, grace/2))
 	n.Entry.Proxy.Stop()
 	for n.Entry.Proxy.InFlight() > 0 && n.now().Sub(began) < grace-killMargin {
-		time.Sleep(pollEvery)
+		time.Sleep(drainPollInterval)
 	}
 	klog.InfoS("stopped", "in_flight", n.Entry.Proxy.InFlight(), "took", n.now().Sub(began))
 }
 
-// Status is what the node knows, for metrics.
+// Status is a summary of the node's state, for metrics.
 type Status struct {
 	Ready         bool   `json:"ready"`
 	Stopping      bool   `json:"stopping"`
 	ConfigVersion uint64 `json:"config_version"`
 	Members       int    `json:"members"`
-	// Upstreams is how many each service has, Leaving how many of them get no new
-	// work.
+	// Upstreams is the number of upstreams of each service, and Draining the number of
+	// those that get no new requests.
 	Upstreams map[string]int `json:"upstreams"`
 	Draining  map[string]int `json:"leaving"`
 	InFlight  int            `json:"in_flight"`
-	// Poison is how many requests under which upstreams ended the node knows.
+	// Poison holds the numbers of known requests that crashed upstreams.
 	Poison poison.Status `json:"poison"`
-	// Store is what the node believes of the platform's service.
+	// Store is the state of the platform's key-value store as the node observes it.
 	Store view.StoreStatus `json:"service"`
 }
 
-// Status returns what the node knows in short.
+// Status returns a summary of the node's state.
 func (n *Node) Status() Status {
 	s := Status{
 		Ready: n.Ready(), Stopping: n.stopping.Load(), Members: len(*n.members.Load()), InFlight: n.Entry.Proxy.InFlight(),
@@ -247,15 +266,15 @@
 	return s
 }
 
-// Dump is everything that the node decides by.
+// Dump is the state on which the node's decisions depend, for debugging.
 type Dump struct {
 	Status   Status                           `json:"status"`
 	Members  []model.Member                   `json:"members"`
 	Services map[string]forward.ServiceStatus `json:"services"`
 	Metrics  map[string]entry.ServiceMetrics  `json:"metrics"`
-	// OrganisationLimits are those of the organisations that have requests.
+	// OrganisationLimits are the limits of the organisations that have requests.
 	OrganisationLimits []quota.Status `json:"limits,omitempty"`
-	// UpstreamLimits are the limits that upstreams name.
+	// UpstreamLimits are the rate limits that upstreams announce.
 	UpstreamLimits []balance.LimitStatus `json:"rates,omitempty"`
 }
 
@@ -264,47 +283,52 @@
 	return Dump{n.Status(), *n.members.Load(), n.Entry.Proxy.Dump(), n.Entry.Metrics(), n.OrganisationLimits(), n.UpstreamLimits()}
 }
 
-// maxLimits bounds the organisations in metrics and dumps.
-const maxLimits = 1000
+// maxOrganisationLimits is the largest number of organisations in metrics and dumps.
+const maxOrganisationLimits = 1000
 
-// OrganisationLimits returns the limits of the organisations that have requests.
+// OrganisationLimits returns the limits of the organisations that have requests, at most
+// maxOrganisationLimits of them.
 func (n *Node) OrganisationLimits() []quota.Status {
-	return n.Entry.Proxy.OrganisationLimits().Status(maxLimits, n.now())
+	return n.Entry.Proxy.OrganisationLimits().Status(maxOrganisationLimits, n.now())
 }
 
-// maxRates bounds the upstreams with limits of each service in metrics and dumps.
-const maxRates = 1000
+// maxUpstreamLimits is the largest number of upstreams with rate limits of each service in
+// metrics and dumps.
+const maxUpstreamLimits = 1000
 
-// UpstreamLimits returns the limits that upstreams name.
-func (n *Node) UpstreamLimits() []balance.LimitStatus { return n.Entry.Proxy.Rates(maxRates) }
+// UpstreamLimits returns the rate limits that upstreams announce, at most
+// maxUpstreamLimits for each service.
+func (n *Node) UpstreamLimits() []balance.LimitStatus { return n.Entry.Proxy.Rates(maxUpstreamLimits) }
 
-// ReportOptions sets up the exchange of reports with the other nodes.
+// ReportOptions returns the options for the exchange of reports between this node, self,
+// and the other nodes.
 func (n *Node) ReportOptions(self model.Member) inflight.Options {
 	return inflight.Options{
 		Address:         self.Agent,
 		Entry:           self.ID,
 		Incarnation:     self.Incarnation,
-		Fleet:           func() inflight.Fleet { return n.fleet.of(self, n.members.Load()) },
-		Counts:          n.counts,
-		MaxConnIdle:     n.doubt,
+		Fleet:           func() inflight.Fleet { return n.fleet.get(self, n.members.Load()) },
+		Counts:          n.requestCounts,
+		MaxConnIdle:     n.maxConnIdle,
 		Claims:          n.Entry.Proxy.PoisonClaims,
 		Limits:          n.Entry.Proxy.OrganisationLimits(),
 		Rates:           n.Entry.Proxy,
 		Leaving:         n.stopping.Load,
 		Busy:            n.busy,
-		OnReport:        n.heard,
-		Now:             n.check,
+		OnReport:        n.handleReport,
+		Now:             n.syncNow,
 		OnUnknownSender: func(from netip.AddrPort) { n.UnknownSenders.RecordReport(from.String(), n.now()) },
 	}
 }
 
-// busy reports whether others have to hear of the node's requests at once.
+// busy reports whether other nodes need the node's reports without delay.
 func (n *Node) busy() bool {
 	c := n.Entry.Proxy
-	return c.InFlight() > lightLoad || c.OrganisationLimits().InUse(n.now()) || len(c.LimitSenders()) > 0
+	return c.InFlight() > idleMaxInFlight || c.OrganisationLimits().InUse(n.now()) || len(c.LimitSenders()) > 0
 }
 
-func (n *Node) counts(whose balance.EntryFilter) []inflight.Count {
+// requestCounts returns the load at each upstream from the entries selected by whose.
+func (n *Node) requestCounts(whose balance.EntryFilter) []inflight.Count {
 	var out []inflight.Count
 	n.Entry.Proxy.VisitLoads(whose, func(upstream uint32, l balance.Load) {
 		out = append(out, inflight.Count{Upstream: upstream, Requests: l.Requests, Failed: l.Failed, Answered: l.Total})
@@ -312,7 +336,8 @@
 	return out
 }
 
-func (n *Node) heard(peer string, r *inflight.Report) {
+// handleReport merges a report that peer sent into the state of the proxy.
+func (n *Node) handleReport(peer string, r *inflight.Report) {
 	n.Entry.Proxy.MergePoisonClaims(r.Claims)
 	if r.Scope == inflight.ScopeNone {
 		return
@@ -327,9 +352,10 @@
 	}
 }
 
-// doubt returns what the node knows of upstreams that forget connections, and for how
-// long that holds.
-func (n *Node) doubt() (rest, left time.Duration) {
+// maxConnIdle returns the longest idle time of a connection that may be reused for a
+// request that may run only once, and for how long that limit still holds. Both are 0 if
+// there is no limit.
+func (n *Node) maxConnIdle() (idle, left time.Duration) {
 	d := n.Entry.Proxy.ReuseLimit()
 	if d.Until.IsZero() {
 		return 0, 0
@@ -337,7 +363,8 @@
 	return d.MaxIdle, d.Until.Sub(n.now())
 }
 
-// Self returns the member that a node announces.
+// Self returns the local node as the member that it registers. Its incarnation is the time
+// now in Unix milliseconds.
 func Self(id, region, domain, entryAddr, peerAddr string, now time.Time) model.Member {
 	return model.Member{
 		ID: id, Region: region, Domain: domain, Entry: entryAddr, Agent: peerAddr,
--- a/internal/node/suspended_test.go
+++ b/internal/node/suspended_test.go
@@ -10,15 +10,17 @@
 	"github.com/loomkeel/loomkeel/internal/view"
 )
 
-// TestSuspensionAgesWhatIsKnown suspends a machine: entries that lapsed while the service
-// was away are forgotten by the boot clock, not by the steady one, which missed the time.
-func TestSuspensionAgesWhatIsKnown(t *testing.T) {
-	const rejoin = 2 * time.Second
+// TestLapsedRecordsExpireAfterSuspension suspends a machine after an upstream's record has
+// lapsed in an outage of the store. The grace period for the record runs by the boot clock;
+// the monotonic clock stands still during the suspension, and would retain the record too
+// long.
+func TestLapsedRecordsExpireAfterSuspension(t *testing.T) {
+	const grace = 2 * time.Second
 	start := time.Now()
-	var slept time.Duration
-	clock := bootclock.NewClockOf(start, func() time.Duration { return 0 }, func() time.Duration { return slept })
+	var suspended time.Duration
+	clock := bootclock.NewClockOf(start, func() time.Duration { return 0 }, func() time.Duration { return suspended })
 	self := Self("n1", "muscat", "mus-a", "10.0.0.1:80", "10.0.0.1:7200", start)
-	n := New(view.Options{Self: self, Regions: map[string]string{"mus-a": "muscat"}, ReregistrationGrace: rejoin},
+	n := New(view.Options{Self: self, Regions: map[string]string{"mus-a": "muscat"}, ReregistrationGrace: grace},
 		forward.Options{Self: "n1", Domain: "mus-a", MaxInFlight: 10, Now: clock.Now, SyncNow: clock.Check})
 	n.Apply(func(v *view.View, now time.Time) {
 		v.PutUpstream(model.Upstream{ID: "u1", Service: "s", Region: "muscat", Domain: "mus-a", Address: "10.0.0.9:80", Slots: 1})
@@ -26,16 +28,16 @@
 		v.MarkStoreReached(now)
 		v.RemoveUpstream("u1", now)
 	})
-	n.dropLapsed()
+	n.expireLapsed()
 	if got := n.view.Retained(); len(got) != 1 {
-		t.Fatalf("kept %v, want u1", got)
+		t.Fatalf("retained %v, want u1", got)
 	}
-	slept = 2 * rejoin
-	n.dropLapsed()
+	suspended = 2 * grace
+	n.expireLapsed()
 	if got := n.view.Retained(); len(got) != 0 {
-		t.Errorf("kept %v after the suspension", got)
+		t.Errorf("retained %v after the suspension, want none", got)
 	}
-	if now := n.ReportOptions(self).Now(); now.Sub(clock.Now()) != 0 || now.Sub(start) < slept {
-		t.Errorf("reports go by %v", now)
+	if now := n.ReportOptions(self).Now(); now.Sub(clock.Now()) != 0 || now.Sub(start) < suspended {
+		t.Errorf("time of reports is %v, want that of the corrected clock", now)
 	}
 }
