--- a/cmd/loomkeel-agent/main.go
+++ b/cmd/loomkeel-agent/main.go
@@ -1,4 +1,5 @@
-// Command loomkeel-agent is the control process of an instance.
+// Command loomkeel-agent is the control process of an instance: it follows the configuration
+// and the other instances, and serves operators.
 package main
 
 import (
@@ -30,17 +31,18 @@
 	cli.Main(cli.Daemon{Name: "loomkeel-agent", Usage: "follow the configuration and the other instances", Ballast: process.BallastControl, Run: run})
 }
 
+// run runs the agent until ctx ends.
 func run(ctx context.Context, s *settings.Settings) error {
 	serverTLS, clientTLS, err := tlsconf.Peers(s.TLS)
 	if err != nil {
-		return eris.Wrap(err, "peer certificates")
+		return eris.Wrap(err, "load peer certificates")
 	}
 	token, err := command.LoadToken(s.Agent.Token)
 	if err != nil {
-		return eris.Wrap(err, "operators' token")
+		return eris.Wrap(err, "load operators' token")
 	}
-	traffic := new(rpc.Traffic)
-	dialer := rpc.NewDialer(clientTLS, traffic)
+	byteCounts := new(rpc.Traffic)
+	dialer := rpc.NewDialer(clientTLS, byteCounts)
 	defer dialer.Close()
 	client := platform.NewClient(s.Platform.Address, s.Platform.Timeout)
 	a := agent.New(agent.Options{
@@ -57,20 +59,20 @@
 	})
 	mux, err := rpc.NewMux(a)
 	if err != nil {
-		return eris.Wrap(err, "services")
+		return eris.Wrap(err, "set up services for peers")
 	}
 	lis, err := net.Listen("tcp", s.Agent.Peer)
 	if err != nil {
-		return eris.Wrap(err, "peer address")
+		return eris.Wrap(err, "listen on peer address")
 	}
 	go func() {
-		if err := rpc.Serve(ctx, rpc.WrapTLS(lis, serverTLS), mux, traffic); err != nil && ctx.Err() == nil {
-			klog.ErrorS(err, "peer server ended")
+		if err := rpc.Serve(ctx, rpc.WrapTLS(lis, serverTLS), mux, byteCounts); err != nil && ctx.Err() == nil {
+			klog.ErrorS(err, "peer server stopped")
 		}
 	}()
-	srv, err := process.Listen(s.Agent.Operator, operator(a, s, token, traffic))
+	srv, err := process.Listen(s.Agent.Operator, operatorHandler(a, s, token, byteCounts))
 	if err != nil {
-		return eris.Wrap(err, "operator address")
+		return eris.Wrap(err, "listen on operator address")
 	}
 	go srv.Serve()
 	klog.InfoS("agent started", "id", s.Instance.ID, "peer", s.Agent.Peer, "operator", s.Agent.Operator)
@@ -78,9 +80,11 @@
 	return stop(a, srv)
 }
 
-// stopTimeout bounds the farewell of a stopping agent.
+// stopTimeout limits the time in which a stopping agent announces its departure and ends the
+// operators' requests in flight.
 const stopTimeout = 2 * time.Second
 
+// stop announces to the other agents that this one is leaving, and shuts srv down.
 func stop(a *agent.Agent, srv *process.Server) error {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
@@ -88,6 +92,7 @@
 	return srv.Shutdown(ctx)
 }
 
+// self returns the local instance as a member.
 func self(s *settings.Settings) membership.Member {
 	return membership.Member{
 		ID:       s.Instance.ID,
@@ -99,12 +104,12 @@
 	}
 }
 
-// operator returns the interface to operators.
-func operator(a *agent.Agent, s *settings.Settings, token command.Token, traffic *rpc.Traffic) http.Handler {
+// operatorHandler publishes the agent's metrics and returns the handler for operators.
+func operatorHandler(a *agent.Agent, s *settings.Settings, token command.Token, byteCounts *rpc.Traffic) http.Handler {
 	r := chi.NewRouter()
 	metrics.Publish("agent", func() any { return a.Counters() })
-	metrics.Publish("peer_bytes_sent", func() any { return traffic.Sent.Load() })
-	metrics.Publish("peer_bytes_received", func() any { return traffic.Received.Load() })
+	metrics.Publish("peer_bytes_sent", func() any { return byteCounts.Sent.Load() })
+	metrics.Publish("peer_bytes_received", func() any { return byteCounts.Received.Load() })
 	process.Debug(r, func() bool { return a.Log().Revision() > 0 }, func() any { return a.Dump() })
 	r.Group(func(r chi.Router) {
 		r.Use(token.Require)
--- a/cmd/loomkeel-director/main.go
+++ b/cmd/loomkeel-director/main.go
@@ -20,27 +20,28 @@
 	"github.com/loomkeel/loomkeel/internal/tlsconf"
 )
 
-// stopTimeout bounds the wait for look-ups in flight at a stop.
+// stopTimeout limits the wait for look-ups in flight when the process stops.
 const stopTimeout = 5 * time.Second
 
 func main() {
 	cli.Main(cli.Daemon{Name: "loomkeel-director", Usage: "answer look-ups: which entry instances to use", Ballast: process.BallastLookups, Run: run})
 }
 
-// dump is everything that the process decides by.
+// dump is the state on which the process's answers depend, for debugging.
 type dump struct {
 	Agent    follow.Status `json:"agent"`
 	Director director.Dump `json:"director"`
 }
 
+// run runs the director until ctx ends.
 func run(ctx context.Context, s *settings.Settings) error {
 	_, clientTLS, err := tlsconf.Peers(s.TLS)
 	if err != nil {
-		return eris.Wrap(err, "peer certificates")
+		return eris.Wrap(err, "load peer certificates")
 	}
 	serverTLS, err := tlsconf.Server(s.TLS)
 	if err != nil {
-		return eris.Wrap(err, "certificate")
+		return eris.Wrap(err, "load server certificate")
 	}
 	dialer := rpc.NewDialer(clientTLS, nil)
 	defer dialer.Close()
@@ -54,12 +55,12 @@
 	process.Debug(debug, d.Ready, state)
 	debugServer, err := process.Listen(s.Director.Debug, debug)
 	if err != nil {
-		return eris.Wrap(err, "debug address")
+		return eris.Wrap(err, "listen on debug address")
 	}
 	go debugServer.Serve()
 	srv, err := process.ListenTLS(s.Director.Listen, d.Handler(), serverTLS)
 	if err != nil {
-		return eris.Wrap(err, "listen address")
+		return eris.Wrap(err, "listen for look-ups")
 	}
 	go srv.Serve()
 	klog.InfoS("director started", "listen", s.Director.Listen)
--- a/cmd/loomkeel-entry/main.go
+++ b/cmd/loomkeel-entry/main.go
@@ -1,4 +1,4 @@
-// Command loomkeel-entry carries callers' requests to upstreams.
+// Command loomkeel-entry forwards callers' requests to upstreams.
 package main
 
 import (
@@ -23,21 +23,22 @@
 )
 
 func main() {
-	cli.Main(cli.Daemon{Name: "loomkeel-entry", Usage: "carry requests to upstreams", Ballast: process.BallastCarrier, Run: run})
+	cli.Main(cli.Daemon{Name: "loomkeel-entry", Usage: "forward requests to upstreams", Ballast: process.BallastCarrier, Run: run})
 }
 
+// run runs the entry until ctx ends, and then performs the planned stop.
 func run(ctx context.Context, s *settings.Settings) error {
 	_, clientTLS, err := tlsconf.Peers(s.TLS)
 	if err != nil {
-		return eris.Wrap(err, "peer certificates")
+		return eris.Wrap(err, "load peer certificates")
 	}
 	upstreamTLS, err := tlsconf.Upstreams(s.TLS)
 	if err != nil {
-		return eris.Wrap(err, "upstream certificates")
+		return eris.Wrap(err, "load upstream certificates")
 	}
 	serverTLS, err := tlsconf.Server(s.TLS)
 	if err != nil {
-		return eris.Wrap(err, "certificate")
+		return eris.Wrap(err, "load server certificate")
 	}
 	dialer := rpc.NewDialer(clientTLS, nil)
 	defer dialer.Close()
@@ -52,19 +53,19 @@
 	process.Debug(debug, ready, func() any { return e.Dump(f.Status()) })
 	debugServer, err := process.Listen(s.Entry.Debug, debug)
 	if err != nil {
-		return eris.Wrap(err, "debug address")
+		return eris.Wrap(err, "listen on debug address")
 	}
 	go debugServer.Serve()
 	srv, err := process.ListenTLS(s.Entry.Listen, e.Proxy, serverTLS)
 	if err != nil {
-		return eris.Wrap(err, "listen address")
+		return eris.Wrap(err, "listen for requests")
 	}
 	go srv.Serve()
 	klog.InfoS("entry started", "listen", s.Entry.Listen)
-	following, end := context.WithCancel(context.Background())
-	defer end()
-	go f.Run(following)
-	go e.RunReports(following, f)
+	followCtx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	go f.Run(followCtx)
+	go e.RunReports(followCtx, f)
 	<-ctx.Done()
 	return e.Stop(context.Background(), srv, entry.StopOptions{
 		Linger:  s.Entry.Linger,
--- a/cmd/loomkeel-node/main.go
+++ b/cmd/loomkeel-node/main.go
@@ -1,5 +1,5 @@
-// Command loomkeel-node is all of loomkeel that an instance of the users'
-// platform runs: it answers look-ups and carries requests.
+// Command loomkeel-node is the only process of loomkeel on an instance of the users'
+// platform: it answers look-ups and forwards requests.
 package main
 
 import (
@@ -35,29 +35,30 @@
 
 const (
 	name = "loomkeel-node"
-	// heapShare is the part of the instance's memory at which the collector works
-	// as hard as it must.
-	heapShare = 0.6
-	// room is how many requests may be in the node at one time.
-	room = 4096
-	// rejoin is how long entries that lapsed while the store was away have to
-	// come back; the platform says about two seconds.
-	rejoin = 2200 * time.Millisecond
-	// retryShare is the part of the platform's retry budget that is used, since
-	// the nodes may see different requests in its window.
-	retryShare = 0.7
-	// reloadEvery is the time between looks for settings that changed without a
+	// memoryLimitShare is the share of the instance's memory that is set as Go's memory
+	// limit, near which the garbage collector runs as often as it must.
+	memoryLimitShare = 0.6
+	// maxInFlight is the largest number of requests that the node handles at one time.
+	maxInFlight = 4096
+	// reregistrationGrace is how long records that lapsed during an outage of the store are
+	// retained after it, so that their owners can write them again. The platform specifies
+	// about two seconds.
+	reregistrationGrace = 2200 * time.Millisecond
+	// retryBudgetShare is the share of the platform's retry budget that is used. The rest is
+	// a margin, because the nodes may see different requests in the budget's window.
+	retryBudgetShare = 0.7
+	// reloadInterval is the time between checks for settings that were changed without a
 	// signal.
-	reloadEvery = 5 * time.Second
-	// dialTimeout bounds the wait for a connection to an upstream. The farthest
-	// regions are some 0.2 s apart and back.
+	reloadInterval = 5 * time.Second
+	// dialTimeout limits the wait for a connection to an upstream. The round-trip time
+	// between the regions farthest apart is about 0.2 s.
 	dialTimeout = 700 * time.Millisecond
 )
 
 func main() {
 	cmd := &urfave.Command{
 		Name:    name,
-		Usage:   "answer look-ups and carry requests on an instance of the platform",
+		Usage:   "answer look-ups and forward requests on an instance of the platform",
 		Version: process.Version,
 		Action: func(ctx context.Context, _ *urfave.Command) error {
 			s, err := platform.LoadSettings(platform.SettingsPath())
@@ -70,7 +71,7 @@
 		},
 		Commands: []*urfave.Command{{
 			Name:  "check",
-			Usage: "read the settings, print all faults, and exit with 1 if there are any",
+			Usage: "read the settings, print all errors, and exit with status 1 if there are any",
 			Action: func(context.Context, *urfave.Command) error {
 				if _, err := platform.LoadSettings(platform.SettingsPath()); err != nil {
 					return err
@@ -83,13 +84,15 @@
 	cli.Exit(name, cmd.Run(context.Background(), os.Args))
 }
 
+// run runs the node with the settings s, read from path, until a signal to stop, and then
+// performs the planned stop.
 func run(ctx context.Context, path string, s *platform.Settings) error {
 	if s.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(heapShare * float64(s.MemoryBytes)))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(s.MemoryBytes)))
 	}
-	// Until Reload listens for it, a SIGHUP must not end the process.
+	// By default a SIGHUP would end the process before Reload handles it.
 	signal.Ignore(syscall.SIGHUP)
-	stop, cancel := process.Signals(ctx)
+	stopCtx, cancel := process.Signals(ctx)
 	defer cancel()
 	clock := bootclock.NewClock()
 	fields := new(platform.FieldCounts)
@@ -98,10 +101,10 @@
 	n := node.New(view.Options{
 		Self:                self,
 		Regions:             s.Regions,
-		ReregistrationGrace: rejoin,
+		ReregistrationGrace: reregistrationGrace,
 		Policy:              policy(s.Bounds),
 	}, forward.Options{
-		Self: s.ID, Domain: s.Domain, MaxInFlight: room, Now: clock.Now, SyncNow: clock.Check,
+		Self: s.ID, Domain: s.Domain, MaxInFlight: maxInFlight, Now: clock.Now, SyncNow: clock.Check,
 		Protocol: platform.Protocol{Fields: fields}, DialTimeout: dialTimeout,
 	})
 
@@ -115,72 +118,72 @@
 	})
 	registrar, err := platform.NewRegistrar(store, feed, self, s.Store.MinLeaseTTL)
 	if err != nil {
-		return eris.Wrap(err, "registration")
+		return eris.Wrap(err, "set up registration")
 	}
 	exchange, err := inflight.Listen(n.ReportOptions(self))
 	if err != nil {
-		return eris.Wrapf(err, "listen on %s", s.PeerAddress)
+		return eris.Wrapf(err, "listen on %s for reports", s.PeerAddress)
 	}
-	named := func() []model.Member { return n.LookupMembers(exchange.Absent(clock.Now())) }
+	lookupMembers := func() []model.Member { return n.LookupMembers(exchange.Absent(clock.Now())) }
 	metrics.Publish("store", func() any { return store.CallCounts() })
 	metrics.Publish("answer_fields", func() any { return fields.Status() })
 	metrics.Publish("feed", func() any { return feed.Status() })
 	dump := func() any { return stateDump{n.Dump(), feed.Status()} }
-	if err := listen(n, named, dump, s); err != nil {
+	if err := listen(n, lookupMembers, dump, s); err != nil {
 		return err
 	}
 	if err := serveRelay(ctx, s.PeerAddress, feed.RelayServer()); err != nil {
 		return err
 	}
 	klog.InfoS("node started", "id", s.ID, "entry", s.EntryAddress, "store", s.Store.Address)
-	following, end := context.WithCancel(context.Background())
-	defer end()
-	go feed.Run(following)
-	go n.RunExpiry(following)
-	go exchange.Run(following)
+	runCtx, cancelRun := context.WithCancel(context.Background())
+	defer cancelRun()
+	go feed.Run(runCtx)
+	go n.RunExpiry(runCtx)
+	go exchange.Run(runCtx)
 	go func() {
 		<-feed.Ready()
 		n.MarkSynced()
 	}()
-	go registrar.Run(stop)
+	go registrar.Run(stopCtx)
 	var grace atomic.Int64
 	grace.Store(int64(s.Bounds.GracePeriod))
-	go process.Reload(following, path, s.Raw, reloadEvery, func(content []byte) {
+	go process.Reload(runCtx, path, s.Raw, reloadInterval, func(content []byte) {
 		next, err := platform.ParseSettings(path, content)
 		if err != nil {
-			klog.ErrorS(err, "settings refused, those before stay in force")
+			klog.ErrorS(err, "new settings rejected, previous settings stay in force")
 			return
 		}
 		klog.InfoS("settings changed", "path", path)
 		grace.Store(int64(next.Bounds.GracePeriod))
 		n.Apply(func(v *view.View, _ time.Time) { v.SetPolicy(policy(next.Bounds)) })
 	})
-	<-stop.Done()
+	<-stopCtx.Done()
 	n.Stop(time.Duration(grace.Load()))
 	return nil
 }
 
-// policy returns how much of the platform's bounds the nodes use.
+// policy returns the limits that the nodes apply, within the platform's bounds.
 func policy(b platform.Bounds) view.Policy {
 	return view.Policy{
-		RetryRatio: retryShare * b.RetryRatio,
-		RetrySlack: retryShare * b.RetrySlack,
+		RetryRatio: retryBudgetShare * b.RetryRatio,
+		RetrySlack: retryBudgetShare * b.RetrySlack,
 		ColdFactor: b.ColdFactor,
 		ColdSlack:  b.ColdSlack,
 		LimitSlack: b.LimitSlack,
 	}
 }
 
-// listen opens the addresses for requests, look-ups and readiness checks. Named returns
-// the nodes that look-ups name, dump the state of the process.
-func listen(n *node.Node, named func() []model.Member, dump func() any, s *platform.Settings) error {
+// listen starts the servers for requests, look-ups, debugging and readiness checks.
+// lookupMembers returns the nodes that look-ups return, and dump the state of the process.
+func listen(n *node.Node, lookupMembers func() []model.Member, dump func() any, s *platform.Settings) error {
 	for _, l := range []struct {
 		addr string
 		open func() (*process.Server, error)
 	}{
 		{s.EntryAddress, func() (*process.Server, error) { return process.Listen(s.EntryAddress, n.Handler()) }},
 		{s.DirectoryAddress, func() (*process.Server, error) {
-			return process.Listen(s.DirectoryAddress, platform.DirectoryHandler(named, n.ServingRegions, s.Bounds.MaxLookupTTL))
+			return process.Listen(s.DirectoryAddress, platform.DirectoryHandler(lookupMembers, n.ServingRegions, s.Bounds.MaxLookupTTL))
 		}},
 		{s.DebugAddress, func() (*process.Server, error) { return process.Listen(s.DebugAddress, debugHandler(n, dump)) }},
 		{s.ReadinessAddress, func() (*process.Server, error) {
@@ -196,31 +199,34 @@
 	return nil
 }
 
-// serveRelay lets other nodes follow what this one has read from the store.
+// serveRelay starts the server from which other nodes get what this node has read from the
+// store. It stops when ctx ends.
 func serveRelay(ctx context.Context, addr string, srv *relay.Server) error {
 	lis, err := net.Listen("tcp", addr)
 	if err != nil {
-		return eris.Wrapf(err, "listen on %s", addr)
+		return eris.Wrapf(err, "listen on %s for relay", addr)
 	}
 	mux, err := relay.NewMux(srv)
 	if err != nil {
-		return eris.Wrap(err, "relay")
+		return eris.Wrap(err, "set up relay services")
 	}
 	go func() {
 		if err := rpc.Serve(ctx, lis, mux, nil); err != nil {
-			klog.ErrorS(err, "relay ended", "addr", addr)
+			klog.ErrorS(err, "relay server stopped", "addr", addr)
 		}
 	}()
 	return nil
 }
 
-// stateDump is everything that the process decides by, and how old it may be.
+// stateDump is the state on which the process's decisions depend, with the state of the feed
+// that keeps it current.
 type stateDump struct {
 	node.Dump
 	Feed platform.FeedStatus `json:"feed"`
 }
 
-// debugHandler serves the metrics and the dump of the process's state.
+// debugHandler publishes the node's metrics and returns the handler that serves the metrics
+// and the state of the process.
 func debugHandler(n *node.Node, dump func() any) http.Handler {
 	metrics.Publish("entry", func() any { return n.Entry.Metrics() })
 	metrics.Publish("limits", func() any { return n.OrganisationLimits() })
--- a/cmd/loomkeel-standin/main.go
+++ b/cmd/loomkeel-standin/main.go
@@ -1,5 +1,5 @@
-// Command loomkeel-standin stands in for the platform and for upstreams, for
-// tests and the quick start.
+// Command loomkeel-standin simulates the platform and upstreams for tests and
+// the quick start.
 package main
 
 import (
@@ -21,14 +21,14 @@
 func main() {
 	cmd := &cli.Command{
 		Name:    "loomkeel-standin",
-		Usage:   "stand in for the platform or for upstreams",
+		Usage:   "simulate the platform or upstreams",
 		Version: process.Version,
 		Commands: []*cli.Command{
 			{
 				Name:  "platform",
 				Usage: "serve a key-value service and an instance list",
 				Flags: []cli.Flag{
-					&cli.StringFlag{Name: "listen", Value: "127.0.0.1:7000", Usage: "`ADDRESS`"},
+					&cli.StringFlag{Name: "listen", Value: "127.0.0.1:7000", Usage: "`ADDRESS` to listen on"},
 					&cli.StringFlag{Name: "instances", Usage: "JSON `FILE` with the instance list"},
 				},
 				Action: runPlatform,
@@ -38,7 +38,7 @@
 				Usage: "serve all upstreams of an instance list",
 				Flags: []cli.Flag{
 					&cli.StringFlag{Name: "instances", Usage: "JSON `FILE` with the instance list", Required: true},
-					&cli.StringFlag{Name: "region", Usage: "only those of this `REGION`"},
+					&cli.StringFlag{Name: "region", Usage: "serve only the upstreams of this `REGION`"},
 					&cli.StringFlag{Name: "record", Usage: "`FILE` that gets a line for each run"},
 					&cli.DurationFlag{Name: "work", Value: 5 * time.Millisecond, Usage: "how long a request takes"},
 				},
@@ -49,6 +49,7 @@
 	lcli.Exit(cmd.Name, cmd.Run(context.Background(), os.Args))
 }
 
+// readInstances returns the instance list in a JSON file, or nil for no file.
 func readInstances(file string) ([]platform.Instance, error) {
 	if file == "" {
 		return nil, nil
@@ -61,6 +62,7 @@
 	return list, eris.Wrapf(json.Unmarshal(b, &list), "%s", file)
 }
 
+// runPlatform serves the simulated platform until a signal to stop.
 func runPlatform(ctx context.Context, c *cli.Command) error {
 	ctx, stop := process.Signals(ctx)
 	defer stop()
@@ -78,6 +80,8 @@
 	return nil
 }
 
+// runUpstreams serves the simulated upstreams until a signal to stop. The upstreams of one
+// service and region share a Gauge.
 func runUpstreams(ctx context.Context, c *cli.Command) error {
 	ctx, stop := process.Signals(ctx)
 	defer stop()
@@ -110,8 +114,8 @@
 	return nil
 }
 
-// openRecord returns nil for no file. Each line goes out in one write, so that
-// several processes can share a file.
+// openRecord opens the file to which a line is appended for each run, or returns nil for no
+// file. Each line is written by one call, so that several processes can share the file.
 func openRecord(file string) (io.Writer, error) {
 	if file == "" {
 		return nil, nil
--- a/cmd/loomkeelctl/main.go
+++ b/cmd/loomkeelctl/main.go
@@ -1,4 +1,4 @@
-// Command loomkeelctl is the operators' command line.
+// Command loomkeelctl is the operators' command line. Package ctl implements it.
 package main
 
 import "github.com/loomkeel/loomkeel/internal/ctl"
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli holds the command line that loomkeel's daemons share.
+// Package cli implements the command line that loomkeel's daemons share.
 package cli
 
 import (
@@ -13,17 +13,20 @@
 	"github.com/loomkeel/loomkeel/internal/settings"
 )
 
-// Daemon is a process that runs by a settings file.
+// Daemon describes a process that is configured by a settings file.
 type Daemon struct {
+	// Name is the name of the program, and Usage a one-line description for its help.
 	Name  string
 	Usage string
-	// Ballast is the size in bytes for process.InitMemory.
+	// Ballast is the size of the heap ballast for process.InitMemory, in bytes.
 	Ballast int
-	// Run works until ctx ends.
+	// Run runs the process until ctx ends, at a signal to stop. Its error is printed before
+	// the process exits with status 1.
 	Run func(ctx context.Context, s *settings.Settings) error
 }
 
-// Main runs a daemon's command line and ends the process.
+// Main runs a daemon's command line and then exits the process. The subcommand check only
+// validates the settings file.
 func Main(d Daemon) {
 	cmd := &cli.Command{
 		Name:                  d.Name,
@@ -47,7 +50,7 @@
 		},
 		Commands: []*cli.Command{{
 			Name:  "check",
-			Usage: "read the settings, print all faults, and exit with 1 if there are any",
+			Usage: "read the settings, print all errors, and exit with status 1 if there are any",
 			Action: func(_ context.Context, c *cli.Command) error {
 				if _, err := settings.Load(c.String("settings")); err != nil {
 					return err
@@ -60,7 +63,8 @@
 	Exit(d.Name, cmd.Run(context.Background(), os.Args))
 }
 
-// Exit ends the process, with a message and status 1 if err is not nil.
+// Exit exits the process with status 0, or, if err is not nil, with status 1 and a message
+// on standard error that begins with the program's name.
 func Exit(name string, err error) {
 	if err == nil {
 		os.Exit(0)
--- a/internal/ctl/app.go
+++ b/internal/ctl/app.go
@@ -16,7 +16,9 @@
 	"github.com/loomkeel/loomkeel/internal/process"
 )
 
-// Exit statuses.
+// Exit statuses of loomkeelctl: a change was accepted or a query answered, the change was
+// refused or the query failed, the command line was wrong, or the outcome of a change is
+// unknown.
 const (
 	ExitAccepted = 0
 	ExitRefused  = 1
@@ -24,7 +26,8 @@
 	ExitUnknown  = 3
 )
 
-// ExitError is an error with the status to exit with.
+// ExitError is an error with the exit status that it causes. An error without text is not
+// printed.
 type ExitError struct {
 	Status int
 	Err    error
@@ -36,7 +39,8 @@
 // Unwrap returns the cause.
 func (e *ExitError) Unwrap() error { return e.Err }
 
-// ExitStatus returns the status to exit with after err.
+// ExitStatus returns the exit status after err: that of its ExitError, or ExitUsage if it
+// has none.
 func ExitStatus(err error) int {
 	var s *ExitError
 	switch {
@@ -48,11 +52,12 @@
 	return ExitUsage
 }
 
+// usagef returns an ExitError for a wrong command line.
 func usagef(format string, args ...any) error {
 	return &ExitError{ExitUsage, fmt.Errorf(format, args...)}
 }
 
-// Main runs the command line and ends the process.
+// Main runs loomkeelctl's command line and then exits the process.
 func Main() {
 	err := New(os.Stdout).Run(context.Background(), os.Args)
 	if err != nil && err.Error() != "" {
@@ -61,11 +66,11 @@
 	os.Exit(ExitStatus(err))
 }
 
-// New returns the command line, which prints to w.
+// New returns loomkeelctl's command line, with output to w.
 func New(w io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:                  "loomkeelctl",
-		Usage:                 "steer traffic: edit the tree of settings, announce drains and moves, look at the state",
+		Usage:                 "steer traffic: edit the tree of settings, announce drains and moves, show the state",
 		Version:               process.Version,
 		EnableShellCompletion: true,
 		Writer:                w,
@@ -87,22 +92,24 @@
 	}
 }
 
+// changeFlags returns the flags of every command that sends a change, after those in more.
 func changeFlags(more ...cli.Flag) []cli.Flag {
 	return append(more,
 		&cli.Uint64Flag{Name: "if-revision", Usage: "refuse if a path was written after `REVISION`"},
-		&cli.StringFlag{Name: "change-id", Usage: "`ID` of the change, to send one again whose outcome is unknown"},
+		&cli.StringFlag{Name: "change-id", Usage: "`ID` of the change, to send a change with unknown outcome again"},
 		&cli.StringFlag{Name: "note", Usage: "`TEXT` for the history"},
 		&cli.StringFlag{Name: "author", Usage: "`NAME` for the history; the user's by default"},
 	)
 }
 
-// send has edits accepted as one change and prints the result.
-func send(ctx context.Context, c *cli.Command, edits []command.Edit) error {
-	client, err := clientOf(c)
+// sendChange sends edits as one change and prints the result. The change ID is random
+// unless a flag sets it.
+func sendChange(ctx context.Context, c *cli.Command, edits []command.Edit) error {
+	client, err := clientFromFlags(c)
 	if err != nil {
 		return err
 	}
-	ch := command.Change{ID: c.String("change-id"), Author: authorOf(c), Note: c.String("note"), Base: c.Uint64("if-revision"), Edits: edits}
+	ch := command.Change{ID: c.String("change-id"), Author: changeAuthor(c), Note: c.String("note"), Base: c.Uint64("if-revision"), Edits: edits}
 	if ch.ID == "" {
 		ch.ID = newChangeID()
 	}
@@ -113,10 +120,12 @@
 	if err := printResult(c, res); err != nil {
 		return err
 	}
-	return statusOf(res)
+	return resultError(res)
 }
 
-func statusOf(res command.Result) error {
+// resultError returns nil for an accepted change, and otherwise an ExitError without text,
+// because the result has been printed already.
+func resultError(res command.Result) error {
 	switch {
 	case accepted(res):
 		return nil
@@ -126,7 +135,9 @@
 	return &ExitError{ExitRefused, errors.New("")}
 }
 
-func clientOf(c *cli.Command) (*Client, error) {
+// clientFromFlags returns a client of the agent that the flags name. It also checks the
+// flag --output.
+func clientFromFlags(c *cli.Command) (*Client, error) {
 	if o := c.String("output"); o != "text" && o != "json" {
 		return nil, usagef("--output is %q, allowed are text and json", o)
 	}
@@ -137,7 +148,9 @@
 	return client, nil
 }
 
-func authorOf(c *cli.Command) string {
+// changeAuthor returns the author of a change: the flag --author, the user's name or
+// "unknown".
+func changeAuthor(c *cli.Command) string {
 	if a := c.String("author"); a != "" {
 		return a
 	}
@@ -147,8 +160,8 @@
 	return "unknown"
 }
 
-// print shows v as JSON, or by text.
-func print(c *cli.Command, v any, text func(w io.Writer)) error {
+// printOutput writes v as JSON if --output is json, and otherwise calls text to write it.
+func printOutput(c *cli.Command, v any, text func(w io.Writer)) error {
 	w := c.Root().Writer
 	if c.String("output") != "json" {
 		text(w)
@@ -159,8 +172,9 @@
 	return enc.Encode(v)
 }
 
+// printResult writes the result of a change.
 func printResult(c *cli.Command, r command.Result) error {
-	return print(c, r, func(w io.Writer) {
+	return printOutput(c, r, func(w io.Writer) {
 		switch r.Outcome {
 		case configlog.Accepted:
 			fmt.Fprintf(w, "accepted at revision %d (change %s)\n", r.Revision, r.ID)
--- a/internal/ctl/change.go
+++ b/internal/ctl/change.go
@@ -14,7 +14,7 @@
 	"github.com/loomkeel/loomkeel/internal/tree"
 )
 
-// newChangeID returns a random change id.
+// newChangeID returns a random change ID.
 func newChangeID() string {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
@@ -39,7 +39,7 @@
 				}
 				edits = append(edits, command.Edit{Path: c.Args().First(), Key: key, Value: value})
 			}
-			return send(ctx, c, edits)
+			return sendChange(ctx, c, edits)
 		},
 	}
 }
@@ -58,7 +58,7 @@
 			for _, key := range c.Args().Slice()[1:] {
 				edits = append(edits, command.Edit{Path: c.Args().First(), Key: key, Unset: true})
 			}
-			return send(ctx, c, edits)
+			return sendChange(ctx, c, edits)
 		},
 	}
 }
@@ -66,7 +66,7 @@
 func applyCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "apply",
-		Usage:       "make all edits of a tree file, as one change",
+		Usage:       "apply all edits of a tree file, as one change",
 		ArgsUsage:   "FILE",
 		Flags:       changeFlags(),
 		Description: "A tree file is INI with a section for each path:\n   [/services/stock]\n   deadline = 2s\nAn empty value removes the key.",
@@ -75,11 +75,12 @@
 			if err != nil {
 				return err
 			}
-			return send(ctx, c, edits)
+			return sendChange(ctx, c, edits)
 		},
 	}
 }
 
+// fileArgument returns the edits of the tree file that is the only argument.
 func fileArgument(c *cli.Command) ([]command.Edit, error) {
 	if c.Args().Len() != 1 {
 		return nil, usagef("%s needs one file", c.Name)
@@ -121,7 +122,7 @@
 			&cli.DurationFlag{Name: "for", Usage: "end after this time; without it the drain lasts until undrain"},
 		),
 		Action: func(ctx context.Context, c *cli.Command) error {
-			path, err := named(c, "/drains/")
+			path, err := namedPath(c, "/drains/")
 			if err != nil {
 				return err
 			}
@@ -135,16 +136,18 @@
 			if d := c.Duration("for"); d > 0 {
 				edits = append(edits, timeEdit(path, tree.KeyEnd, start.Add(d)))
 			}
-			return send(ctx, c, edits)
+			return sendChange(ctx, c, edits)
 		},
 	}
 }
 
+// timeEdit returns the edit that sets a key to a time.
 func timeEdit(path, key string, at time.Time) command.Edit {
 	return command.Edit{Path: path, Key: key, Value: at.UTC().Format(time.RFC3339)}
 }
 
-func named(c *cli.Command, prefix string) (string, error) {
+// namedPath returns prefix followed by the only argument, the name of a drain or move.
+func namedPath(c *cli.Command, prefix string) (string, error) {
 	if c.Args().Len() != 1 {
 		return "", usagef("%s needs one name", c.Name)
 	}
@@ -158,7 +161,7 @@
 		ArgsUsage: "NAME",
 		Flags:     changeFlags(),
 		Action: func(ctx context.Context, c *cli.Command) error {
-			path, err := named(c, "/drains/")
+			path, err := namedPath(c, "/drains/")
 			if err != nil {
 				return err
 			}
@@ -167,9 +170,9 @@
 	}
 }
 
-// removeAll unsets every key at a path.
+// removeAll sends a change that unsets every key at a path.
 func removeAll(ctx context.Context, c *cli.Command, path string) error {
-	client, err := clientOf(c)
+	client, err := clientFromFlags(c)
 	if err != nil {
 		return err
 	}
@@ -184,7 +187,7 @@
 	if len(edits) == 0 {
 		return &ExitError{ExitRefused, fmt.Errorf("%s does not exist", path)}
 	}
-	return send(ctx, c, edits)
+	return sendChange(ctx, c, edits)
 }
 
 func moveCommand() *cli.Command {
@@ -202,7 +205,7 @@
 			&cli.StringFlag{Name: "step", Usage: "size of one step, as a share"},
 		),
 		Action: func(ctx context.Context, c *cli.Command) error {
-			path, err := named(c, "/moves/")
+			path, err := namedPath(c, "/moves/")
 			if err != nil {
 				return err
 			}
@@ -215,7 +218,7 @@
 					edits = append(edits, command.Edit{Path: path, Key: key, Value: v})
 				}
 			}
-			return send(ctx, c, edits)
+			return sendChange(ctx, c, edits)
 		},
 	}
 }
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -1,4 +1,4 @@
-// Package ctl is the operators' command line.
+// Package ctl implements loomkeelctl, the operators' command line.
 package ctl
 
 import (
@@ -19,19 +19,19 @@
 	"github.com/loomkeel/loomkeel/internal/query"
 )
 
-// callTimeout bounds one call; an agent answers a change within its
+// callTimeout limits one call. An agent responds to a change within its setting
 // commit_timeout.
 const callTimeout = 70 * time.Second
 
-// Client talks to an agent's operator address.
+// Client calls the HTTP interface for operators of one agent.
 type Client struct {
 	base  string
 	token string
 	http  http.Client
 }
 
-// NewClient returns a client of the agent at an address, with the token in a
-// file, if one is named.
+// NewClient returns a client of the agent at an address. It uses the operators' token in
+// tokenFile, or none if tokenFile is empty.
 func NewClient(addr, tokenFile string) (*Client, error) {
 	c := &Client{base: "http://" + addr, http: http.Client{Timeout: callTimeout}}
 	if tokenFile == "" {
@@ -45,7 +45,8 @@
 	return c, nil
 }
 
-// Change sends a change. An error means that its outcome is unknown.
+// Change sends a change and returns its result. An error means that the outcome of the
+// change is unknown.
 func (c *Client) Change(ctx context.Context, ch command.Change) (command.Result, error) {
 	body, err := json.Marshal(ch)
 	if err != nil {
@@ -56,14 +57,14 @@
 	return res, err
 }
 
-// Tree reads the settings at a path, or all of them for "".
+// Tree returns the settings at a path, or all settings for "".
 func (c *Client) Tree(ctx context.Context, path string) (query.Tree, error) {
 	var t query.Tree
 	err := c.call(ctx, http.MethodGet, "/v1/tree?path="+url.QueryEscape(path), nil, &t)
 	return t, err
 }
 
-// Value reads one effective value.
+// Value returns the effective value of a key at a path, and where it is set.
 func (c *Client) Value(ctx context.Context, path, key string) (query.Value, error) {
 	var v query.Value
 	q := url.Values{"path": {path}, "key": {key}}
@@ -71,34 +72,36 @@
 	return v, err
 }
 
-// History reads the newest changes.
+// History returns the newest changes, at most limit of them.
 func (c *Client) History(ctx context.Context, limit int) ([]query.Change, error) {
 	var h []query.Change
 	err := c.call(ctx, http.MethodGet, fmt.Sprintf("/v1/history?limit=%d", limit), nil, &h)
 	return h, err
 }
 
-// Members reads the instances.
+// Members returns the instances in the agent's member list.
 func (c *Client) Members(ctx context.Context) ([]membership.Member, error) {
 	var ms []membership.Member
 	err := c.call(ctx, http.MethodGet, "/v1/members", nil, &ms)
 	return ms, err
 }
 
-// Dump reads the state of all processes of the agent's instance.
+// Dump returns the state of each process of the agent's instance, as JSON by process.
 func (c *Client) Dump(ctx context.Context) (map[string]json.RawMessage, error) {
 	var d map[string]json.RawMessage
 	err := c.call(ctx, http.MethodGet, "/v1/dump", nil, &d)
 	return d, err
 }
 
-// Outcome asks what became of a change id.
+// Outcome returns the result of the change with an ID.
 func (c *Client) Outcome(ctx context.Context, id string) (command.Result, error) {
 	var r command.Result
 	err := c.call(ctx, http.MethodGet, "/v1/changes/"+url.PathEscape(id), nil, &r)
 	return r, err
 }
 
+// call makes one request and decodes the JSON of the response into out, also if the status
+// is that of a refused change.
 func (c *Client) call(ctx context.Context, method, path string, body []byte, out any) error {
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
@@ -125,5 +128,5 @@
 	return nil
 }
 
-// accepted reports whether a result is an acceptance.
+// accepted reports whether the change was accepted.
 func accepted(r command.Result) bool { return r.Outcome == configlog.Accepted }
--- a/internal/ctl/read.go
+++ b/internal/ctl/read.go
@@ -19,9 +19,9 @@
 		Name:      "get",
 		Usage:     "show the effective value of a key, or the settings at a path, or all",
 		ArgsUsage: "[PATH [KEY]]",
-		Flags:     []cli.Flag{&cli.BoolFlag{Name: "explain", Usage: "say which path the value comes from"}},
+		Flags:     []cli.Flag{&cli.BoolFlag{Name: "explain", Usage: "show which path the value comes from"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			client, err := clientOf(c)
+			client, err := clientFromFlags(c)
 			if err != nil {
 				return err
 			}
@@ -32,11 +32,12 @@
 			if err != nil {
 				return &ExitError{ExitRefused, err}
 			}
-			return print(c, v, func(w io.Writer) { printValue(w, v, c.Bool("explain")) })
+			return printOutput(c, v, func(w io.Writer) { printValue(w, v, c.Bool("explain")) })
 		},
 	}
 }
 
+// printValue writes a value, with explain also the path that sets it.
 func printValue(w io.Writer, v query.Value, explain bool) {
 	if !explain {
 		fmt.Fprintln(w, v.Value)
@@ -49,12 +50,13 @@
 	fmt.Fprintf(w, "%s\tfrom %s, written at revision %d\n", v.Value, v.From, v.WrittenAt)
 }
 
+// getTree prints the settings at the path in the first argument, or all settings.
 func getTree(ctx context.Context, c *cli.Command, client *Client) error {
 	t, err := client.Tree(ctx, c.Args().First())
 	if err != nil {
 		return &ExitError{ExitRefused, err}
 	}
-	return print(c, t, func(w io.Writer) {
+	return printOutput(c, t, func(w io.Writer) {
 		path := ""
 		for _, s := range t.Settings {
 			if s.Path != path {
@@ -76,16 +78,16 @@
 			if err != nil {
 				return err
 			}
-			client, err := clientOf(c)
+			client, err := clientFromFlags(c)
 			if err != nil {
 				return err
 			}
-			now, err := client.Tree(ctx, "")
+			current, err := client.Tree(ctx, "")
 			if err != nil {
 				return &ExitError{ExitRefused, err}
 			}
-			lines := diff(now, edits)
-			return print(c, lines, func(w io.Writer) {
+			lines := diff(current, edits)
+			return printOutput(c, lines, func(w io.Writer) {
 				for _, l := range lines {
 					fmt.Fprintln(w, l)
 				}
@@ -98,9 +100,9 @@
 	return &cli.Command{
 		Name:  "history",
 		Usage: "show the newest changes",
-		Flags: []cli.Flag{&cli.IntFlag{Name: "limit", Value: 20, Usage: "how many"}},
+		Flags: []cli.Flag{&cli.IntFlag{Name: "limit", Value: 20, Usage: "largest number of changes"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			client, err := clientOf(c)
+			client, err := clientFromFlags(c)
 			if err != nil {
 				return err
 			}
@@ -108,7 +110,7 @@
 			if err != nil {
 				return &ExitError{ExitRefused, err}
 			}
-			return print(c, h, func(w io.Writer) {
+			return printOutput(c, h, func(w io.Writer) {
 				for _, ch := range h {
 					fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", ch.Revision, ch.Time.Format("2006-01-02 15:04:05"), ch.Author, ch.ID, ch.Note)
 					for _, e := range ch.Edits {
@@ -123,13 +125,13 @@
 func outcomeCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "outcome",
-		Usage:     "ask what became of a change",
+		Usage:     "show the outcome of a change",
 		ArgsUsage: "CHANGE-ID",
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if c.Args().Len() != 1 {
 				return usagef("outcome needs one change id")
 			}
-			client, err := clientOf(c)
+			client, err := clientFromFlags(c)
 			if err != nil {
 				return err
 			}
@@ -140,7 +142,7 @@
 			if err := printResult(c, r); err != nil {
 				return err
 			}
-			return statusOf(r)
+			return resultError(r)
 		},
 	}
 }
@@ -148,9 +150,9 @@
 func statusCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "status",
-		Usage: "show the instances and the revision of the agent asked",
+		Usage: "show the instances in the agent's member list",
 		Action: func(ctx context.Context, c *cli.Command) error {
-			client, err := clientOf(c)
+			client, err := clientFromFlags(c)
 			if err != nil {
 				return err
 			}
@@ -158,7 +160,7 @@
 			if err != nil {
 				return &ExitError{ExitRefused, err}
 			}
-			return print(c, ms, func(w io.Writer) {
+			return printOutput(c, ms, func(w io.Writer) {
 				tw := tabwriter.NewWriter(w, 2, 8, 2, ' ', 0)
 				fmt.Fprintln(tw, "INSTANCE\tREGION\tDOMAIN\tSTATE\tENTRY\tDIRECTOR")
 				for _, m := range ms {
@@ -175,7 +177,7 @@
 		Name:  "dump",
 		Usage: "show the state of every process of the agent's instance, as JSON",
 		Action: func(ctx context.Context, c *cli.Command) error {
-			client, err := clientOf(c)
+			client, err := clientFromFlags(c)
 			if err != nil {
 				return err
 			}
@@ -188,7 +190,7 @@
 				names = append(names, n)
 			}
 			sort.Strings(names)
-			return print(c, d, func(w io.Writer) {
+			return printOutput(c, d, func(w io.Writer) {
 				for _, n := range names {
 					b, _ := json.MarshalIndent(d[n], "", "  ")
 					fmt.Fprintf(w, "%s: %s\n", n, b)
--- a/internal/ctl/treefile.go
+++ b/internal/ctl/treefile.go
@@ -12,7 +12,7 @@
 	"github.com/loomkeel/loomkeel/internal/tree"
 )
 
-// TreeFileError are all that is wrong with a tree file.
+// TreeFileError holds all errors in the tree file with the name File.
 type TreeFileError struct {
 	File   string
 	Errors []error
@@ -27,8 +27,9 @@
 	return strings.Join(lines, "\n")
 }
 
-// ReadTreeFile reads a tree file: INI with a section for each path. An empty
-// value unsets the key. The edits come in the order of the file.
+// ReadTreeFile reads a tree file, which is INI with a section for each path. An empty value
+// unsets the key. The edits are returned in the order of the file. If they are invalid, they
+// are returned with a *TreeFileError.
 func ReadTreeFile(file string) ([]command.Edit, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{KeyValueDelimiters: "="}, file)
 	if err != nil {
@@ -44,31 +45,34 @@
 			edits = append(edits, command.Edit{Path: path, Key: k.Name(), Value: k.Value(), Unset: k.Value() == ""})
 		}
 	}
-	return edits, check(file, edits)
+	return edits, checkEdits(file, edits)
 }
 
-func check(file string, edits []command.Edit) error {
-	plain := make([]tree.Edit, len(edits))
+// checkEdits returns a *TreeFileError if edits are invalid by themselves or make an invalid
+// tree when they are applied to an empty one.
+func checkEdits(file string, edits []command.Edit) error {
+	treeEdits := make([]tree.Edit, len(edits))
 	for i, e := range edits {
-		plain[i] = tree.Edit{Path: e.Path, Key: e.Key, Value: e.Value, Unset: e.Unset}
+		treeEdits[i] = tree.Edit{Path: e.Path, Key: e.Key, Value: e.Value, Unset: e.Unset}
 	}
-	faults := tree.CheckEdits(plain)
-	faults = append(faults, new(tree.Tree).Apply(plain, 1).Check()...)
-	if len(faults) > 0 {
-		return &TreeFileError{file, faults}
+	errs := tree.CheckEdits(treeEdits)
+	errs = append(errs, new(tree.Tree).Apply(treeEdits, 1).Check()...)
+	if len(errs) > 0 {
+		return &TreeFileError{file, errs}
 	}
 	return nil
 }
 
-// diff returns the edits that change what the tree says now.
-func diff(now query.Tree, edits []command.Edit) []string {
-	have := make(map[[2]string]string)
-	for _, s := range now.Settings {
-		have[[2]string{s.Path, s.Key}] = s.Value
+// diff returns a line for each edit that changes the current tree, sorted. A line begins
+// with "-" for a removed, "+" for a new and "~" for a changed setting.
+func diff(current query.Tree, edits []command.Edit) []string {
+	values := make(map[[2]string]string)
+	for _, s := range current.Settings {
+		values[[2]string{s.Path, s.Key}] = s.Value
 	}
 	var lines []string
 	for _, e := range edits {
-		old, set := have[[2]string{e.Path, e.Key}]
+		old, set := values[[2]string{e.Path, e.Key}]
 		switch {
 		case e.Unset && set:
 			lines = append(lines, fmt.Sprintf("- %s %s = %s", e.Path, e.Key, old))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -74,7 +74,7 @@
 }
 
 // New returns a Node that rejects all requests until MarkSynced is called and a
-// configuration is known. Proxy must have a clock in Now.
+// configuration is known. proxy.Now must be set.
 func New(opt view.Options, proxy forward.Options) *Node {
 	n := &Node{Entry: entry.New(proxy), UnknownSenders: relay.NewUnknownSenders(), now: proxy.Now, syncNow: proxy.SyncNow, view: view.New(opt)}
 	if n.syncNow == nil {
@@ -85,7 +85,7 @@
 }
 
 // Apply calls change with the node's view and the current time, and passes the resulting
-// snapshot to the proxy. Change must not call methods of the Node.
+// snapshot to the proxy. change is called with the lock of the Node held.
 func (n *Node) Apply(change func(v *view.View, now time.Time)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
