--- a/test/slopes/fleet.go
+++ b/test/slopes/fleet.go
@@ -194,14 +194,14 @@
 			ID: fmt.Sprintf("instance-%d", i), Region: fmt.Sprintf("region-%d", i/perDomain/2), Domain: domain,
 			Agent: lis.Addr().String(), Entry: "127.0.0.1:8000", Director: "127.0.0.1:8001",
 		},
-		Seeds:      []string{seed},
-		Store:      c.store,
-		List:       list,
-		Peers:      rpc.NewPeers(dialer),
-		Rand:       rand.New(rand.NewPCG(uint64(i), 7)),
-		Period:     agent.DefaultPeriod,
-		Boot:       func() int64 { return time.Now().UnixNano() },
-		Membership: membership.DefaultConfig(),
+		Seeds:       []string{seed},
+		Store:       c.store,
+		List:        list,
+		Peers:       rpc.NewPeers(dialer),
+		Rand:        rand.New(rand.NewPCG(uint64(i), 7)),
+		ProbePeriod: agent.DefaultProbePeriod,
+		BootClock:   func() int64 { return time.Now().UnixNano() },
+		Membership:  membership.DefaultConfig(),
 	})
 	mux, err := rpc.NewMux(a)
 	if err != nil {
@@ -242,7 +242,7 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	for _, m := range c.members {
-		for m.Table().Due() > 0 {
+		for m.Table().PendingUpdates() > 0 {
 			time.Sleep(100 * time.Millisecond)
 		}
 	}
@@ -263,7 +263,7 @@
 		})
 	}
 	for _, m := range c.members {
-		m.Table().Learn(time.Now(), ghosts)
+		m.Table().AddMembers(time.Now(), ghosts)
 	}
 }
 
