--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -151,8 +151,8 @@
 // LookupMembers returns the nodes that look-ups return to callers: the live ones except
 // those in absent, which have stopped or are silent, but whose registrations may remain
 // during an outage of the key-value store. It returns none before MarkSynced: until then
-// the node may know only itself, and the caller may be in another region. The list may be
-// shared and must not be modified.
+// the list of members may hold only the node itself, and the caller may be in another
+// region. The result may be shared and must not be modified.
 func (n *Node) LookupMembers(absent map[string]bool) []model.Member {
 	if !n.synced.Load() {
 		return nil
