--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -54,9 +54,9 @@
 // Errors of Pick and PickObject.
 var (
 	// ErrNoSlot reports that every allowed upstream is full.
-	ErrNoSlot = errors.New("balance: no usable upstream has a free slot")
+	ErrNoSlot = errors.New("balance: no free slot")
 	// ErrNoUpstream reports that no upstream may be used at all.
-	ErrNoUpstream = errors.New("balance: no usable upstream")
+	ErrNoUpstream = errors.New("balance: no upstream")
 )
 
 // upstreamState is the state of one upstream. The lock of the Balancer guards it.
--- a/internal/balance/late.go
+++ b/internal/balance/late.go
@@ -29,7 +29,7 @@
 
 // Error implements error.
 func (e *LateError) Error() string {
-	return fmt.Sprintf("balance: the objective would be missed: %.0f requests at upstream %s, next free slot expected in %v", e.Outstanding, e.Upstream, e.RetryAfter.Round(time.Millisecond))
+	return fmt.Sprintf("balance: too late now: %.0f requests at %s, a slot in %v", e.Outstanding, e.Upstream, e.RetryAfter.Round(time.Millisecond))
 }
 
 // Unwrap returns ErrNoSlot; a LateError is a special case of it.
--- a/internal/balance/ratelimit.go
+++ b/internal/balance/ratelimit.go
@@ -36,7 +36,7 @@
 
 // Error implements error.
 func (e *LimitError) Error() string {
-	return fmt.Sprintf("balance: rate limit of %v requests per second at upstream %s, next request allowed in %v", e.PerSecond, e.Upstream, e.RetryAfter.Round(time.Millisecond))
+	return fmt.Sprintf("balance: limit of %v requests a second at %s, the next in %v", e.PerSecond, e.Upstream, e.RetryAfter.Round(time.Millisecond))
 }
 
 // Unwrap returns ErrNoSlot; a LimitError is a special case of it.
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -67,14 +67,14 @@
 	info := p.opt.Protocol.ParseResponse(resp, &cl.RequestInfo, cl.service)
 	p.recordRate(cl, to, info.Rate)
 	if info.NotRunReason != "" {
-		e := verdict.New(verdict.NotRun, info.NotRunReason, fmt.Errorf("upstream responded %s", resp.Status))
+		e := verdict.New(verdict.NotRun, info.NotRunReason, fmt.Errorf("upstream answered %s", resp.Status))
 		e.RetryAfter = parseRetryAfter(resp)
 		discard(resp)
 		return &upstreamResponse{info: info}, e
 	}
 	if info.InvalidReason != "" {
 		discard(resp)
-		return nil, verdict.New(verdict.MayHaveRun, info.InvalidReason, fmt.Errorf("upstream responded %s to request %s", resp.Status, cl.ID))
+		return nil, verdict.New(verdict.MayHaveRun, info.InvalidReason, fmt.Errorf("answer %s to request %s", resp.Status, cl.ID))
 	}
 	res, verr := readResponse(ctx, resp)
 	if verr == nil {
--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -25,7 +25,7 @@
 )
 
 // errDetached is returned by reads through the body of an attempt that has been replaced.
-var errDetached = errors.New("forward: read of the request body after its attempt ended")
+var errDetached = errors.New("forward: attempt has ended")
 
 // replayBody is a caller's request body that can be sent again as long as at most
 // maxReplayBytes were read from it.
--- a/internal/forward/conn.go
+++ b/internal/forward/conn.go
@@ -25,8 +25,8 @@
 )
 
 var (
-	errStaleResponses = errors.New("forward: too many responses to earlier requests on the connection")
-	errHeaderTooLong  = errors.New("forward: response header exceeds the size limit")
+	errStaleResponses = errors.New("forward: too many answers to earlier requests")
+	errHeaderTooLong  = errors.New("forward: header of the answer is too long")
 )
 
 // upstreamConn is a connection to an upstream.
@@ -143,7 +143,7 @@
 
 // errCallerBody means that reading the request body from the caller failed, rather than writing
 // it to the upstream.
-var errCallerBody = errors.New("forward: reading the request body from the caller failed")
+var errCallerBody = errors.New("forward: body from the caller broke off")
 
 // sendBody sends the body in the framing that writeHeader announced.
 func (c *upstreamConn) sendBody(req *http.Request) error {
--- a/internal/forward/native.go
+++ b/internal/forward/native.go
@@ -28,7 +28,7 @@
 	name, known := serviceName(r, snap)
 	svc := snap.Services[name]
 	if svc == nil || !known {
-		detail := fmt.Sprintf("unknown service %q: set the header %s or use a host of a service", name, header.Service)
+		detail := fmt.Sprintf("unknown service %q: name one by %s or by host", name, header.Service)
 		return RequestInfo{}, &RequestError{http.StatusNotFound, "unknown-service", detail}
 	}
 	safe, err := isSafe(r, svc)
@@ -68,7 +68,7 @@
 func isSafe(r *http.Request, svc *model.Service) (bool, error) {
 	repeat := r.Header.Get(header.Repeat)
 	if repeat != "" && repeat != tree.RepeatSafe && repeat != tree.RepeatUnsafe {
-		return false, fmt.Errorf("header %s has the value %q, allowed values are %q and %q", header.Repeat, repeat, tree.RepeatSafe, tree.RepeatUnsafe)
+		return false, fmt.Errorf("%s is %q, allowed are %s and %s", header.Repeat, repeat, tree.RepeatSafe, tree.RepeatUnsafe)
 	}
 	switch {
 	case svc.Repeat == tree.RepeatUnsafe, repeat == tree.RepeatUnsafe:
@@ -86,7 +86,7 @@
 	}
 	ms, err := strconv.ParseInt(s, 10, 32)
 	if err != nil || ms <= 0 {
-		return 0, fmt.Errorf("header %s has the value %q, allowed values are whole milliseconds above 0", header.Deadline, s)
+		return 0, fmt.Errorf("%s is %q, allowed are whole milliseconds above 0", header.Deadline, s)
 	}
 	return time.Duration(ms) * time.Millisecond, nil
 }
--- a/internal/forward/serve.go
+++ b/internal/forward/serve.go
@@ -113,7 +113,7 @@
 
 func retryableError(res *upstreamResponse) *verdict.Error {
 	discard(res.resp)
-	return verdict.New(verdict.Ran, reasonBroken, errors.New("upstream responded "+res.resp.Status))
+	return verdict.New(verdict.Ran, reasonBroken, errors.New("upstream answered "+res.resp.Status))
 }
 
 // reportFor returns the balancer's report about a failed attempt. res is the response of the
--- a/internal/forward/writetracker.go
+++ b/internal/forward/writetracker.go
@@ -10,7 +10,7 @@
 )
 
 // errSealed is returned by writes to a sealed connection.
-var errSealed = errors.New("forward: write to a connection whose request was abandoned")
+var errSealed = errors.New("forward: request given up before it was written")
 
 // trackedConn records whether anything was written since the connection was taken for a
 // request.
