--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -56,8 +56,8 @@
 	}
 	var writes writeTracker
 	sending := writes.withTrace(ctx)
-	if !cl.Safe {
-		sending = withUnsafe(sending)
+	if !cl.Idempotent {
+		sending = withNonIdempotent(sending)
 	}
 	out := p.newRequest(sending, r, cl, to, body)
 	resp, err := p.transport.RoundTrip(out)
--- a/internal/forward/budget_test.go
+++ b/internal/forward/budget_test.go
@@ -21,7 +21,7 @@
 
 // ParseRequest implements Protocol.
 func (p routedProtocol) ParseRequest(r *http.Request, _ *model.Snapshot) (RequestInfo, *RequestError) {
-	return RequestInfo{ID: r.Header.Get(header.RequestID), Route: p.route, Safe: p.route.Idempotent, Object: r.URL.Path}, nil
+	return RequestInfo{ID: r.Header.Get(header.RequestID), Route: p.route, Idempotent: p.route.Idempotent, Object: r.URL.Path}, nil
 }
 
 // newRoutedEntry returns one of several entries that have one route to the fakes.
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -79,10 +79,10 @@
 		verdict       verdict.Verdict
 		runs          int
 	}{
-		{"safe request is retried after a closed connection", []behaviour{closesAfterRead, closesAfterRead, closesAfterRead}, nil, "GET", 200, verdict.Ran, -1},
-		{"safe request is retried after a truncated response", []behaviour{truncates, truncates, truncates}, nil, "GET", 200, verdict.Ran, -1},
-		{"unsafe request is not retried after a truncated response", []behaviour{truncates}, []behaviour{truncates}, "POST", 502, verdict.MayHaveRun, 1},
-		{"unsafe request is retried after a shed", []behaviour{sheds, sheds, sheds}, nil, "POST", 200, verdict.Ran, 1},
+		{"idempotent request is retried after a closed connection", []behaviour{closesAfterRead, closesAfterRead, closesAfterRead}, nil, "GET", 200, verdict.Ran, -1},
+		{"idempotent request is retried after a truncated response", []behaviour{truncates, truncates, truncates}, nil, "GET", 200, verdict.Ran, -1},
+		{"non-idempotent request is not retried after a truncated response", []behaviour{truncates}, []behaviour{truncates}, "POST", 502, verdict.MayHaveRun, 1},
+		{"non-idempotent request is retried after a shed", []behaviour{sheds, sheds, sheds}, nil, "POST", 200, verdict.Ran, 1},
 		{"request shed by all upstreams has not run", []behaviour{sheds, sheds, sheds}, []behaviour{sheds, sheds, sheds}, "POST", 503, verdict.NotRun, 0},
 		{"response to another request is not passed on", []behaviour{wrongID}, []behaviour{wrongID}, "POST", 502, verdict.MayHaveRun, 1},
 		{"close-delimited response is not passed on", []behaviour{closesToEnd}, []behaviour{closesToEnd}, "POST", 502, verdict.MayHaveRun, 1},
@@ -107,8 +107,8 @@
 }
 
 // TestVerdictsMatchExecution sends requests to upstreams with random behaviour. A request with
-// the verdict not-run must not have run, an unsafe request must not run twice, and a successful
-// response must be complete and belong to the request.
+// the verdict not-run must not have run, a non-idempotent request must not run twice, and a
+// successful response must be complete and belong to the request.
 func TestVerdictsMatchExecution(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(11)
 	params.MinSuccessfulTests = 40
@@ -157,7 +157,7 @@
 	case v == verdict.NotRun && runs > 0:
 		return fmt.Sprintf("%s has the verdict not-run, but ran %d times", id, runs)
 	case !safe && runs > 1:
-		return fmt.Sprintf("unsafe request %s ran %d times", id, runs)
+		return fmt.Sprintf("non-idempotent request %s ran %d times", id, runs)
 	case a.status == 200 && a.bodyErr == nil && a.body != "answer to "+id:
 		return fmt.Sprintf("%s got the response %q", id, a.body)
 	case a.status == 200 && a.bodyErr == nil && runs == 0:
--- a/internal/forward/native.go
+++ b/internal/forward/native.go
@@ -31,7 +31,7 @@
 		detail := fmt.Sprintf("unknown service %q: name one by %s or by host", name, header.Service)
 		return RequestInfo{}, &RequestError{http.StatusNotFound, "unknown-service", detail}
 	}
-	safe, err := isSafe(r, svc)
+	idempotent, err := isIdempotent(r, svc)
 	if err != nil {
 		return RequestInfo{}, badRequest(err)
 	}
@@ -39,7 +39,7 @@
 	if err != nil {
 		return RequestInfo{}, badRequest(err)
 	}
-	info := RequestInfo{Service: name, Safe: safe, Timeout: timeout}
+	info := RequestInfo{Service: name, Idempotent: idempotent, Timeout: timeout}
 	if id := r.Header.Get(header.RequestID); len(id) <= maxRequestID {
 		info.ID = id
 	}
@@ -62,10 +62,10 @@
 	return name, ok
 }
 
-// isSafe reports whether a request may run more than once: by the caller's header.Repeat, else
-// by the service's setting, else by the method. The header may override the method either way,
-// but it cannot make a request safe that the service's setting declares unsafe.
-func isSafe(r *http.Request, svc *model.Service) (bool, error) {
+// isIdempotent reports whether a request may run more than once: by the caller's header.Repeat,
+// else by the service's setting, else by the method. The header may override the method either
+// way, but it cannot make a request idempotent if the service's setting is tree.RepeatUnsafe.
+func isIdempotent(r *http.Request, svc *model.Service) (bool, error) {
 	repeat := r.Header.Get(header.Repeat)
 	if repeat != "" && repeat != tree.RepeatSafe && repeat != tree.RepeatUnsafe {
 		return false, fmt.Errorf("%s is %q, allowed are %s and %s", header.Repeat, repeat, tree.RepeatSafe, tree.RepeatUnsafe)
--- a/internal/forward/poison.go
+++ b/internal/forward/poison.go
@@ -104,10 +104,10 @@
 	p.poison.RecordAlive(p.now(), balance.IncarnationKey(&from.Upstream), from.PickedAt)
 }
 
-// recordAnswered records that an upstream answered the request completely. It ignores a
+// recordResponse records that an upstream answered the request completely. It ignores a
 // response that came before the beginning of the request body was read, because that response
 // says nothing about the body.
-func (p *Proxy) recordAnswered(cl *call) {
+func (p *Proxy) recordResponse(cl *call) {
 	prefix, complete := cl.body.prefixRead()
 	if complete || cl.body.length < 0 && len(prefix) > 0 {
 		p.poison.RecordResponse(p.now(), cl.headKeys.WithBody(prefix))
--- a/internal/forward/pool.go
+++ b/internal/forward/pool.go
@@ -131,10 +131,10 @@
 func (p *Pool) idleCutoff(ctx context.Context) time.Time {
 	now := p.opt.Now()
 	limit := p.reuse.current(now)
-	if limit.Until.IsZero() || !isUnsafe(ctx) {
+	if limit.Until.IsZero() || !isNonIdempotent(ctx) {
 		return time.Time{}
 	}
-	return now.Add(-limit.MaxIdle)
+	return now.Add(-limit.MaxConnIdle)
 }
 
 // pop removes and returns the most recently used idle connection, or nil if it became idle
--- a/internal/forward/pool_test.go
+++ b/internal/forward/pool_test.go
@@ -255,8 +255,8 @@
 	}
 }
 
-// TestCloseIdle closes the idle connections to an upstream that has restarted, because an
-// unsafe request must not be sent on a connection to the previous process.
+// TestCloseIdle closes the idle connections to an upstream that has restarted, because a
+// non-idempotent request must not be sent on a connection to the previous process.
 func TestCloseIdle(t *testing.T) {
 	s := newScriptedUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
--- a/internal/forward/protocol.go
+++ b/internal/forward/protocol.go
@@ -37,8 +37,8 @@
 	Service string
 	// Route is the request's route; nil if the request names a service.
 	Route *model.Route
-	// Safe is set if the request may run more than once.
-	Safe bool
+	// Idempotent is set if the request may run more than once.
+	Idempotent bool
 	// Timeout is how long the caller waits; 0 if the request does not state it.
 	Timeout time.Duration
 	// Object identifies what the request acts on; empty if the request does not state it.
--- a/internal/forward/proxy.go
+++ b/internal/forward/proxy.go
@@ -298,7 +298,7 @@
 	}
 	defer p.refundLimit(cl)
 	ctx := r.Context()
-	if info.Route != nil && !info.Safe {
+	if info.Route != nil && !info.Idempotent {
 		// A request that is not safe to repeat continues after its caller has left, so that its
 		// execution at the upstream is not cut off in an unknown state.
 		ctx = context.WithoutCancel(ctx)
--- a/internal/forward/regions_test.go
+++ b/internal/forward/regions_test.go
@@ -29,7 +29,7 @@
 	if route == nil {
 		return RequestInfo{}, &RequestError{Status: http.StatusNotFound, Reason: "no-route"}
 	}
-	return RequestInfo{ID: r.Header.Get(header.RequestID), Route: route, Safe: route.Idempotent, Object: r.URL.Path}, nil
+	return RequestInfo{ID: r.Header.Get(header.RequestID), Route: route, Idempotent: route.Idempotent, Object: r.URL.Path}, nil
 }
 
 // regionFixture is an entry in muscat with two upstreams in each of three regions.
--- a/internal/forward/reuse.go
+++ b/internal/forward/reuse.go
@@ -32,14 +32,14 @@
 	return took < time.Duration(promptFactor*float64(connect))+promptSlack
 }
 
-// ReuseLimit states that connections idle for longer than MaxIdle must not be used for a
+// ReuseLimit states that connections idle for longer than MaxConnIdle must not be used for a
 // request that may run only once. Upstreams may have lost the state of such connections without
 // closing them, and after a reset it is unknown whether the request ran.
 type ReuseLimit struct {
-	// MaxIdle is the longest idle time of a connection that may be reused, and Until the time
+	// MaxConnIdle is the longest idle time of a connection that may be reused, and Until the time
 	// at which the limit ends.
-	MaxIdle time.Duration
-	Until   time.Time
+	MaxConnIdle time.Duration
+	Until       time.Time
 }
 
 // reuseLimiter holds the current ReuseLimit. It is safe for concurrent use.
@@ -56,8 +56,8 @@
 // merge merges a limit from a peer.
 func (r *reuseLimiter) merge(limit ReuseLimit, now time.Time) { r.apply(limit, mergeSlack, now) }
 
-// apply merges a limit into the current one. If both hold, the shorter MaxIdle applies. The end
-// is extended only if the new limit ends later by more than slack.
+// apply merges a limit into the current one. If both hold, the shorter MaxConnIdle applies. The
+// end is extended only if the new limit ends later by more than slack.
 func (r *reuseLimiter) apply(limit ReuseLimit, slack time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,7 +71,7 @@
 		}
 		return
 	}
-	r.limit.MaxIdle = min(r.limit.MaxIdle, limit.MaxIdle)
+	r.limit.MaxConnIdle = min(r.limit.MaxConnIdle, limit.MaxConnIdle)
 	if extends {
 		r.limit.Until = limit.Until
 	}
@@ -87,11 +87,11 @@
 	return r.limit
 }
 
-// unsafeKey is the context key of requests that may run only once.
-type unsafeKey struct{}
+// nonIdempotentKey is the context key of requests that may run only once.
+type nonIdempotentKey struct{}
 
-func withUnsafe(ctx context.Context) context.Context {
-	return context.WithValue(ctx, unsafeKey{}, true)
+func withNonIdempotent(ctx context.Context) context.Context {
+	return context.WithValue(ctx, nonIdempotentKey{}, true)
 }
 
-func isUnsafe(ctx context.Context) bool { return ctx.Value(unsafeKey{}) != nil }
+func isNonIdempotent(ctx context.Context) bool { return ctx.Value(nonIdempotentKey{}) != nil }
--- a/internal/forward/reuse_test.go
+++ b/internal/forward/reuse_test.go
@@ -17,8 +17,8 @@
 	expect := func(after, maxIdle, until time.Duration) {
 		t.Helper()
 		d := r.current(t0.Add(after))
-		if d.MaxIdle != maxIdle || !d.Until.IsZero() && d.Until.Sub(t0) != until {
-			t.Errorf("after %v: limit %v until %v", after, d.MaxIdle, d.Until.Sub(t0))
+		if d.MaxConnIdle != maxIdle || !d.Until.IsZero() && d.Until.Sub(t0) != until {
+			t.Errorf("after %v: limit %v until %v", after, d.MaxConnIdle, d.Until.Sub(t0))
 		}
 	}
 	expect(0, 0, 0)
@@ -43,7 +43,7 @@
 	tell := func(from, to *reuseLimiter, now time.Time) {
 		if d := from.current(now); !d.Until.IsZero() {
 			left := d.Until.Sub(now)
-			to.merge(ReuseLimit{d.MaxIdle, now.Add(way + left)}, now.Add(way))
+			to.merge(ReuseLimit{d.MaxConnIdle, now.Add(way + left)}, now.Add(way))
 		}
 	}
 	end := t0.Add(reuseLimitDuration + 2*mergeSlack)
@@ -53,7 +53,7 @@
 	}
 	for name, r := range map[string]*reuseLimiter{"a": &a, "b": &b} {
 		if d := r.current(end); !d.Until.IsZero() {
-			t.Errorf("%s still has the limit %v, which holds until %v after the end", name, d.MaxIdle, d.Until.Sub(end))
+			t.Errorf("%s still has the limit %v, which holds until %v after the end", name, d.MaxConnIdle, d.Until.Sub(end))
 		}
 	}
 }
@@ -105,7 +105,7 @@
 		n++
 		ctx := t.Context()
 		if once {
-			ctx = withUnsafe(ctx)
+			ctx = withNonIdempotent(ctx)
 		}
 		return s.get(ctx, p, fmt.Sprint(n))
 	}
--- a/internal/forward/serve.go
+++ b/internal/forward/serve.go
@@ -92,16 +92,16 @@
 	if ctx.Err() != nil || attempts >= cl.attempts {
 		return false
 	}
-	if err.Verdict != verdict.NotRun && !cl.Safe {
+	if err.Verdict != verdict.NotRun && !cl.Idempotent {
 		return false
 	}
 	return state.budget.TryWithdraw()
 }
 
-// retryableResponse reports whether a response to a safe request should be replaced by a retry
-// rather than delivered.
+// retryableResponse reports whether a response to an idempotent request should be replaced by a
+// retry rather than delivered.
 func retryableResponse(cl *call, res *upstreamResponse, attempts int) bool {
-	if !cl.Safe || attempts >= cl.attempts {
+	if !cl.Idempotent || attempts >= cl.attempts {
 		return false
 	}
 	switch res.resp.StatusCode {
@@ -161,7 +161,7 @@
 		p.release(state, choice, report)
 	}
 	if err == nil {
-		p.recordAnswered(cl)
+		p.recordResponse(cl)
 	}
 	out.Status, out.Verdict, out.Response = res.resp.StatusCode, verdict.Ran, res.info
 	if err != nil {
--- a/internal/forward/status.go
+++ b/internal/forward/status.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// MergePeerLoad merges the load that a peer reported.
-func (p *Proxy) MergePeerLoad(load balance.PeerLoad) {
+// ApplyPeerLoad applies the load that a peer reported.
+func (p *Proxy) ApplyPeerLoad(load balance.PeerLoad) {
 	now := p.now()
 	for _, state := range p.allServices() {
 		state.balancer.ApplyPeerLoad(now, load)
@@ -61,8 +61,8 @@
 	return ReuseLimit{}
 }
 
-// MergeReuseLimit merges the limit on the reuse of idle connections that a peer reported.
-func (p *Proxy) MergeReuseLimit(d ReuseLimit) {
+// ApplyReuseLimit applies the limit on the reuse of idle connections that a peer reported.
+func (p *Proxy) ApplyReuseLimit(d ReuseLimit) {
 	if pool, ok := p.transport.(*Pool); ok {
 		pool.reuse.merge(d, p.now())
 	}
@@ -74,11 +74,11 @@
 	return p.poison.Claims(p.now(), n, relay)
 }
 
-// MergePoisonClaims merges claims of other entries about requests that crashed upstreams.
-func (p *Proxy) MergePoisonClaims(claims []poison.Claim) {
+// ApplyPoisonClaims applies claims of other entries about requests that crashed upstreams.
+func (p *Proxy) ApplyPoisonClaims(claims []poison.Claim) {
 	now := p.now()
 	for _, claim := range claims {
-		p.poison.HandleClaim(now, claim)
+		p.poison.ApplyClaim(now, claim)
 	}
 }
 
--- a/internal/inflight/claim.go
+++ b/internal/inflight/claim.go
@@ -10,13 +10,13 @@
 
 // Field numbers of the encoding of a poison.Claim, a protobuf message.
 const (
-	fieldKey      = 1
-	fieldHead     = 2
-	fieldSource   = 3
-	fieldCrashes  = 4
-	fieldHeldLeft = 5
-	fieldAnswered = 6
-	fieldHeldAge  = 7
+	fieldKey       = 1
+	fieldHead      = 2
+	fieldSource    = 3
+	fieldCrashes   = 4
+	fieldHeldLeft  = 5
+	fieldResponded = 6
+	fieldHeldAge   = 7
 )
 
 const (
@@ -58,9 +58,9 @@
 		b = protowire.AppendTag(b, fieldHeldAge, protowire.VarintType)
 		b = protowire.AppendVarint(b, millis(c.HoldAge))
 	}
-	if c.Answered {
-		b = protowire.AppendTag(b, fieldAnswered, protowire.VarintType)
-		b = protowire.AppendVarint(b, millis(c.AnsweredAge))
+	if c.Responded {
+		b = protowire.AppendTag(b, fieldResponded, protowire.VarintType)
+		b = protowire.AppendVarint(b, millis(c.ResponseAge))
 	}
 	return b
 }
@@ -89,9 +89,9 @@
 			heldLeft, n = protowire.ConsumeVarint(b)
 		case field == fieldHeldAge && kind == protowire.VarintType:
 			heldAge, n = protowire.ConsumeVarint(b)
-		case field == fieldAnswered && kind == protowire.VarintType:
+		case field == fieldResponded && kind == protowire.VarintType:
 			answered, n = protowire.ConsumeVarint(b)
-			c.Answered = true
+			c.Responded = true
 		default:
 			n = protowire.ConsumeFieldValue(field, kind, b)
 		}
@@ -108,7 +108,7 @@
 		c.Head = poison.Key(head)
 	}
 	c.HoldRemaining, c.HoldAge = time.Duration(heldLeft)*time.Millisecond, time.Duration(heldAge)*time.Millisecond
-	c.AnsweredAge = time.Duration(answered) * time.Millisecond
+	c.ResponseAge = time.Duration(answered) * time.Millisecond
 	return c, decodeCrashes(crashes, &c)
 }
 
--- a/internal/inflight/claim_bench_test.go
+++ b/internal/inflight/claim_bench_test.go
@@ -49,7 +49,7 @@
 		tr.RecordCrash(t0, keys, keys, uint32(3*i))
 		for peer := range 2 {
 			for _, key := range keys.All() {
-				tr.HandleClaim(t0, poison.Claim{Key: key, Head: key, Source: uint32(peer + 1), Crashes: []poison.Crash{{Upstream: uint32(3*i + peer + 1)}}})
+				tr.ApplyClaim(t0, poison.Claim{Key: key, Head: key, Source: uint32(peer + 1), Crashes: []poison.Crash{{Upstream: uint32(3*i + peer + 1)}}})
 			}
 		}
 	}
--- a/internal/inflight/claim_test.go
+++ b/internal/inflight/claim_test.go
@@ -13,7 +13,7 @@
 func longClaim(i int) poison.Claim {
 	w := poison.Claim{
 		Key: 1<<63 + poison.Key(i), Head: 1<<62 + poison.Key(i), Source: 1 << 31,
-		HoldRemaining: time.Hour, HoldAge: time.Hour, Answered: true, AnsweredAge: time.Minute,
+		HoldRemaining: time.Hour, HoldAge: time.Hour, Responded: true, ResponseAge: time.Minute,
 	}
 	for j := range 4 {
 		w.Crashes = append(w.Crashes, poison.Crash{Upstream: uint32(j) << 29, Age: 9 * time.Minute})
--- a/internal/inflight/hub_test.go
+++ b/internal/inflight/hub_test.go
@@ -87,7 +87,7 @@
 		r.Absent = append(r.Absent, uint32(i))
 	}
 	for i := range 3*maxCounts + 1 {
-		r.Counts = append(r.Counts, Count{Upstream: uint32((i * 7919) % 100_003), Requests: i + 1, Failed: 1, Answered: 9})
+		r.Counts = append(r.Counts, Count{Upstream: uint32((i * 7919) % 100_003), Requests: i + 1, Failed: 1, Total: 9})
 	}
 	parts := r.split()
 	next, named := uint64(0), 0
@@ -154,7 +154,7 @@
 // onReport implements Options.OnReport.
 func (e *entry) onReport(peer string, r *Report) {
 	for _, claim := range r.Claims {
-		e.tracker.HandleClaim(time.Now(), claim)
+		e.tracker.ApplyClaim(time.Now(), claim)
 	}
 	if r.Scope == ScopeNone {
 		return
--- a/internal/inflight/report.go
+++ b/internal/inflight/report.go
@@ -23,9 +23,9 @@
 	Upstream uint32
 	// Requests is the number of requests in flight.
 	Requests int
-	// Failed is the number of failures among Answered recent requests. Answered is encoded
+	// Failed is the number of failures among Total recent requests. Total is encoded
 	// only if some failed.
-	Failed, Answered float64
+	Failed, Total float64
 }
 
 // Scope selects the entries whose requests a report counts.
@@ -253,7 +253,7 @@
 		n++
 		failures = protowire.AppendVarint(failures, uint64(i))
 		failures = protowire.AppendVarint(failures, failed)
-		failures = protowire.AppendVarint(failures, uint64(math.Round(c.Answered/outcomeUnit)))
+		failures = protowire.AppendVarint(failures, uint64(math.Round(c.Total/outcomeUnit)))
 	}
 	if n == 0 {
 		return b
@@ -399,7 +399,7 @@
 			return errMalformed
 		}
 		c := &r.Counts[v[0]]
-		c.Failed, c.Answered = float64(v[1])*outcomeUnit, float64(v[2])*outcomeUnit
+		c.Failed, c.Total = float64(v[1])*outcomeUnit, float64(v[2])*outcomeUnit
 	}
 	return nil
 }
--- a/internal/inflight/usages.go
+++ b/internal/inflight/usages.go
@@ -39,8 +39,8 @@
 	// CoveredWeight returns the weight of the other entries whose use is reported by the
 	// reporters that from selects.
 	CoveredWeight(from func(reporter string) bool, now time.Time) int
-	// HandleReport takes the report of a reporter.
-	HandleReport(t quota.Report, now time.Time)
+	// ApplyReport applies the report of a reporter.
+	ApplyReport(t quota.Report, now time.Time)
 	// SetSources sets the weight of the own entry and the sources from which reports are
 	// expected.
 	SetSources(self int, sources []quota.Source, now time.Time)
@@ -295,5 +295,5 @@
 	}
 	t := quota.Report{CoveredWeight: r.Covered, Idle: r.Idle, First: r.First, Last: r.Last, Usages: r.Usages}
 	t.Source, t.Reporter = x.sourceOf(r, from, own)
-	x.opt.Limits.HandleReport(t, now)
+	x.opt.Limits.ApplyReport(t, now)
 }
--- a/internal/inflight/usages_hub_test.go
+++ b/internal/inflight/usages_hub_test.go
@@ -54,7 +54,7 @@
 	return n
 }
 
-func (l *fakeLimits) HandleReport(t quota.Report, _ time.Time) {
+func (l *fakeLimits) ApplyReport(t quota.Report, _ time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.reports[t.Reporter] = t
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -331,24 +331,24 @@
 func (n *Node) requestCounts(whose balance.EntryFilter) []inflight.Count {
 	var out []inflight.Count
 	n.Entry.Proxy.VisitLoads(whose, func(upstream uint32, l balance.Load) {
-		out = append(out, inflight.Count{Upstream: upstream, Requests: l.Requests, Failed: l.Failed, Answered: l.Total})
+		out = append(out, inflight.Count{Upstream: upstream, Requests: l.Requests, Failed: l.Failed, Total: l.Total})
 	})
 	return out
 }
 
-// handleReport merges a report that peer sent into the state of the proxy.
+// handleReport applies a report that peer sent into the state of the proxy.
 func (n *Node) handleReport(peer string, r *inflight.Report) {
-	n.Entry.Proxy.MergePoisonClaims(r.Claims)
+	n.Entry.Proxy.ApplyPoisonClaims(r.Claims)
 	if r.Scope == inflight.ScopeNone {
 		return
 	}
 	load := balance.PeerLoad{Peer: peer, First: r.First, Last: r.Last, Loads: make(map[uint32]balance.Load, len(r.Counts))}
 	for _, c := range r.Counts {
-		load.Loads[c.Upstream] = balance.Load{Requests: c.Requests, Outcomes: balance.Outcomes{Failed: c.Failed, Total: c.Answered}}
+		load.Loads[c.Upstream] = balance.Load{Requests: c.Requests, Outcomes: balance.Outcomes{Failed: c.Failed, Total: c.Total}}
 	}
-	n.Entry.Proxy.MergePeerLoad(load)
+	n.Entry.Proxy.ApplyPeerLoad(load)
 	if r.MaxConnIdleLeft > 0 {
-		n.Entry.Proxy.MergeReuseLimit(forward.ReuseLimit{MaxIdle: r.MaxConnIdle, Until: n.now().Add(r.MaxConnIdleLeft)})
+		n.Entry.Proxy.ApplyReuseLimit(forward.ReuseLimit{MaxConnIdle: r.MaxConnIdle, Until: n.now().Add(r.MaxConnIdleLeft)})
 	}
 }
 
@@ -360,7 +360,7 @@
 	if d.Until.IsZero() {
 		return 0, 0
 	}
-	return d.MaxIdle, d.Until.Sub(n.now())
+	return d.MaxConnIdle, d.Until.Sub(n.now())
 }
 
 // Self returns the local node as the member that it registers. Its incarnation is the time
--- a/internal/poison/claims.go
+++ b/internal/poison/claims.go
@@ -72,7 +72,7 @@
 func (t *Tracker) claimsOf(now time.Time, r *record, relay bool) []Claim {
 	var out []Claim
 	own := t.ownClaim(now, r)
-	if r.claimed || len(own.Crashes) > 0 || own.HoldRemaining > 0 || own.Answered {
+	if r.claimed || len(own.Crashes) > 0 || own.HoldRemaining > 0 || own.Responded {
 		r.claimed = true
 		out = append(out, own)
 	}
@@ -93,7 +93,7 @@
 		c.HoldRemaining, c.HoldAge = remaining, now.Sub(r.heldSince)
 	}
 	if !r.ownResponse.IsZero() {
-		c.Answered, c.AnsweredAge = true, now.Sub(r.ownResponse)
+		c.Responded, c.ResponseAge = true, now.Sub(r.ownResponse)
 	}
 	return c
 }
@@ -113,8 +113,8 @@
 	c := p.claim
 	c.Crashes = newestCrashes(now, p.crashes)
 	c.HoldRemaining, c.HoldAge = max(0, p.heldUntil.Sub(now)), now.Sub(p.heldSince)
-	if c.Answered {
-		c.AnsweredAge += now.Sub(p.received)
+	if c.Responded {
+		c.ResponseAge += now.Sub(p.received)
 	}
 	return c
 }
--- a/internal/poison/peers.go
+++ b/internal/poison/peers.go
@@ -16,8 +16,8 @@
 	claim    Claim
 }
 
-// HandleClaim processes a Claim from another entry.
-func (t *Tracker) HandleClaim(now time.Time, c Claim) {
+// ApplyClaim applies a Claim from another entry.
+func (t *Tracker) ApplyClaim(now time.Time, c Claim) {
 	if c.Source == t.self {
 		return
 	}
@@ -73,8 +73,8 @@
 			p.crashes[crash.Upstream] = at
 		}
 	}
-	if c.Answered {
-		p.responded = now.Add(-c.AnsweredAge)
+	if c.Responded {
+		p.responded = now.Add(-c.ResponseAge)
 	}
 	if c.HoldRemaining > delaySlack && now.After(trustedUntil) {
 		p.heldSince, p.heldUntil = now.Add(-c.HoldAge), now.Add(c.HoldRemaining)
--- a/internal/poison/tracker.go
+++ b/internal/poison/tracker.go
@@ -78,10 +78,10 @@
 	// HoldRemaining is how long the entry will still hold the request, 0 if it does not hold
 	// it. HoldAge is the time since the start of the hold.
 	HoldRemaining, HoldAge time.Duration
-	// Answered is set if the entry has received a response to the request, AnsweredAge is the
+	// Responded is set if the entry has received a response to the request, ResponseAge is the
 	// time since then.
-	Answered    bool
-	AnsweredAge time.Duration
+	Responded   bool
+	ResponseAge time.Duration
 }
 
 // HashEntry returns the hash of an entry's id, which identifies the entry in claims and reports.
--- a/internal/poison/tracker_test.go
+++ b/internal/poison/tracker_test.go
@@ -39,7 +39,7 @@
 		for _, c := range t.Claims(now, 1000, false) {
 			for to, other := range f {
 				if to != from {
-					other.HandleClaim(now, c)
+					other.ApplyClaim(now, c)
 				}
 			}
 		}
@@ -97,7 +97,7 @@
 		forged.Crashes = append(forged.Crashes, Crash{Upstream: uint32(i)})
 	}
 	for _, tr := range f {
-		tr.HandleClaim(at(0), forged)
+		tr.ApplyClaim(at(0), forged)
 	}
 	f.exchange(at(0))
 	if n := f.countHeld(at(0), k); n != 0 {
@@ -324,13 +324,13 @@
 		tr.RecordCrash(at(0), k, k, uint32(i))
 	}
 	for i := range 3 * maxRecords {
-		tr.HandleClaim(at(time.Second), Claim{Key: Key(i), Head: Key(i), Source: 5, Crashes: []Crash{{Upstream: 1}}})
+		tr.ApplyClaim(at(time.Second), Claim{Key: Key(i), Head: Key(i), Source: 5, Crashes: []Crash{{Upstream: 1}}})
 	}
 	if s := tr.Status(at(time.Second)); s.Remembered > maxRecords {
 		t.Errorf("%d records", s.Remembered)
 	}
 	for i := range 3 * maxSources {
-		tr.HandleClaim(at(time.Second), Claim{Key: k.AnyCaller, Head: k.AnyCaller, Source: uint32(i), HoldRemaining: time.Hour})
+		tr.ApplyClaim(at(time.Second), Claim{Key: k.AnyCaller, Head: k.AnyCaller, Source: uint32(i), HoldRemaining: time.Hour})
 	}
 	if n := len(tr.records[k.AnyCaller].peerClaims); n > maxSources {
 		t.Errorf("the claims of %d entries are stored", n)
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -236,7 +236,7 @@
 	}
 	f.after(delay, func() {
 		if !to.dead && to.partition == from.partition {
-			to.limiter.HandleReport(Report{Reporter: from.name, Source: source, CoveredWeight: covered, Idle: idle, Last: 1<<32 - 1, Usages: usages}, to.clock(f.agenda.Now()))
+			to.limiter.ApplyReport(Report{Reporter: from.name, Source: source, CoveredWeight: covered, Idle: idle, Last: 1<<32 - 1, Usages: usages}, to.clock(f.agenda.Now()))
 		}
 	})
 }
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -162,8 +162,8 @@
 	Usages      []Usage
 }
 
-// HandleReport processes a report from another entry.
-func (l *Limiter) HandleReport(report Report, now time.Time) {
+// ApplyReport applies a report from another entry.
+func (l *Limiter) ApplyReport(report Report, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.sources.record(report, now) {
