--- a/cmd/loomkeel-agent/main.go
+++ b/cmd/loomkeel-agent/main.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return eris.Wrap(err, "operators' token")
 	}
-	traffic := new(rpc.Traffic)
+	traffic := new(rpc.ByteCounts)
 	dialer := rpc.NewDialer(clientTLS, traffic)
 	defer dialer.Close()
 	client := platform.NewClient(s.Platform.Address, s.Platform.Timeout)
@@ -48,7 +48,7 @@
 		Seeds:      s.Agent.Seeds,
 		Store:      client,
 		List:       client,
-		Peers:      rpc.NewPeers(dialer),
+		Peers:      rpc.NewPeerClient(dialer),
 		Rand:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		Period:     agent.DefaultPeriod,
 		Machine:    bootclock.BootID(),
@@ -100,7 +100,7 @@
 }
 
 // operator returns the interface to operators.
-func operator(a *agent.Agent, s *settings.Settings, token command.Token, traffic *rpc.Traffic) http.Handler {
+func operator(a *agent.Agent, s *settings.Settings, token command.Token, traffic *rpc.ByteCounts) http.Handler {
 	r := chi.NewRouter()
 	metrics.Publish("agent", func() any { return a.Counters() })
 	metrics.Publish("peer_bytes_sent", func() any { return traffic.Sent.Load() })
@@ -108,9 +108,9 @@
 	process.Debug(r, func() bool { return a.Log().Revision() > 0 }, func() any { return a.Dump() })
 	r.Group(func(r chi.Router) {
 		r.Use(token.Require)
-		query.Routes(r, a)
-		query.DumpRoutes(r, map[string]string{"director": s.Director.Debug, "entry": s.Entry.Debug}, func() any { return a.Dump() })
-		command.Routes(r, a, s.Agent.Commit)
+		query.AddRoutes(r, a)
+		query.AddDumpRoute(r, map[string]string{"director": s.Director.Debug, "entry": s.Entry.Debug}, func() any { return a.Dump() })
+		command.AddRoutes(r, a, s.Agent.Commit)
 	})
 	return r
 }
--- a/cmd/loomkeel-entry/main.go
+++ b/cmd/loomkeel-entry/main.go
@@ -44,7 +44,7 @@
 	e := entry.New(forward.Options{Self: s.Instance.ID, MaxInFlight: s.Entry.Room, MaxBody: int64(s.Entry.MaxBody), TLS: upstreamTLS, Now: time.Now})
 	f := follow.New(follow.Options{
 		Dialer: dialer, Agent: s.Agent.Peer, Process: agent.ProcessEntry, Region: s.Instance.Region,
-		Update: e.Carrier.Update, Skip: tree.IsBlocks,
+		Update: e.Carrier.Update, Skip: tree.IsBlocksPath,
 	})
 	metrics.Publish("entry", func() any { return e.Metrics() })
 	debug := chi.NewRouter()
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -209,7 +209,7 @@
 		if _, whole := fresh.log.Since(0, 1); whole {
 			t.Error("the newcomer got the records, not a snapshot")
 		}
-		_, tr, _ := fresh.log.View()
+		_, tr, _ := fresh.log.Current()
 		if got := len(tr.BlockPaths()); got != 30 {
 			t.Errorf("newcomer has %d paths of blocks", got)
 		}
--- a/internal/agent/follow.go
+++ b/internal/agent/follow.go
@@ -29,7 +29,7 @@
 func (a *Agent) logLoop(ctx context.Context) {
 	r := configlog.NewReader(a.opt.Store, a.log)
 	a.readerLoop(ctx, "log", func(ctx context.Context) error {
-		if err := r.Wait(ctx, watchFor); err != nil {
+		if err := r.WatchHead(ctx, watchFor); err != nil {
 			return err
 		}
 		before := a.log.Revision()
@@ -37,7 +37,7 @@
 			return err
 		}
 		if a.log.Revision() > before {
-			r.RaiseHead(ctx)
+			r.UpdateHead(ctx)
 		}
 		return nil
 	})
--- a/internal/agent/node.go
+++ b/internal/agent/node.go
@@ -37,7 +37,7 @@
 	defer a.follows(req.GetProcess(), -1)
 	f := follower{process: req.GetProcess()}
 	for {
-		newest, _, advanced := a.log.View()
+		newest, _, advanced := a.log.Current()
 		list, listed := a.directory.get()
 		members, joined := a.table.All()
 		_, heard := a.draining.list(time.Now())
@@ -106,7 +106,7 @@
 // director only needs to know which services there are and where; an entry the
 // upstreams of the regions that it may send to.
 func (f *follower) needed(a *Agent, list model.Directory) model.Directory {
-	_, t, _ := a.log.View()
+	_, t, _ := a.log.Current()
 	switch f.process {
 	case ProcessDirector:
 		return model.OnePerServiceRegion(list)
@@ -123,7 +123,7 @@
 	s.Changes = nil
 	var skip func(string) bool
 	if f.process == ProcessEntry {
-		skip = tree.IsBlocks
+		skip = tree.IsBlocksPath
 	}
 	first := true
 	for p := range s.Parts(skip) {
--- a/internal/agent/push.go
+++ b/internal/agent/push.go
@@ -27,7 +27,7 @@
 func (a *Agent) pushLoop(ctx context.Context) {
 	revision, list := a.log.Revision(), a.directory.version()
 	for {
-		newest, _, advanced := a.log.View()
+		newest, _, advanced := a.log.Current()
 		upstreams, changed := a.directory.get()
 		if newest > revision || upstreams.Version > list {
 			revision = a.push(ctx, revision, list)
--- a/internal/agent/shares.go
+++ b/internal/agent/shares.go
@@ -41,7 +41,7 @@
 // terms returns the caps that the operators have set, by region, and the longest
 // time that a request of those services may take.
 func (a *Agent) terms() ([]share.Terms, time.Duration) {
-	_, t, _ := a.log.View()
+	_, t, _ := a.log.Current()
 	list, _ := a.directory.get()
 	byRegion := make(map[string]*share.Terms)
 	seen := make(map[[2]string]bool)
--- a/internal/agent/start.go
+++ b/internal/agent/start.go
@@ -43,7 +43,7 @@
 	}
 	call, cancel := context.WithTimeout(ctx, 5*startCall)
 	defer cancel()
-	if err := configlog.NewReader(a.opt.Store, a.log).Start(call); err != nil {
+	if err := configlog.NewReader(a.opt.Store, a.log).Bootstrap(call); err != nil {
 		klog.InfoS("start without configuration", "err", err)
 		return
 	}
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -54,8 +54,8 @@
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
 }
 
-// Routes adds the commands to a router. A commit takes at most timeout.
-func Routes(r chi.Router, c Committer, timeout time.Duration) {
+// AddRoutes adds the commands to a router. A commit takes at most timeout.
+func AddRoutes(r chi.Router, c Committer, timeout time.Duration) {
 	r.Post("/v1/changes", func(w http.ResponseWriter, req *http.Request) {
 		var body Change
 		dec := json.NewDecoder(http.MaxBytesReader(w, req.Body, maxBody))
--- a/internal/configlog/committer.go
+++ b/internal/configlog/committer.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// SnapshotEvery is the number of revisions between snapshots.
-	SnapshotEvery = 256
+	// SnapshotInterval is the number of revisions between snapshots.
+	SnapshotInterval = 256
 	// commitTries bounds the races that one commit may lose.
 	commitTries = 64
 	// commitPause is the wait before a store that failed is asked again.
@@ -92,7 +92,7 @@
 	if err != nil {
 		return a.retry(ctx, err)
 	}
-	if rev := a.log.Find(a.change.ID); rev != 0 {
+	if rev := a.log.FindChange(a.change.ID); rev != 0 {
 		raiseHead(ctx, a.store, a.log)
 		return Result{Outcome: Accepted, Revision: rev}, true
 	}
@@ -131,7 +131,7 @@
 	at, err := SaveSnapshot(ctx, a.store, a.log.Snapshot())
 	a.snapshot = max(a.snapshot, at)
 	if err == nil && a.snapshot < revision-RingSize {
-		err = ErrBehind
+		err = ErrStoreBehind
 	}
 	return err
 }
@@ -157,7 +157,7 @@
 func (a *attempt) accepted(ctx context.Context, rec Record) Result {
 	_, _ = a.log.Append(rec)
 	raiseHead(ctx, a.store, a.log)
-	if rec.Revision%SnapshotEvery == 0 {
+	if rec.Revision%SnapshotInterval == 0 {
 		at, _ := SaveSnapshot(ctx, a.store, a.log.Snapshot())
 		a.snapshot = max(a.snapshot, at)
 	}
@@ -166,7 +166,7 @@
 
 // retry waits a little, or ends the attempt if the time is up.
 func (a *attempt) retry(ctx context.Context, cause error) (Result, bool) {
-	if errors.Is(cause, ErrBehind) {
+	if errors.Is(cause, ErrStoreBehind) {
 		return a.giveUp(cause), true
 	}
 	select {
--- a/internal/configlog/committer_test.go
+++ b/internal/configlog/committer_test.go
@@ -222,7 +222,7 @@
 		if err := NewReader(s, others.log).CatchUp(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		_, tr, _ := others.log.View()
+		_, tr, _ := others.log.Current()
 		if got := tr.String("/services/stock", tree.KeyDeadline); got != "9s" {
 			t.Errorf("late change is not in force: deadline %s", got)
 		}
@@ -238,7 +238,7 @@
 			w.commit(t, deadline(fmt.Sprint("c", i), fmt.Sprint("s", i%50), fmt.Sprintf("%dms", 1000+i)))
 		}
 		fresh := NewLog()
-		if err := NewReader(s, fresh).Start(t.Context()); err != nil {
+		if err := NewReader(s, fresh).Bootstrap(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		if fresh.Revision() != w.log.Revision() {
@@ -276,7 +276,7 @@
 		s.SetFault(nil)
 		log := NewLog()
 		r := NewReader(s, log)
-		if err := r.Wait(t.Context(), time.Second); err != nil {
+		if err := r.WatchHead(t.Context(), time.Second); err != nil {
 			t.Fatal(err)
 		}
 		if err := r.CatchUp(t.Context()); err != nil || log.Revision() != 1 {
@@ -349,7 +349,7 @@
 	if _, err := log.Append(Record{Change: deadline("far", "stock", "9s"), Revision: 9}); err == nil {
 		t.Error("a record after a gap was applied")
 	}
-	revision, tr, _ := log.View()
+	revision, tr, _ := log.Current()
 	if got := tr.String("/services/stock", tree.KeyDeadline); revision != 5 || got != "5s" {
 		t.Errorf("revision %d, deadline %s", revision, got)
 	}
--- a/internal/configlog/log.go
+++ b/internal/configlog/log.go
@@ -19,8 +19,8 @@
 	keepChanges = RingSize
 )
 
-// Applied is a change id with the revision that accepted it.
-type Applied struct {
+// AppliedChange is a change id with the revision that accepted it.
+type AppliedChange struct {
 	ID       string
 	Revision uint64
 }
@@ -33,7 +33,7 @@
 	tree     *tree.Tree
 	recent   []Record
 	edits    int
-	changes  []Applied
+	changes  []AppliedChange
 	byID     map[string]uint64
 	advanced chan struct{}
 }
@@ -82,7 +82,7 @@
 	if len(l.recent) > 2*keepRecords || l.edits > 2*keepEdits {
 		l.trim()
 	}
-	l.remember(Applied{r.ID, r.Revision})
+	l.remember(AppliedChange{r.ID, r.Revision})
 }
 
 // trim drops the oldest records until what is left is within the bounds; the
@@ -96,7 +96,7 @@
 	l.recent = append([]Record(nil), l.recent[drop:]...)
 }
 
-func (l *Log) remember(a Applied) {
+func (l *Log) remember(a AppliedChange) {
 	l.changes = append(l.changes, a)
 	l.byID[a.ID] = a.Revision
 	if len(l.changes) <= 2*keepChanges {
@@ -106,7 +106,7 @@
 	for _, o := range old {
 		delete(l.byID, o.ID)
 	}
-	l.changes = append([]Applied(nil), l.changes[len(old):]...)
+	l.changes = append([]AppliedChange(nil), l.changes[len(old):]...)
 }
 
 // wake lets everyone who waits on Advanced look again. The caller holds the lock.
@@ -137,7 +137,7 @@
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	changes := l.changes[max(0, len(l.changes)-keepChanges):]
-	return &Snapshot{Revision: l.revision, Tree: l.tree, Changes: append([]Applied(nil), changes...)}
+	return &Snapshot{Revision: l.revision, Tree: l.tree, Changes: append([]AppliedChange(nil), changes...)}
 }
 
 // Revision returns the newest revision.
@@ -147,9 +147,9 @@
 	return l.revision
 }
 
-// View returns the newest revision with its tree, and a channel that closes
+// Current returns the newest revision with its tree, and a channel that closes
 // when there is a newer one.
-func (l *Log) View() (uint64, *tree.Tree, <-chan struct{}) {
+func (l *Log) Current() (uint64, *tree.Tree, <-chan struct{}) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	return l.revision, l.tree, l.advanced
@@ -178,8 +178,8 @@
 	return append([]Record(nil), l.recent[max(0, len(l.recent)-limit):]...)
 }
 
-// Find returns the revision that accepted a change id, or 0.
-func (l *Log) Find(id string) uint64 {
+// FindChange returns the revision that accepted a change id, or 0.
+func (l *Log) FindChange(id string) uint64 {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	return l.byID[id]
@@ -239,7 +239,7 @@
 	var faults []string
 	seen := make(map[string]bool)
 	for _, e := range c.Edits {
-		at := l.tree.Revision(e.Path)
+		at := l.tree.PathRevision(e.Path)
 		if at <= c.Base || seen[e.Path] {
 			continue
 		}
@@ -254,7 +254,7 @@
 
 func (l *Log) describeConflict(e tree.Edit, at, base uint64) string {
 	s := fmt.Sprintf("%s was written at revision %d%s, after revision %d", e.Path, at, l.authorOf(at), base)
-	now, _ := l.tree.At(e.Path, e.Key)
+	now, _ := l.tree.SettingAt(e.Path, e.Key)
 	return s + fmt.Sprintf("; %s is %q there, wanted %q", e.Key, now.Value, e.Value)
 }
 
--- a/internal/configlog/reader.go
+++ b/internal/configlog/reader.go
@@ -19,9 +19,9 @@
 // headBytes bounds the encoded head.
 const headBytes = 48 << 10
 
-// ErrBehind reports a store whose log ends before a revision that was accepted,
+// ErrStoreBehind reports a store whose log ends before a revision that was accepted,
 // as after its restoration from a copy.
-var ErrBehind = errors.New("configlog: the store's log is behind")
+var ErrStoreBehind = errors.New("configlog: the store's log is behind")
 
 // Reader follows the log in the store. Its methods must not be called at the
 // same time.
@@ -37,9 +37,9 @@
 	return &Reader{store: store, log: log}
 }
 
-// Wait waits until the head has changed since the last call, or until wait has
+// WatchHead waits until the head has changed since the last call, or until wait has
 // passed, and applies the records that the head carries.
-func (r *Reader) Wait(ctx context.Context, wait time.Duration) error {
+func (r *Reader) WatchHead(ctx context.Context, wait time.Duration) error {
 	e, err := r.store.Watch(ctx, headKey, r.headVersion, wait)
 	if err != nil {
 		return err
@@ -97,7 +97,7 @@
 	if holds == 0 && next <= RingSize || holds+RingSize == next {
 		return nil
 	}
-	return fmt.Errorf("%w: slot of revision %d holds %d", ErrBehind, next, holds)
+	return fmt.Errorf("%w: slot of revision %d holds %d", ErrStoreBehind, next, holds)
 }
 
 // restore loads the snapshot when the ring has gone a whole round past the log.
@@ -112,9 +112,9 @@
 	return nil
 }
 
-// Start loads the newest snapshot, if it is newer than the log, and reads to
+// Bootstrap loads the newest snapshot, if it is newer than the log, and reads to
 // the end.
-func (r *Reader) Start(ctx context.Context) error {
+func (r *Reader) Bootstrap(ctx context.Context) error {
 	s, err := LoadSnapshot(ctx, r.store)
 	if err != nil {
 		return err
@@ -187,5 +187,5 @@
 	return h
 }
 
-// RaiseHead repairs the head when its last writer died before raising it.
-func (r *Reader) RaiseHead(ctx context.Context) { raiseHead(ctx, r.store, r.log) }
+// UpdateHead repairs the head when its last writer died before raising it.
+func (r *Reader) UpdateHead(ctx context.Context) { raiseHead(ctx, r.store, r.log) }
--- a/internal/configlog/record.go
+++ b/internal/configlog/record.go
@@ -25,16 +25,16 @@
 const (
 	// RingSize is the number of slots of the log.
 	RingSize = 4096
-	// Format is the newest record format that this program reads.
-	Format = 1
-	// MaxRecord is the largest encoded record in bytes.
-	MaxRecord = 64 << 10
+	// RecordFormat is the newest record format that this program reads.
+	RecordFormat = 1
+	// MaxRecordBytes is the largest encoded record in bytes.
+	MaxRecordBytes = 64 << 10
 	// MaxEdits is the largest number of edits in one change.
 	MaxEdits = 2000
-	// MaxChangeID is the largest length of a change id in bytes.
-	MaxChangeID = 64
-	// MaxText is the largest length of a value, author or note in bytes.
-	MaxText = 4096
+	// MaxChangeIDBytes is the largest length of a change id in bytes.
+	MaxChangeIDBytes = 64
+	// MaxTextBytes is the largest length of a value, author or note in bytes.
+	MaxTextBytes = 4096
 )
 
 // Change is what an operator asks for.
@@ -59,26 +59,26 @@
 
 // DecodeError reports a record, snapshot or hint that cannot be used.
 type DecodeError struct {
-	What   string
+	Object   string
 	Reason string
 }
 
 // Error implements error.
-func (e *DecodeError) Error() string { return "configlog: " + e.What + ": " + e.Reason }
+func (e *DecodeError) Error() string { return "configlog: " + e.Object + ": " + e.Reason }
 
 // Encode returns the stored form of a record.
 func (r Record) Encode() ([]byte, error) {
 	b, err := proto.Marshal(r.Proto())
-	if err == nil && len(b) > MaxRecord {
-		err = &DecodeError{"record", fmt.Sprintf("%d bytes, at most %d", len(b), MaxRecord)}
+	if err == nil && len(b) > MaxRecordBytes {
+		err = &DecodeError{"record", fmt.Sprintf("%d bytes, at most %d", len(b), MaxRecordBytes)}
 	}
 	return b, err
 }
 
 // Decode reads the stored form of a record.
 func Decode(b []byte) (Record, error) {
-	if len(b) > MaxRecord {
-		return Record{}, &DecodeError{"record", fmt.Sprintf("%d bytes, at most %d", len(b), MaxRecord)}
+	if len(b) > MaxRecordBytes {
+		return Record{}, &DecodeError{"record", fmt.Sprintf("%d bytes, at most %d", len(b), MaxRecordBytes)}
 	}
 	var m pb.Record
 	if err := proto.Unmarshal(b, &m); err != nil {
@@ -90,7 +90,7 @@
 // Proto returns the message form of a record.
 func (r Record) Proto() *pb.Record {
 	m := &pb.Record{
-		Format:    Format,
+		Format:    RecordFormat,
 		Revision:  r.Revision,
 		ChangeId:  r.ID,
 		Author:    r.Author,
@@ -107,8 +107,8 @@
 
 // FromProto checks a message and returns its record.
 func FromProto(m *pb.Record) (Record, error) {
-	if m.GetFormat() != Format {
-		return Record{}, &DecodeError{"record", fmt.Sprintf("format %d, this program reads %d", m.GetFormat(), Format)}
+	if m.GetFormat() != RecordFormat {
+		return Record{}, &DecodeError{"record", fmt.Sprintf("format %d, this program reads %d", m.GetFormat(), RecordFormat)}
 	}
 	r := Record{Revision: m.GetRevision(), Time: time.UnixMilli(m.GetUnixMilli()).UTC()}
 	r.Change = Change{ID: m.GetChangeId(), Author: m.GetAuthor(), Note: m.GetNote(), Base: m.GetBase()}
@@ -126,18 +126,18 @@
 
 // checkForm checks the sizes of a change, not the meaning of its edits.
 func (c *Change) checkForm() error {
-	if c.ID == "" || len(c.ID) > MaxChangeID {
-		return fmt.Errorf("change id of %d bytes, allowed are 1 to %d", len(c.ID), MaxChangeID)
+	if c.ID == "" || len(c.ID) > MaxChangeIDBytes {
+		return fmt.Errorf("change id of %d bytes, allowed are 1 to %d", len(c.ID), MaxChangeIDBytes)
 	}
 	if len(c.Edits) == 0 || len(c.Edits) > MaxEdits {
 		return fmt.Errorf("%d edits, allowed are 1 to %d", len(c.Edits), MaxEdits)
 	}
-	if len(c.Author) > MaxText || len(c.Note) > MaxText {
-		return fmt.Errorf("author or note longer than %d bytes", MaxText)
+	if len(c.Author) > MaxTextBytes || len(c.Note) > MaxTextBytes {
+		return fmt.Errorf("author or note longer than %d bytes", MaxTextBytes)
 	}
 	for _, e := range c.Edits {
-		if len(e.Path) > MaxText || len(e.Key) > MaxText || len(e.Value) > MaxText {
-			return fmt.Errorf("edit with a part longer than %d bytes", MaxText)
+		if len(e.Path) > MaxTextBytes || len(e.Key) > MaxTextBytes || len(e.Value) > MaxTextBytes {
+			return fmt.Errorf("edit with a part longer than %d bytes", MaxTextBytes)
 		}
 	}
 	return nil
--- a/internal/configlog/snapshot.go
+++ b/internal/configlog/snapshot.go
@@ -22,7 +22,7 @@
 type Snapshot struct {
 	Revision uint64
 	Tree     *tree.Tree
-	Changes  []Applied
+	Changes  []AppliedChange
 }
 
 // Parts returns the messages of a snapshot one by one, at least one. The same
@@ -80,7 +80,7 @@
 
 func settingsAt(t *tree.Tree, path string) []*pb.Setting {
 	var all []*pb.Setting
-	t.Node(path, func(key string, v tree.Setting) {
+	t.VisitPath(path, func(key string, v tree.Setting) {
 		all = append(all, &pb.Setting{Path: path, Key: key, Value: v.Value, Revision: v.Revision, Unset: v.Unset})
 	})
 	sort.Slice(all, func(i, j int) bool { return all[i].Key < all[j].Key })
@@ -108,7 +108,7 @@
 		a.builder.Put(m.GetPath(), m.GetKey(), tree.Setting{Value: m.GetValue(), Revision: m.GetRevision(), Unset: m.GetUnset()})
 	}
 	for _, c := range p.GetChanges() {
-		a.snapshot.Changes = append(a.snapshot.Changes, Applied{c.GetChangeId(), c.GetRevision()})
+		a.snapshot.Changes = append(a.snapshot.Changes, AppliedChange{c.GetChangeId(), c.GetRevision()})
 	}
 	return nil
 }
--- a/internal/ctl/read.go
+++ b/internal/ctl/read.go
@@ -46,7 +46,7 @@
 		fmt.Fprintf(w, "%s\tfrom the key's default\n", v.Value)
 		return
 	}
-	fmt.Fprintf(w, "%s\tfrom %s, written at revision %d\n", v.Value, v.From, v.WrittenAt)
+	fmt.Fprintf(w, "%s\tfrom %s, written at revision %d\n", v.Value, v.From, v.WrittenRevision)
 }
 
 func getTree(ctx context.Context, c *cli.Command, client *Client) error {
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -168,7 +168,7 @@
 }
 
 func (f *Follower) publish() {
-	revision, t, _ := f.log.View()
+	revision, t, _ := f.log.Current()
 	f.update(model.Compile(model.Input{
 		Region:    f.region,
 		Revision:  revision,
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -208,7 +208,7 @@
 		Queue:       t.Int(path, tree.KeyQueue),
 		QueueWait:   t.Duration(path, tree.KeyQueueWait),
 		Warmup:      t.Duration(path, tree.KeyWarmup),
-		Lifetime:    t.Duration(path, tree.KeyLifetime),
+		Lifetime:    t.Duration(path, tree.KeyLookupLifetime),
 		ShiftCap:    t.Float(tree.ServicePath(name), tree.KeyShiftCap),
 		ShiftRate:   t.Float(tree.ServicePath(name), tree.KeyShiftRate),
 		Overflow:    t.List(path, tree.KeyOverflow),
@@ -252,7 +252,7 @@
 		return true
 	}
 	for _, d := range s.Drains {
-		if d.Active(now) && d.Matches(u.Service, u.Region, u.Domain, u.ID) {
+		if d.Active(now) && d.MatchesUpstream(u.Service, u.Region, u.Domain, u.ID) {
 			return true
 		}
 	}
--- a/internal/query/dump.go
+++ b/internal/query/dump.go
@@ -19,9 +19,9 @@
 	maxDump = 64 << 20
 )
 
-// DumpRoutes adds the dump of all processes of the instance. Others are the
+// AddDumpRoute adds the dump of all processes of the instance. Others are the
 // debug addresses of the processes beside the agent, by name.
-func DumpRoutes(r chi.Router, others map[string]string, agent func() any) {
+func AddDumpRoute(r chi.Router, others map[string]string, agent func() any) {
 	r.Get("/v1/dump", func(w http.ResponseWriter, req *http.Request) {
 		out := map[string]any{"agent": agent()}
 		for name, addr := range others {
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -44,7 +44,7 @@
 	Value    string `json:"value"`
 	// From is the path that sets the value; empty for the key's default.
 	From       string `json:"from,omitempty"`
-	WrittenAt  uint64 `json:"written_at,omitempty"`
+	WrittenRevision  uint64 `json:"written_at,omitempty"`
 	Overridden bool   `json:"overridden"`
 }
 
@@ -69,8 +69,8 @@
 // defaultHistory is how many changes a history shows unless asked for more.
 const defaultHistory = 20
 
-// Routes adds the queries to a router.
-func Routes(r chi.Router, s Source) {
+// AddRoutes adds the queries to a router.
+func AddRoutes(r chi.Router, s Source) {
 	r.Get("/v1/tree", func(w http.ResponseWriter, req *http.Request) {
 		process.JSON(w, http.StatusOK, treeOf(s.Log(), req.URL.Query().Get("path")))
 	})
@@ -90,7 +90,7 @@
 }
 
 func treeOf(log *configlog.Log, under string) Tree {
-	revision, t, _ := log.View()
+	revision, t, _ := log.Current()
 	out := Tree{Revision: revision, Settings: []Setting{}}
 	add := func(path, key string, v tree.Setting) {
 		if !v.Unset {
@@ -98,9 +98,9 @@
 		}
 	}
 	if under == "" {
-		t.Walk(add)
+		t.VisitAll(add)
 	} else {
-		t.Node(under, func(key string, v tree.Setting) { add(under, key, v) })
+		t.VisitPath(under, func(key string, v tree.Setting) { add(under, key, v) })
 	}
 	sort.Slice(out.Settings, func(i, j int) bool {
 		a, b := out.Settings[i], out.Settings[j]
@@ -114,11 +114,11 @@
 
 func value(w http.ResponseWriter, req *http.Request, log *configlog.Log) {
 	path, key := req.URL.Query().Get("path"), req.URL.Query().Get("key")
-	if err := tree.CheckKey(path, key); err != nil {
+	if err := tree.CheckQuery(path, key); err != nil {
 		process.JSON(w, http.StatusBadRequest, map[string]string{"error": err.Error()})
 		return
 	}
-	revision, t, _ := log.View()
+	revision, t, _ := log.Current()
 	v := t.Get(path, key)
 	process.JSON(w, http.StatusOK, Value{revision, path, key, v.Value, v.From, v.Revision, v.From == path})
 }
@@ -138,7 +138,7 @@
 // change tells whether a change id is known to have been accepted.
 func change(w http.ResponseWriter, req *http.Request, log *configlog.Log) {
 	id := chi.URLParam(req, "id")
-	revision := log.Find(id)
+	revision := log.FindChange(id)
 	if revision == 0 {
 		process.JSON(w, http.StatusNotFound, map[string]string{"id": id, "outcome": string(configlog.Unknown)})
 		return
--- a/internal/route/blocks.go
+++ b/internal/route/blocks.go
@@ -25,7 +25,7 @@
 func NewBlocks(t *tree.Tree, old *Blocks) *Blocks {
 	marks := make(map[string]uint64)
 	for _, p := range t.BlockPaths() {
-		marks[p] = t.Revision(p)
+		marks[p] = t.PathRevision(p)
 	}
 	if old != nil && sameMarks(old.marks, marks) {
 		return old
@@ -34,7 +34,7 @@
 	// Few distinct lists of regions stand behind very many blocks.
 	lists := make(map[string]*[]string)
 	for p := range marks {
-		t.Blocks(p, func(prefix netip.Prefix, regions string) {
+		t.VisitBlocks(p, func(prefix netip.Prefix, regions string) {
 			l := lists[regions]
 			if l == nil {
 				split := tree.SplitList(regions)
--- a/internal/rpc/conn.go
+++ b/internal/rpc/conn.go
@@ -26,8 +26,8 @@
 // ErrBusy is what a peer answers that serves too many others already.
 var ErrBusy = errors.New("rpc: peer busy")
 
-// Traffic counts bytes on the connections of a process.
-type Traffic struct {
+// ByteCounts counts bytes on the connections of a process.
+type ByteCounts struct {
 	Sent, Received atomic.Int64
 }
 
@@ -35,14 +35,14 @@
 // concurrent use.
 type Dialer struct {
 	tls     *tls.Config
-	traffic *Traffic
+	traffic *ByteCounts
 	pool    *drpcpool.Pool[string, drpcpool.Conn]
 }
 
 // NewDialer returns a Dialer. With conf set it speaks TLS; traffic may be nil.
-func NewDialer(conf *tls.Config, traffic *Traffic) *Dialer {
+func NewDialer(conf *tls.Config, traffic *ByteCounts) *Dialer {
 	if traffic == nil {
-		traffic = new(Traffic)
+		traffic = new(ByteCounts)
 	}
 	return &Dialer{tls: conf, traffic: traffic, pool: drpcpool.New[string, drpcpool.Conn](drpcpool.Options{
 		Expiration:  idleFor,
@@ -80,16 +80,16 @@
 func (d *Dialer) Close() error { return d.pool.Close() }
 
 // Serve answers calls on lis until ctx ends.
-func Serve(ctx context.Context, lis net.Listener, mux *drpcmux.Mux, traffic *Traffic) error {
+func Serve(ctx context.Context, lis net.Listener, mux *drpcmux.Mux, traffic *ByteCounts) error {
 	if traffic == nil {
-		traffic = new(Traffic)
+		traffic = new(ByteCounts)
 	}
 	return drpcserver.New(mux).Serve(ctx, &meteredListener{lis, traffic})
 }
 
 type meteredListener struct {
 	net.Listener
-	traffic *Traffic
+	traffic *ByteCounts
 }
 
 // Accept implements net.Listener.
@@ -103,7 +103,7 @@
 
 type meteredConn struct {
 	net.Conn
-	traffic *Traffic
+	traffic *ByteCounts
 }
 
 // Read implements net.Conn.
--- a/internal/rpc/peer.go
+++ b/internal/rpc/peer.go
@@ -11,21 +11,21 @@
 // maxParts bounds the parts of one snapshot.
 const maxParts = 4096
 
-// Peers calls other agents over drpc.
-type Peers struct{ dialer *Dialer }
+// PeerClient calls other agents over drpc.
+type PeerClient struct{ dialer *Dialer }
 
-// NewPeers returns a Peers that connects with dialer.
-func NewPeers(dialer *Dialer) *Peers { return &Peers{dialer} }
+// NewPeerClient returns a Peers that connects with dialer.
+func NewPeerClient(dialer *Dialer) *PeerClient { return &PeerClient{dialer} }
 
 // Exchange calls a peer's Exchange.
-func (p *Peers) Exchange(ctx context.Context, addr string, req *pb.ExchangeRequest) (*pb.ExchangeReply, error) {
+func (p *PeerClient) Exchange(ctx context.Context, addr string, req *pb.ExchangeRequest) (*pb.ExchangeReply, error) {
 	conn := p.dialer.Conn(addr)
 	defer conn.Close()
 	return pb.NewDRPCPeerClient(conn).Exchange(ctx, req)
 }
 
 // Push calls a peer's Push.
-func (p *Peers) Push(ctx context.Context, addr string, req *pb.PushRequest) (*pb.PushReply, error) {
+func (p *PeerClient) Push(ctx context.Context, addr string, req *pb.PushRequest) (*pb.PushReply, error) {
 	conn := p.dialer.Conn(addr)
 	defer conn.Close()
 	return pb.NewDRPCPeerClient(conn).Push(ctx, req)
@@ -33,7 +33,7 @@
 
 // Snapshot calls each with the parts of a peer's state, in order, if it is newer
 // than above.
-func (p *Peers) Snapshot(ctx context.Context, addr string, above uint64, each func(*pb.SnapshotPart) error) error {
+func (p *PeerClient) Snapshot(ctx context.Context, addr string, above uint64, each func(*pb.SnapshotPart) error) error {
 	conn := p.dialer.Conn(addr)
 	defer conn.Close()
 	stream, err := pb.NewDRPCPeerClient(conn).Snapshot(ctx, &pb.SnapshotRequest{Above: above})
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -8,8 +8,8 @@
 	"github.com/loomkeel/loomkeel/internal/rpc/pb"
 )
 
-// Agent is what a server hands its calls to.
-type Agent interface {
+// Handler is what a server hands its calls to.
+type Handler interface {
 	HandleExchange(ctx context.Context, req *pb.ExchangeRequest) *pb.ExchangeReply
 	HandlePush(ctx context.Context, req *pb.PushRequest) *pb.PushReply
 	HandleSnapshot(req *pb.SnapshotRequest, send func(*pb.SnapshotPart) error) error
@@ -18,7 +18,7 @@
 }
 
 // NewMux returns the services of an agent.
-func NewMux(a Agent) (*drpcmux.Mux, error) {
+func NewMux(a Handler) (*drpcmux.Mux, error) {
 	mux := drpcmux.New()
 	if err := pb.DRPCRegisterPeer(mux, &peerServer{a}); err != nil {
 		return nil, err
@@ -26,7 +26,7 @@
 	return mux, pb.DRPCRegisterNode(mux, &nodeServer{a})
 }
 
-type peerServer struct{ agent Agent }
+type peerServer struct{ agent Handler }
 
 // Exchange implements pb.DRPCPeerServer.
 func (s *peerServer) Exchange(ctx context.Context, req *pb.ExchangeRequest) (*pb.ExchangeReply, error) {
@@ -43,7 +43,7 @@
 	return s.agent.HandleSnapshot(req, stream.Send)
 }
 
-type nodeServer struct{ agent Agent }
+type nodeServer struct{ agent Handler }
 
 // Follow implements pb.DRPCNodeServer.
 func (s *nodeServer) Follow(req *pb.FollowRequest, stream pb.DRPCNode_FollowStream) error {
--- a/internal/tree/blocks.go
+++ b/internal/tree/blocks.go
@@ -27,8 +27,8 @@
 // blockList is sorted by address and length.
 type blockList []block
 
-// IsBlocks reports whether the keys of a path are blocks of client addresses.
-func IsBlocks(path string) bool { return strings.HasPrefix(path, blocksPrefix) }
+// IsBlocksPath reports whether the keys of a path are blocks of client addresses.
+func IsBlocksPath(path string) bool { return strings.HasPrefix(path, blocksPrefix) }
 
 func newBlock(p netip.Prefix) block {
 	return block{addr: p.Addr().As16(), bits: uint8(p.Bits()), v4: p.Addr().Is4()}
@@ -87,9 +87,9 @@
 	return slices.Insert(l, i, b)
 }
 
-// Blocks calls visit with every block that is set at a path, in order. Regions
+// VisitBlocks calls visit with every block that is set at a path, in order. Regions
 // is the list that the block names.
-func (t *Tree) Blocks(path string, visit func(p netip.Prefix, regions string)) {
+func (t *Tree) VisitBlocks(path string, visit func(p netip.Prefix, regions string)) {
 	for i := range t.nodes[path].blocks {
 		if b := &t.nodes[path].blocks[i]; !b.unset {
 			visit(b.prefix(), b.value.Value())
@@ -101,7 +101,7 @@
 func (t *Tree) BlockPaths() []string {
 	var paths []string
 	for p := range t.nodes {
-		if IsBlocks(p) {
+		if IsBlocksPath(p) {
 			paths = append(paths, p)
 		}
 	}
--- a/internal/tree/check.go
+++ b/internal/tree/check.go
@@ -90,7 +90,7 @@
 		if d.Domain == "" {
 			continue
 		}
-		most := t.Int(RegionPath(d.Region), KeyDrainedDomains)
+		most := t.Int(RegionPath(d.Region), KeyMaxDrainedDomains)
 		domains := map[string]bool{d.Domain: true}
 		paths := []string{d.Path}
 		for _, other := range drains {
--- a/internal/tree/key.go
+++ b/internal/tree/key.go
@@ -17,7 +17,7 @@
 	// Allowed says in words what values the key takes, with the unit.
 	Allowed string
 	Doc     string
-	At      []Kind
+	Kinds      []Kind
 	check   func(string) error
 }
 
@@ -40,7 +40,7 @@
 	KeyQueueWait      = "queue_wait"
 	KeyNotRunStatuses = "not_run_statuses"
 	KeyWarmup         = "warmup"
-	KeyLifetime       = "lookup_lifetime"
+	KeyLookupLifetime       = "lookup_lifetime"
 	KeyHosts          = "hosts"
 	KeyOverflow       = "overflow"
 	KeyShiftCap       = "shift_cap"
@@ -48,7 +48,7 @@
 	KeyMaxInFlight    = "max_in_flight"
 	KeyCapFloor       = "cap_floor"
 	KeyCapSeats       = "cap_seats"
-	KeyDrainedDomains = "max_drained_domains"
+	KeyMaxDrainedDomains = "max_drained_domains"
 	KeyWeight         = "weight"
 	KeyLatency        = "latency"
 	KeyService        = "service"
@@ -85,7 +85,7 @@
 	list(KeyNotRunStatuses, "429", "HTTP statuses from 400 to 599, separated by commas", checkStatus, atService,
 		"Statuses by which an upstream says that it did not run the request."),
 	duration(KeyWarmup, "30s", 0, time.Hour, atService, "How long an upstream that is new gets a rising share."),
-	duration(KeyLifetime, "10s", time.Second, 5*time.Minute, atService, "How long a caller may use a look-up answer."),
+	duration(KeyLookupLifetime, "10s", time.Second, 5*time.Minute, atService, "How long a caller may use a look-up answer."),
 	list(KeyHosts, "", "host names, separated by commas", checkWord, []Kind{KindService},
 		"Host names by which a request names the service."),
 	list(KeyOverflow, "", "regions in order, separated by commas; empty means the eight nearest by latency", checkName,
@@ -98,18 +98,18 @@
 	fraction(KeyCapFloor, "0.5", atRegion, "Share of each cap that the region's instances keep while the key-value service is away."),
 	integer(KeyCapSeats, "8", 1, 10000, atRegion,
 		"Instances among which that share is divided: those of the region, and the ones replaced within a day."),
-	integer(KeyDrainedDomains, "1", 0, 100, atRegion, "How many failure domains of a region may be drained at one time."),
+	integer(KeyMaxDrainedDomains, "1", 0, 100, atRegion, "How many failure domains of a region may be drained at one time."),
 	number(KeyWeight, "1", 0, 1000, []Kind{KindRoot, KindRegion, KindDomain}, "Weight of the place's entries in look-ups."),
 	duration(KeyLatency, "35ms", 0, 10*time.Second, atLink, "One-way latency of the link."),
 	{Name: KeyService, Allowed: "a service", Doc: "The service that the drain or move is for; a drain without one is for all.",
-		At: []Kind{KindDrain, KindMove}, check: checkName},
+		Kinds: []Kind{KindDrain, KindMove}, check: checkName},
 	word(KeyRegion, "a region", atDrain, "The region that is drained."),
 	word(KeyDomain, "a failure domain", atDrain, "The failure domain that is drained."),
 	word(KeyUpstream, "an upstream's id", atDrain, "The upstream that is drained."),
 	{Name: KeyStart, Allowed: "a time as in 2026-12-02T22:00:00Z", Doc: "When the drain or move begins.",
-		At: []Kind{KindDrain, KindMove}, check: checkTime},
+		Kinds: []Kind{KindDrain, KindMove}, check: checkTime},
 	{Name: KeyEnd, Allowed: "a time as in 2026-12-02T23:00:00Z", Doc: "When the drain ends; without one it lasts until it is removed.",
-		At: atDrain, check: checkTime},
+		Kinds: atDrain, check: checkTime},
 	word(KeyFrom, "a region", atMove, "The region that traffic leaves."),
 	word(KeyTo, "a region", atMove, "The region that takes the traffic."),
 	duration(KeyDuration, "10m", 0, 24*time.Hour, atMove, "How long the move takes from nothing to its whole share."),
@@ -160,9 +160,9 @@
 	return nil
 }
 
-// CheckKey reports whether key may be asked for at path: it may stand there, or
+// CheckQuery reports whether key may be asked for at path: it may stand there, or
 // somewhere up the tree.
-func CheckKey(path, key string) error {
+func CheckQuery(path, key string) error {
 	kind, _, err := ParsePath(path)
 	if err != nil || kind == KindBlocks {
 		return err
@@ -175,7 +175,7 @@
 
 func checkKey(kind Kind, path, key string) (*Key, error) {
 	k := keyByName[key]
-	if k != nil && slices.Contains(k.At, kind) {
+	if k != nil && slices.Contains(k.Kinds, kind) {
 		return k, nil
 	}
 	reason := "unknown key"
@@ -188,7 +188,7 @@
 func keysAt(kind Kind) []string {
 	var names []string
 	for _, k := range Keys {
-		if slices.Contains(k.At, kind) {
+		if slices.Contains(k.Kinds, kind) {
 			names = append(names, k.Name)
 		}
 	}
@@ -252,7 +252,7 @@
 func fraction(name, def string, at []Kind, doc string) Key { return number(name, def, 0, 1, at, doc) }
 
 func word(name, allowed string, at []Kind, doc string) Key {
-	return Key{Name: name, Allowed: allowed, Doc: doc, At: at, check: checkName}
+	return Key{Name: name, Allowed: allowed, Doc: doc, Kinds: at, check: checkName}
 }
 
 func choice(name, def string, words []string, at []Kind, doc string) Key {
--- a/internal/tree/markdown.go
+++ b/internal/tree/markdown.go
@@ -11,7 +11,7 @@
 	b.WriteString("| key | default | allowed | at | meaning |\n| --- | --- | --- | --- | --- |\n")
 	for _, k := range Keys {
 		var at []string
-		for _, kind := range k.At {
+		for _, kind := range k.Kinds {
 			at = append(at, "`"+kind.String()+"`")
 		}
 		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", k.Name, k.Default, k.Allowed, strings.Join(at, ", "), k.Doc)
--- a/internal/tree/path.go
+++ b/internal/tree/path.go
@@ -47,8 +47,8 @@
 	return "unknown"
 }
 
-// PathForms lists the forms that a path may have.
-func PathForms() []string { return kindForms[:] }
+// PathPatterns lists the forms that a path may have.
+func PathPatterns() []string { return kindForms[:] }
 
 // maxPath is the largest length of a path in bytes.
 const maxPath = 256
@@ -63,7 +63,7 @@
 
 // Error implements error.
 func (e *PathError) Error() string {
-	return fmt.Sprintf("path %q: %s; allowed are %s", e.Path, e.Reason, strings.Join(PathForms(), ", "))
+	return fmt.Sprintf("path %q: %s; allowed are %s", e.Path, e.Reason, strings.Join(PathPatterns(), ", "))
 }
 
 // ParsePath returns the kind of a path and its names in order.
@@ -129,8 +129,8 @@
 // ServicePath returns the path of a service.
 func ServicePath(service string) string { return "/services/" + service }
 
-// GroupPath returns the path of the upstreams of a service in a failure domain.
-func GroupPath(service, region, domain string) string {
+// ServiceDomainPath returns the path of the upstreams of a service in a failure domain.
+func ServiceDomainPath(service, region, domain string) string {
 	return "/services/" + service + "/regions/" + region + "/domains/" + domain
 }
 
--- a/internal/tree/schedule.go
+++ b/internal/tree/schedule.go
@@ -17,8 +17,8 @@
 // Active reports whether the drain is in force at a time.
 func (d Drain) Active(at time.Time) bool { return d.covers(at) }
 
-// Matches reports whether the drain is for an upstream.
-func (d Drain) Matches(service, region, domain, upstream string) bool {
+// MatchesUpstream reports whether the drain is for an upstream.
+func (d Drain) MatchesUpstream(service, region, domain, upstream string) bool {
 	if d.Service != "" && d.Service != service {
 		return false
 	}
--- a/internal/tree/tree.go
+++ b/internal/tree/tree.go
@@ -53,7 +53,7 @@
 // put sets a key of a node of a path. The node must not be shared.
 func (n *node) put(path, key string, s Setting) {
 	n.revision = max(n.revision, s.Revision)
-	if IsBlocks(path) {
+	if IsBlocksPath(path) {
 		n.blocks = n.blocks.put(key, s)
 		return
 	}
@@ -125,13 +125,13 @@
 	return Setting{Value: e.Value, Revision: revision}
 }
 
-// At returns what path itself says of key, with false if it was never written.
-func (t *Tree) At(path, key string) (Setting, bool) {
+// SettingAt returns what path itself says of key, with false if it was never written.
+func (t *Tree) SettingAt(path, key string) (Setting, bool) {
 	return t.nodes[path].get(key)
 }
 
-// Revision returns the newest revision that wrote to path itself.
-func (t *Tree) Revision(path string) uint64 { return t.nodes[path].revision }
+// PathRevision returns the newest revision that wrote to path itself.
+func (t *Tree) PathRevision(path string) uint64 { return t.nodes[path].revision }
 
 // Get returns the effective value of key at path: that of the nearest path up
 // the tree which sets it, or the key's default.
@@ -196,15 +196,15 @@
 	return paths
 }
 
-// Node calls visit with every key written at path, also those unset, in no
+// VisitPath calls visit with every key written at path, also those unset, in no
 // particular order.
-func (t *Tree) Node(path string, visit func(key string, s Setting)) {
+func (t *Tree) VisitPath(path string, visit func(key string, s Setting)) {
 	t.nodes[path].each(visit)
 }
 
-// Walk calls visit with every key written in the tree, also those unset, in no
+// VisitAll calls visit with every key written in the tree, also those unset, in no
 // particular order.
-func (t *Tree) Walk(visit func(path, key string, s Setting)) {
+func (t *Tree) VisitAll(visit func(path, key string, s Setting)) {
 	for p, n := range t.nodes {
 		n.each(func(key string, s Setting) { visit(p, key, s) })
 	}
--- a/internal/tree/tree_test.go
+++ b/internal/tree/tree_test.go
@@ -184,7 +184,7 @@
 			return
 		}
 		tr := new(Tree).Apply(edits, 1)
-		if s, ok := tr.At(path, key); !ok || s.Value != value {
+		if s, ok := tr.SettingAt(path, key); !ok || s.Value != value {
 			t.Errorf("%s %s = %q is accepted, but reads %+v", path, key, value, s)
 		}
 		tr.Check()
--- a/test/sessions/world_test.go
+++ b/test/sessions/world_test.go
@@ -118,7 +118,7 @@
 
 // publish gives every entry the newest state.
 func (w *world) publish() {
-	revision, t, _ := w.log.View()
+	revision, t, _ := w.log.Current()
 	var list model.Directory
 	w.mu.Lock()
 	for _, u := range w.upstreams {
--- a/test/slopes/fleet.go
+++ b/test/slopes/fleet.go
@@ -25,7 +25,7 @@
 // member is one agent of the measured fleet.
 type member struct {
 	*agent.Agent
-	traffic *rpc.Traffic
+	traffic *rpc.ByteCounts
 	dialer  *rpc.Dialer
 }
 
@@ -186,7 +186,7 @@
 	if err != nil {
 		return nil, err
 	}
-	traffic := new(rpc.Traffic)
+	traffic := new(rpc.ByteCounts)
 	dialer := rpc.NewDialer(nil, traffic)
 	domain := fmt.Sprintf("domain-%d", i/perDomain)
 	a := agent.New(agent.Options{
@@ -197,7 +197,7 @@
 		Seeds:      []string{seed},
 		Store:      c.store,
 		List:       list,
-		Peers:      rpc.NewPeers(dialer),
+		Peers:      rpc.NewPeerClient(dialer),
 		Rand:       rand.New(rand.NewPCG(uint64(i), 7)),
 		Period:     agent.DefaultPeriod,
 		Boot:       func() int64 { return time.Now().UnixNano() },
