--- a/internal/configlog/committer.go
+++ b/internal/configlog/committer.go
@@ -12,41 +12,44 @@
 const (
 	// SnapshotInterval is the number of revisions between snapshots.
 	SnapshotInterval = 256
-	// commitTries bounds the races that one commit may lose.
-	commitTries = 64
-	// commitPause is the wait before a store that failed is asked again.
-	commitPause = 50 * time.Millisecond
-	// unavailableRetry is the advice to an operator while the store is away.
-	unavailableRetry = 5 * time.Second
+	// maxCommitAttempts is the number of tries of one commit. A try fails when
+	// another writer takes the slot first or the store returns an error.
+	maxCommitAttempts = 64
+	// commitRetryDelay is the wait after a failed store call.
+	commitRetryDelay = 50 * time.Millisecond
+	// unavailableRetryAfter is the Refusal.RetryAfter of a change that was refused
+	// because the store is unavailable.
+	unavailableRetryAfter = 5 * time.Second
 )
 
-// Outcome is what is known of a change after a commit.
+// Outcome is the state of a change after a commit.
 type Outcome string
 
-// The outcomes.
+// The outcomes of a commit.
 const (
-	// Accepted changes are in the log and will be in force everywhere.
+	// Accepted changes are in the log and reach every instance.
 	Accepted Outcome = "accepted"
-	// Refused changes are not in the log and will not come into it.
+	// Refused changes are not in the log and will not be added by this commit.
 	Refused Outcome = "refused"
-	// Unknown changes may be in the log, or may still come into it. Sending the
-	// same change id again tells, and cannot apply the change twice.
+	// Unknown changes may be in the log, or may still be added by a delayed
+	// write. Sending the change again with the same id returns its outcome and
+	// does not apply it twice.
 	Unknown Outcome = "unknown"
 )
 
-// Result is the answer to a commit.
+// Result is the result of a commit.
 type Result struct {
 	Outcome Outcome
-	// Revision is that of the record, if accepted.
+	// Revision is the record's revision if the change was accepted.
 	Revision uint64
-	// Refusal says why, if refused.
+	// Refusal holds the reasons if the change was refused.
 	Refusal *Refusal
-	// Err is the store's error, if unknown.
+	// Err is the last error if the outcome is unknown.
 	Err error
 }
 
-// Committer writes changes to the log. It is safe for concurrent use; commits
-// of one Committer run one after the other.
+// Committer writes changes to the log in the store. It is safe for concurrent
+// use; commits of one Committer run one after the other.
 type Committer struct {
 	mu    sync.Mutex
 	store platform.Store
@@ -56,12 +59,15 @@
 	snapshot uint64
 }
 
-// NewCommitter returns a Committer that checks changes against log.
+// NewCommitter returns a Committer that writes to store, keeps log up to date
+// with the store and checks changes against it. Records are timestamped with now.
 func NewCommitter(store platform.Store, log *Log, now func() time.Time) *Committer {
 	return &Committer{store: store, log: log, now: now}
 }
 
-// Commit tries to have a change accepted until ctx ends.
+// Commit writes a change to the log and retries until the outcome is certain,
+// ctx ends or maxCommitAttempts is reached. A Base of 0 stands for the log's
+// current revision.
 func (c *Committer) Commit(ctx context.Context, change Change) Result {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,31 +75,33 @@
 		change.Base = c.log.Revision()
 	}
 	a := attempt{Committer: c, change: change}
-	for range commitTries {
+	for range maxCommitAttempts {
 		if r, done := a.step(ctx); done {
 			return r
 		}
 	}
-	return a.giveUp(errors.New("configlog: too many racing changes"))
+	return a.giveUp(errors.New("configlog: commit attempts used up by concurrent changes and store errors"))
 }
 
-// attempt is one commit under way.
+// attempt is the state of one running commit.
 type attempt struct {
 	*Committer
 	change Change
-	// pending is the revision for which a swap was sent whose effect is unknown,
-	// or 0. Its slot must be seen taken before the change may go elsewhere.
+	// pending is the revision of a swap that was sent and whose effect is
+	// unknown, or 0. The change may be written to another slot only after a read
+	// has shown that this slot is taken; otherwise it could be applied twice.
 	pending uint64
 }
 
-// step reads to the end of the log and tries one swap.
+// step reads to the end of the log and tries one swap. It returns true with the
+// result when the commit is finished.
 func (a *attempt) step(ctx context.Context) (Result, bool) {
 	free, err := a.readToEnd(ctx)
 	if err != nil {
 		return a.retry(ctx, err)
 	}
 	if rev := a.log.FindChange(a.change.ID); rev != 0 {
-		raiseHead(ctx, a.store, a.log)
+		updateHead(ctx, a.store, a.log)
 		return Result{Outcome: Accepted, Revision: rev}, true
 	}
 	if a.pending != 0 && a.log.Revision() >= a.pending {
@@ -104,15 +112,16 @@
 		return a.giveUp(err), true
 	}
 	if err != nil {
-		return refused(err), true
+		return refusedResult(err), true
 	}
-	if err := a.makeRoom(ctx, rec.Revision); err != nil {
+	if err := a.ensureSnapshot(ctx, rec.Revision); err != nil {
 		return a.retry(ctx, err)
 	}
 	return a.swap(ctx, rec, free)
 }
 
-// readToEnd applies what is in the log and returns the free slot after it.
+// readToEnd applies all records of the stored log and returns the free slot
+// after the last one.
 func (a *attempt) readToEnd(ctx context.Context) (slot, error) {
 	for {
 		s, more, err := readNext(ctx, a.store, a.log)
@@ -122,9 +131,9 @@
 	}
 }
 
-// makeRoom sees to it that a snapshot holds the record that revision will
-// overwrite.
-func (a *attempt) makeRoom(ctx context.Context, revision uint64) error {
+// ensureSnapshot stores a snapshot if no stored snapshot includes the record
+// that revision will overwrite.
+func (a *attempt) ensureSnapshot(ctx context.Context, revision uint64) error {
 	if revision <= RingSize || a.snapshot >= revision-RingSize {
 		return nil
 	}
@@ -136,15 +145,17 @@
 	return err
 }
 
+// swap writes rec to the free slot, provided that the slot is unchanged since it
+// was read.
 func (a *attempt) swap(ctx context.Context, rec Record, free slot) (Result, bool) {
 	body, err := rec.Encode()
 	if err != nil {
-		return refused(invalid([]error{err})), true
+		return refusedResult(invalidRefusal([]error{err})), true
 	}
 	_, err = a.store.Swap(ctx, slotKey(rec.Revision), free.version, body, 0)
 	switch {
 	case err == nil:
-		return a.accepted(ctx, rec), true
+		return a.acceptedResult(ctx, rec), true
 	case errors.Is(err, platform.ErrConflict):
 		return Result{}, false
 	case errors.Is(err, platform.ErrRefused):
@@ -154,9 +165,12 @@
 	return a.retry(ctx, err)
 }
 
-func (a *attempt) accepted(ctx context.Context, rec Record) Result {
+// acceptedResult applies an accepted record to the log, updates the head and, at
+// every SnapshotInterval, the snapshot. Errors of the last two are ignored:
+// readers find the record without them.
+func (a *attempt) acceptedResult(ctx context.Context, rec Record) Result {
 	_, _ = a.log.Append(rec)
-	raiseHead(ctx, a.store, a.log)
+	updateHead(ctx, a.store, a.log)
 	if rec.Revision%SnapshotInterval == 0 {
 		at, _ := SaveSnapshot(ctx, a.store, a.log.Snapshot())
 		a.snapshot = max(a.snapshot, at)
@@ -164,7 +178,8 @@
 	return Result{Outcome: Accepted, Revision: rec.Revision}
 }
 
-// retry waits a little, or ends the attempt if the time is up.
+// retry waits for commitRetryDelay. It ends the commit if ctx is done or if the
+// store is behind the log, which a retry does not fix.
 func (a *attempt) retry(ctx context.Context, cause error) (Result, bool) {
 	if errors.Is(cause, ErrStoreBehind) {
 		return a.giveUp(cause), true
@@ -172,20 +187,23 @@
 	select {
 	case <-ctx.Done():
 		return a.giveUp(cause), true
-	case <-time.After(commitPause):
+	case <-time.After(commitRetryDelay):
 		return Result{}, false
 	}
 }
 
-// giveUp ends an attempt: as refused if no swap can still take effect.
+// giveUp ends a commit. The outcome is Refused if no swap can still take effect,
+// Unknown otherwise.
 func (a *attempt) giveUp(cause error) Result {
 	if a.pending != 0 {
 		return Result{Outcome: Unknown, Err: cause}
 	}
-	return refused(&Refusal{Kind: RefusedUnavailable, Faults: []string{cause.Error()}, RetryAfter: unavailableRetry})
+	return refusedResult(&Refusal{Kind: RefusedUnavailable, Faults: []string{cause.Error()}, RetryAfter: unavailableRetryAfter})
 }
 
-func refused(err error) Result {
+// refusedResult returns the result for err, which is a Refusal or counts as
+// RefusedInvalid.
+func refusedResult(err error) Result {
 	var r *Refusal
 	if !errors.As(err, &r) {
 		r = &Refusal{Kind: RefusedInvalid, Faults: []string{err.Error()}}
--- a/internal/configlog/committer_test.go
+++ b/internal/configlog/committer_test.go
@@ -15,7 +15,7 @@
 	"github.com/loomkeel/loomkeel/internal/tree"
 )
 
-// writer is an operator's side with its own log.
+// writer is a Committer with its own log, as every agent has.
 type writer struct {
 	log *Log
 	c   *Committer
@@ -33,11 +33,12 @@
 	return w.c.Commit(ctx, c)
 }
 
-func deadline(id, service, value string) Change {
+func deadlineChange(id, service, value string) Change {
 	return Change{ID: id, Author: "op", Edits: []tree.Edit{{Path: "/services/" + service, Key: tree.KeyDeadline, Value: value}}}
 }
 
-// occurrences reads the whole log and counts each change id.
+// occurrences reads the whole log from the store. It returns how often each
+// change id was read and the resulting log.
 func occurrences(t testing.TB, s platform.Store) (map[string]int, *Log) {
 	t.Helper()
 	log := NewLog()
@@ -57,8 +58,9 @@
 	}
 }
 
-// faultOnce applies a fault to the first call of an op on keys with a prefix.
-func faultOnce(s *standin.Store, op standin.Op, prefix string, f standin.Fault) {
+// injectOneFault applies a fault to the first call of an operation on a key with
+// the prefix.
+func injectOneFault(s *standin.Store, op standin.Op, prefix string, f standin.Fault) {
 	done := false
 	s.SetFault(func(o standin.Op, key string) standin.Fault {
 		if done || o != op || !strings.HasPrefix(key, prefix) {
@@ -81,8 +83,8 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := standin.NewStore()
-				faultOnce(s, standin.OpSwap, "log/", f)
-				r := newWriter(s).commit(t, deadline("c1", "stock", "2s"))
+				injectOneFault(s, standin.OpSwap, "log/", f)
+				r := newWriter(s).commit(t, deadlineChange("c1", "stock", "2s"))
 				if r.Outcome != Accepted || r.Revision != 1 {
 					t.Fatalf("commit = %+v", r)
 				}
@@ -94,63 +96,64 @@
 	}
 }
 
-// TestDelayedSwapIsNotCalledRefused holds the swap back beyond the commit's
-// time: the change may still come into the log, so it must not be called
-// refused, and sending it again must not apply it twice.
-func TestDelayedSwapIsNotCalledRefused(t *testing.T) {
+// TestDelayedSwapIsNotReportedRefused loses the reply to the swap and fails all
+// reads after it until the commit times out. The change may be in the log, so
+// the outcome must be unknown rather than refused, and sending the change again
+// must not apply it twice.
+func TestDelayedSwapIsNotReportedRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewStore()
 		s.SetFault(func(op standin.Op, key string) standin.Fault {
 			return standin.Fault{LoseReply: op == standin.OpSwap, Down: op == standin.OpGet && s.Calls(standin.OpSwap) > 0}
 		})
 		w := newWriter(s)
-		if r := w.commit(t, deadline("c1", "stock", "2s")); r.Outcome != Unknown {
+		if r := w.commit(t, deadlineChange("c1", "stock", "2s")); r.Outcome != Unknown {
 			t.Fatalf("commit = %+v, want unknown", r)
 		}
 		s.SetFault(nil)
 		for _, again := range []*writer{w, newWriter(s)} {
-			if r := again.commit(t, deadline("c1", "stock", "2s")); r.Outcome != Accepted || r.Revision != 1 {
+			if r := again.commit(t, deadlineChange("c1", "stock", "2s")); r.Outcome != Accepted || r.Revision != 1 {
 				t.Fatalf("second commit = %+v", r)
 			}
 		}
 	})
 }
 
-func TestStoreAwayRefusesAtOnceWithAdvice(t *testing.T) {
+func TestUnavailableStoreRefusesWithRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewStore()
 		w := newWriter(s)
-		w.commit(t, deadline("c1", "stock", "2s"))
+		w.commit(t, deadlineChange("c1", "stock", "2s"))
 		s.SetFault(func(standin.Op, string) standin.Fault { return standin.Fault{Down: true} })
-		r := w.commit(t, deadline("c2", "stock", "3s"))
+		r := w.commit(t, deadlineChange("c2", "stock", "3s"))
 		if r.Outcome != Refused || r.Refusal.Kind != RefusedUnavailable || r.Refusal.RetryAfter <= 0 {
 			t.Fatalf("commit = %+v", r)
 		}
 		s.SetFault(nil)
 		if seen, _ := occurrences(t, s); seen["c2"] != 0 {
-			t.Fatal("refused change is in the log")
+			t.Fatal("the refused change is in the log")
 		}
 	})
 }
 
-// TestRacingOperators lets operators change the same path from the same
-// revision, and different paths.
+// TestRacingOperators has several operators change the same path from the same
+// base revision at the same time, then different paths.
 func TestRacingOperators(t *testing.T) {
 	for _, n := range []int{2, 10} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := standin.NewStore()
-				newWriter(s).commit(t, deadline("first", "stock", "1s"))
-				same := race(t, s, n, func(i int) Change {
-					c := deadline(fmt.Sprintf("same-%d", i), "stock", "2s")
+				newWriter(s).commit(t, deadlineChange("first", "stock", "1s"))
+				same := commitConcurrently(t, s, n, func(i int) Change {
+					c := deadlineChange(fmt.Sprintf("same-%d", i), "stock", "2s")
 					c.Base = 1
 					return c
 				})
 				if same[Accepted] != 1 || same[Refused] != n-1 {
-					t.Errorf("one path: %v, want 1 accepted and the rest refused", same)
+					t.Errorf("same path: %v, want 1 accepted and the rest refused", same)
 				}
-				other := race(t, s, n, func(i int) Change {
-					return deadline(fmt.Sprintf("other-%d", i), fmt.Sprintf("s%d", i), "2s")
+				other := commitConcurrently(t, s, n, func(i int) Change {
+					return deadlineChange(fmt.Sprintf("other-%d", i), fmt.Sprintf("s%d", i), "2s")
 				})
 				if other[Accepted] != n {
 					t.Errorf("different paths: %v, want all accepted", other)
@@ -160,7 +163,9 @@
 	}
 }
 
-func race(t *testing.T, s platform.Store, n int, change func(i int) Change) map[Outcome]int {
+// commitConcurrently commits n changes, each by its own writer, and counts the
+// outcomes.
+func commitConcurrently(t *testing.T, s platform.Store, n int, change func(i int) Change) map[Outcome]int {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	got := make(map[Outcome]int)
@@ -177,12 +182,12 @@
 	return got
 }
 
-// TestRestrictedPair lets two drains race which are each allowed, but not
-// together.
-func TestRestrictedPair(t *testing.T) {
+// TestRacingDrainsExceedLimit commits two drains at the same time, each allowed
+// alone, that together exceed the limit of drained failure domains.
+func TestRacingDrainsExceedLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewStore()
-		got := race(t, s, 2, func(i int) Change {
+		got := commitConcurrently(t, s, 2, func(i int) Change {
 			path := fmt.Sprintf("/drains/d%d", i)
 			return Change{ID: path, Author: "op", Edits: []tree.Edit{
 				{Path: path, Key: tree.KeyRegion, Value: "sohar"},
@@ -196,22 +201,22 @@
 	})
 }
 
-// TestWriterPausedAcrossTheRing holds one writer's swap while others go a whole
-// round of the ring and more. The late swap must not be accepted at a revision
-// that is long past, where nobody would apply it.
-func TestWriterPausedAcrossTheRing(t *testing.T) {
+// TestWriterPausedForFullRing delays one writer's swap while other writers
+// overwrite every slot of the ring. The late swap must not be accepted at its
+// old revision: readers are past it and would never apply the change.
+func TestWriterPausedForFullRing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewStore()
-		faultOnce(s, standin.OpSwap, "log/", standin.Fault{Delay: 24 * time.Hour})
+		injectOneFault(s, standin.OpSwap, "log/", standin.Fault{Delay: 24 * time.Hour})
 		late := newWriter(s)
 		var r Result
 		var wg sync.WaitGroup
-		wg.Go(func() { r = late.c.Commit(context.Background(), deadline("late", "stock", "9s")) })
+		wg.Go(func() { r = late.c.Commit(context.Background(), deadlineChange("late", "stock", "9s")) })
 		synctest.Wait()
 		others := newWriter(s)
 		const rounds = RingSize + 100
 		for i := range rounds {
-			if got := others.commit(t, deadline(fmt.Sprint("c", i), "orders", "2s")); got.Outcome != Accepted {
+			if got := others.commit(t, deadlineChange(fmt.Sprint("c", i), "orders", "2s")); got.Outcome != Accepted {
 				t.Fatalf("commit %d = %+v", i, got)
 			}
 		}
@@ -224,42 +229,43 @@
 		}
 		_, tr, _ := others.log.Current()
 		if got := tr.String("/services/stock", tree.KeyDeadline); got != "9s" {
-			t.Errorf("late change is not in force: deadline %s", got)
+			t.Errorf("late change is not applied: deadline %s", got)
 		}
 	})
 }
 
-// TestNewcomerStartsFromSnapshot starts a reader after the ring has wrapped.
-func TestNewcomerStartsFromSnapshot(t *testing.T) {
+// TestNewReaderStartsFromSnapshot starts a reader after the oldest records of
+// the ring were overwritten.
+func TestNewReaderStartsFromSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewStore()
 		w := newWriter(s)
 		for i := range RingSize + 300 {
-			w.commit(t, deadline(fmt.Sprint("c", i), fmt.Sprint("s", i%50), fmt.Sprintf("%dms", 1000+i)))
+			w.commit(t, deadlineChange(fmt.Sprint("c", i), fmt.Sprint("s", i%50), fmt.Sprintf("%dms", 1000+i)))
 		}
 		fresh := NewLog()
 		if err := NewReader(s, fresh).Bootstrap(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		if fresh.Revision() != w.log.Revision() {
-			t.Fatalf("newcomer at %d, log at %d", fresh.Revision(), w.log.Revision())
+			t.Fatalf("new reader at revision %d, log at %d", fresh.Revision(), w.log.Revision())
 		}
 		if !sameState(fresh, w.log) {
-			t.Error("newcomer's state differs")
+			t.Error("the new reader's state differs from the log")
 		}
-		// A change id from before the snapshot is still known.
+		// The snapshot includes the ids of older changes.
 		again := &writer{fresh, NewCommitter(s, fresh, time.Now)}
-		if r := again.commit(t, deadline(fmt.Sprint("c", RingSize), "s1", "1s")); r.Outcome != Accepted || r.Revision != RingSize+1 {
+		if r := again.commit(t, deadlineChange(fmt.Sprint("c", RingSize), "s1", "1s")); r.Outcome != Accepted || r.Revision != RingSize+1 {
 			t.Errorf("repeated change = %+v", r)
 		}
 	})
 }
 
 func sameState(a, b *Log) bool {
-	return slices.Equal(texts(a), texts(b))
+	return slices.Equal(partTexts(a), partTexts(b))
 }
 
-func texts(l *Log) []string {
+func partTexts(l *Log) []string {
 	var out []string
 	for p := range l.Snapshot().Parts(nil) {
 		out = append(out, p.String())
@@ -267,12 +273,12 @@
 	return out
 }
 
-// TestHeadMissing finds a record whose writer died before it raised the head.
+// TestHeadMissing reads a record whose writer crashed before it updated the head.
 func TestHeadMissing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewStore()
 		s.SetFault(func(_ standin.Op, key string) standin.Fault { return standin.Fault{Down: key == headKey} })
-		newWriter(s).commit(t, deadline("c1", "stock", "2s"))
+		newWriter(s).commit(t, deadlineChange("c1", "stock", "2s"))
 		s.SetFault(nil)
 		log := NewLog()
 		r := NewReader(s, log)
@@ -285,29 +291,31 @@
 	})
 }
 
-// TestStoreBehindIsRefused gives a writer a store that has lost what was
-// accepted: it must neither go back nor write into the gap.
-func TestStoreBehindIsRefused(t *testing.T) {
+// TestCommitRefusedWhenStoreIsBehind commits to a store that has lost accepted
+// records, as after a restore from an old backup. The writer's log must not fall
+// back to an older revision, and nothing may be written after the gap.
+func TestCommitRefusedWhenStoreIsBehind(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewStore()
 		w := newWriter(s)
 		for i := range RingSize + 10 {
-			w.commit(t, deadline(fmt.Sprint("c", i), "stock", "2s"))
+			w.commit(t, deadlineChange(fmt.Sprint("c", i), "stock", "2s"))
 		}
 		restored := standin.NewStore()
 		behind := &writer{w.log, NewCommitter(restored, w.log, time.Now)}
 		before := w.log.Revision()
-		r := behind.commit(t, deadline("x", "stock", "3s"))
+		r := behind.commit(t, deadlineChange("x", "stock", "3s"))
 		if r.Outcome != Refused || w.log.Revision() != before {
 			t.Fatalf("commit = %+v, revision %d", r, w.log.Revision())
 		}
 	})
 }
 
-// TestPartsOfNothing keeps the revision when everything is left out.
-func TestPartsOfNothing(t *testing.T) {
+// TestPartsWithAllPathsSkipped checks that a snapshot without settings and
+// changes still carries its revision.
+func TestPartsWithAllPathsSkipped(t *testing.T) {
 	log := NewLog()
-	rec := Record{Change: deadline("c1", "stock", "2s"), Revision: 1}
+	rec := Record{Change: deadlineChange("c1", "stock", "2s"), Revision: 1}
 	if _, err := log.Append(rec); err != nil {
 		t.Fatal(err)
 	}
@@ -325,12 +333,13 @@
 	}
 }
 
-// TestRevisionNeverFalls offers a log older records and snapshots.
+// TestRevisionNeverFalls applies older records, an older snapshot and a record
+// after a gap to a log. None of them may change its state.
 func TestRevisionNeverFalls(t *testing.T) {
 	log := NewLog()
 	var records []Record
 	for i := range 5 {
-		r := Record{Change: deadline(fmt.Sprint("c", i), "stock", fmt.Sprintf("%ds", i+1)), Revision: uint64(i + 1)}
+		r := Record{Change: deadlineChange(fmt.Sprint("c", i), "stock", fmt.Sprintf("%ds", i+1)), Revision: uint64(i + 1)}
 		records = append(records, r)
 	}
 	if _, err := log.Append(records[:3]...); err != nil {
@@ -341,12 +350,12 @@
 		t.Fatal(err)
 	}
 	if log.Restore(old) {
-		t.Error("an older snapshot was taken")
+		t.Error("an older snapshot was restored")
 	}
 	if n, err := log.Append(records[:2]...); n != 0 || err != nil {
-		t.Errorf("%d older records applied, %v", n, err)
+		t.Errorf("%d older records were applied, %v", n, err)
 	}
-	if _, err := log.Append(Record{Change: deadline("far", "stock", "9s"), Revision: 9}); err == nil {
+	if _, err := log.Append(Record{Change: deadlineChange("far", "stock", "9s"), Revision: 9}); err == nil {
 		t.Error("a record after a gap was applied")
 	}
 	revision, tr, _ := log.Current()
--- a/internal/configlog/history_test.go
+++ b/internal/configlog/history_test.go
@@ -16,24 +16,26 @@
 	"github.com/loomkeel/loomkeel/internal/standin"
 )
 
-// TestGeneratedHistories runs writers against a store that fails at random:
-// calls before and after their effect, and slow ones. Whatever happens, an
-// accepted change is in the log once, a refused one never, an unknown one at
-// most once, revisions never fall, and all agree after quiet.
+// TestGeneratedHistories runs concurrent writers against a store whose calls
+// fail at random, before or after their effect, or are delayed. An accepted
+// change must be in the log once, a refused change never, a change with unknown
+// outcome at most once. Revisions must never fall, and all logs must be equal
+// once the faults have ended.
 func TestGeneratedHistories(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(3)
 	params.MinSuccessfulTests = 60
 	props := gopter.NewProperties(params)
 	props.Property("accepted once, refused never", prop.ForAll(func(seed uint64, failing int) string {
 		fault := ""
-		synctest.Test(t, func(t *testing.T) { fault = history(t, seed, failing) })
+		synctest.Test(t, func(t *testing.T) { fault = runHistory(t, seed, failing) })
 		return fault
 	}, gen.UInt64(), gen.IntRange(0, 60)))
 	props.TestingRun(t)
 }
 
-// history returns what is wrong, or "".
-func history(t *testing.T, seed uint64, failing int) string {
+// runHistory commits changes by several writers while the given percentage of
+// store calls fails. It returns the violated condition, or "".
+func runHistory(t *testing.T, seed uint64, failing int) string {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	s := standin.NewStore()
 	s.SetFault(func(standin.Op, string) standin.Fault {
@@ -53,7 +55,7 @@
 			for i := range changes {
 				before := op.log.Revision()
 				ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-				results[w*changes+i] = op.c.Commit(ctx, deadline(fmt.Sprint(w*changes+i), fmt.Sprint("s", i%2), "2s"))
+				results[w*changes+i] = op.c.Commit(ctx, deadlineChange(fmt.Sprint(w*changes+i), fmt.Sprint("s", i%2), "2s"))
 				cancel()
 				if op.log.Revision() < before {
 					t.Errorf("revision fell from %d to %d", before, op.log.Revision())
@@ -62,10 +64,10 @@
 		})
 	}
 	wg.Wait()
-	// Calls still under way may take effect yet.
+	// Delayed store calls may still take effect; wait for them.
 	time.Sleep(time.Minute)
 	s.SetFault(nil)
-	seen, whole := occurrences(t, s)
+	seen, full := occurrences(t, s)
 	for i, r := range results {
 		n := seen[fmt.Sprint(i)]
 		if n > 1 || r.Outcome == Accepted && n != 1 || r.Outcome == Refused && n != 0 {
@@ -76,15 +78,15 @@
 		if err := NewReader(s, log).CatchUp(t.Context()); err != nil {
 			return err.Error()
 		}
-		if !sameState(log, whole) {
-			return "logs differ after quiet"
+		if !sameState(log, full) {
+			return "logs differ after the faults ended"
 		}
 	}
 	return ""
 }
 
 func FuzzDecode(f *testing.F) {
-	rec := Record{Change: deadline("c1", "stock", "2s"), Revision: 7, Time: time.UnixMilli(1)}
+	rec := Record{Change: deadlineChange("c1", "stock", "2s"), Revision: 7, Time: time.UnixMilli(1)}
 	b, _ := rec.Encode()
 	f.Add(b)
 	f.Add([]byte{})
--- a/internal/configlog/reader.go
+++ b/internal/configlog/reader.go
@@ -12,33 +12,32 @@
 	"github.com/loomkeel/loomkeel/internal/rpc/pb"
 )
 
-// headRecords is how many of the newest records the head carries, so that one
-// read brings a reader up to date after a usual change.
+// headRecords is the largest number of recent records in the head. With them,
+// one read of the head usually brings a reader up to date.
 const headRecords = 8
 
-// headBytes bounds the encoded head.
-const headBytes = 48 << 10
+// maxHeadBytes bounds the encoded records in the head.
+const maxHeadBytes = 48 << 10
 
-// ErrStoreBehind reports a store whose log ends before a revision that was accepted,
-// as after its restoration from a copy.
-var ErrStoreBehind = errors.New("configlog: the store's log is behind")
+// ErrStoreBehind reports a store whose log ends before an accepted revision, as
+// after a restore from an old backup.
+var ErrStoreBehind = errors.New("configlog: the stored log ends before an accepted revision")
 
-// Reader follows the log in the store. Its methods must not be called at the
-// same time.
+// Reader follows the log in the store. It is not safe for concurrent use.
 type Reader struct {
 	store platform.Store
 	log   *Log
-	// headVersion is the store's version of the head that was read last.
+	// headVersion is the store version of the head at the last read.
 	headVersion uint64
 }
 
-// NewReader returns a Reader that applies to log what it finds in store.
+// NewReader returns a Reader that applies the records in store to log.
 func NewReader(store platform.Store, log *Log) *Reader {
 	return &Reader{store: store, log: log}
 }
 
-// WatchHead waits until the head has changed since the last call, or until wait has
-// passed, and applies the records that the head carries.
+// WatchHead waits until the head has changed since the last call, at most for
+// wait, and applies the records in the head.
 func (r *Reader) WatchHead(ctx context.Context, wait time.Duration) error {
 	e, err := r.store.Watch(ctx, headKey, r.headVersion, wait)
 	if err != nil {
@@ -48,10 +47,11 @@
 	return applyHead(r.log, e.Value)
 }
 
-// CatchUp reads the log to its end. The head is no more than a hint: a record
-// counts as soon as it stands in its slot.
+// CatchUp reads the stored log to its end. It does not rely on the head, which is
+// only a hint: a record is accepted as soon as it is in its slot.
 func (r *Reader) CatchUp(ctx context.Context) error { return catchUp(ctx, r.store, r.log) }
 
+// catchUp applies all records of the stored log that follow log's revision.
 func catchUp(ctx context.Context, store platform.Store, log *Log) error {
 	for {
 		_, more, err := readNext(ctx, store, log)
@@ -61,14 +61,17 @@
 	}
 }
 
-// slot is what stands where the next revision goes.
+// slot is the present content of the slot for the next revision.
 type slot struct {
+	// version is the store version of the slot's key.
 	version uint64
-	holds   uint64
+	// revision is that of the record in the slot, 0 if the slot is empty.
+	revision uint64
 }
 
-// readNext reads the slot of the next revision. It reports more if the log has
-// advanced, and otherwise returns the slot, which is free for the next revision.
+// readNext reads the slot of the next revision and applies its record, or a
+// snapshot if the slot holds a later record. It returns true if there may be more
+// to read. Otherwise the returned slot is free for the next revision.
 func readNext(ctx context.Context, store platform.Store, log *Log) (slot, bool, error) {
 	next := log.Revision() + 1
 	e, err := store.Get(ctx, slotKey(next))
@@ -76,7 +79,7 @@
 		return slot{}, false, err
 	}
 	if e.Version == platform.Absent {
-		return slot{}, false, checkFree(0, next)
+		return slot{}, false, checkSlotFree(0, next)
 	}
 	rec, err := Decode(e.Value)
 	if err != nil {
@@ -87,27 +90,29 @@
 		_, err := log.Append(rec)
 		return slot{}, true, ignoreGap(err)
 	case rec.Revision > next:
-		return slot{}, true, restore(ctx, store, log, rec.Revision)
+		return slot{}, true, restoreSnapshot(ctx, store, log, rec.Revision)
 	}
-	return slot{e.Version, rec.Revision}, false, checkFree(rec.Revision, next)
+	return slot{e.Version, rec.Revision}, false, checkSlotFree(rec.Revision, next)
 }
 
-// checkFree checks that a slot holds the record of one round before.
-func checkFree(holds, next uint64) error {
-	if holds == 0 && next <= RingSize || holds+RingSize == next {
+// checkSlotFree checks that the slot for revision next is empty in the first
+// round and otherwise holds the record of the round before.
+func checkSlotFree(stored, next uint64) error {
+	if stored == 0 && next <= RingSize || stored+RingSize == next {
 		return nil
 	}
-	return fmt.Errorf("%w: slot of revision %d holds %d", ErrStoreBehind, next, holds)
+	return fmt.Errorf("%w: slot of revision %d holds revision %d", ErrStoreBehind, next, stored)
 }
 
-// restore loads the snapshot when the ring has gone a whole round past the log.
-func restore(ctx context.Context, store platform.Store, log *Log, seen uint64) error {
+// restoreSnapshot loads the newest snapshot into log. It is called when the next
+// record of log was overwritten by the record of revision seen.
+func restoreSnapshot(ctx context.Context, store platform.Store, log *Log, seen uint64) error {
 	s, err := LoadSnapshot(ctx, store)
 	if err != nil {
 		return err
 	}
 	if s == nil || !log.Restore(s) {
-		return fmt.Errorf("configlog: slot holds revision %d, no newer snapshot than %d", seen, log.Revision())
+		return fmt.Errorf("configlog: slot was overwritten by revision %d, and no snapshot is newer than revision %d", seen, log.Revision())
 	}
 	return nil
 }
@@ -125,6 +130,7 @@
 	return r.CatchUp(ctx)
 }
 
+// applyHead applies the records in an encoded head to log.
 func applyHead(log *Log, value []byte) error {
 	var h pb.Head
 	if err := proto.Unmarshal(value, &h); err != nil {
@@ -142,8 +148,8 @@
 	return nil
 }
 
-// ignoreGap drops a GapError: a record that came from elsewhere meanwhile, or
-// one that a later read will bring.
+// ignoreGap returns nil for a GapError and err otherwise. A gap needs no handling:
+// a later read of the slots applies the missing records.
 func ignoreGap(err error) error {
 	var gap *GapError
 	if errors.As(err, &gap) {
@@ -152,9 +158,10 @@
 	return err
 }
 
-// raiseHead writes the newest records to the head unless it is already there.
-// Failure is harmless: readers also look at the slots themselves.
-func raiseHead(ctx context.Context, store platform.Store, log *Log) {
+// updateHead writes log's revision and newest records to the head, unless the
+// head is already at that revision. Errors are ignored because readers also read
+// the slots.
+func updateHead(ctx context.Context, store platform.Store, log *Log) {
 	e, err := store.Get(ctx, headKey)
 	if err != nil {
 		return
@@ -170,6 +177,8 @@
 	_, _ = store.Swap(ctx, headKey, e.Version, body, 0)
 }
 
+// newHead returns the head for log, with the newest records that are within
+// headRecords and maxHeadBytes, oldest first.
 func newHead(log *Log) *pb.Head {
 	recent := log.History(headRecords)
 	h := &pb.Head{}
@@ -177,7 +186,7 @@
 	for i := len(recent) - 1; i >= 0; i-- {
 		m := recent[i].Proto()
 		size += proto.Size(m)
-		if size > headBytes {
+		if size > maxHeadBytes {
 			break
 		}
 		h.Revision = max(h.Revision, recent[i].Revision)
@@ -188,4 +197,4 @@
 }
 
 // UpdateHead repairs the head when its last writer died before raising it.
-func (r *Reader) UpdateHead(ctx context.Context) { raiseHead(ctx, r.store, r.log) }
+func (r *Reader) UpdateHead(ctx context.Context) { updateHead(ctx, r.store, r.log) }
--- a/internal/configlog/record.go
+++ b/internal/configlog/record.go
@@ -1,15 +1,17 @@
-// Package configlog keeps the configuration as a log of accepted changes.
+// Package configlog keeps the configuration as a log of accepted changes in the
+// platform's key-value service.
 //
-// A change is one record, and accepting it is one compare-and-swap in the
-// platform's key-value service, so it is accepted wholly or not at all.
-// Revision r stands in slot r mod RingSize of a ring of keys. Its writer has
-// seen r-1 and swaps against the very version of the slot that holds
-// r-RingSize, or against no value in the first round; the first writer wins.
-// Old slots are overwritten and never deleted: an absent key would let a writer
-// that slept across the deletion write a revision that is long past.
+// A change is one record, written with one compare-and-swap, so it is accepted
+// wholly or not at all. The log is a ring of keys: revision r is stored in slot
+// r mod RingSize. The writer of r has read r-1 and swaps against the version of
+// the slot that holds r-RingSize, or against an absent key in the first round;
+// of several writers the first wins. Old slots are overwritten and never
+// deleted: an absent key would let a writer that was paused across the deletion
+// write a revision long past.
 //
-// Log is the state that the records lead to, without I/O. Committer writes,
-// Reader follows, and snapshots let a newcomer start.
+// Log is the state after the records, without I/O. Committer writes records,
+// Reader applies records from the store, and a Snapshot brings a Log up to date
+// when older records are overwritten.
 package configlog
 
 import (
@@ -25,7 +27,7 @@
 const (
 	// RingSize is the number of slots of the log.
 	RingSize = 4096
-	// RecordFormat is the newest record format that this program reads.
+	// RecordFormat is the version of the record encoding that is written and read.
 	RecordFormat = 1
 	// MaxRecordBytes is the largest encoded record in bytes.
 	MaxRecordBytes = 64 << 10
@@ -37,36 +39,39 @@
 	MaxTextBytes = 4096
 )
 
-// Change is what an operator asks for.
+// Change is a set of edits that an operator submits. The edits are accepted or
+// refused together.
 type Change struct {
-	// ID is made by the author and stays the same however often the change is
-	// sent, so that it cannot be accepted twice.
+	// ID is chosen by the author and stays the same when the change is sent again,
+	// so that the change is not applied twice.
 	ID     string
 	Author string
 	Note   string
-	// Base is the revision that the author has seen. The change is refused if a
-	// path that it edits was written after Base.
+	// Base is the revision on which the author based the edits. The change is
+	// refused if an edited path was written after Base.
 	Base  uint64
 	Edits []tree.Edit
 }
 
-// Record is an accepted change.
+// Record is a change with the revision and time at which it was accepted.
 type Record struct {
 	Change
 	Revision uint64
 	Time     time.Time
 }
 
-// DecodeError reports a record, snapshot or hint that cannot be used.
+// DecodeError reports a stored or received record, snapshot or head that is
+// malformed or, for a record, too large.
 type DecodeError struct {
-	Object   string
+	// Object names the kind of value, such as "record".
+	Object string
 	Reason string
 }
 
 // Error implements error.
 func (e *DecodeError) Error() string { return "configlog: " + e.Object + ": " + e.Reason }
 
-// Encode returns the stored form of a record.
+// Encode returns the stored form of a record, at most MaxRecordBytes.
 func (r Record) Encode() ([]byte, error) {
 	b, err := proto.Marshal(r.Proto())
 	if err == nil && len(b) > MaxRecordBytes {
@@ -75,7 +80,7 @@
 	return b, err
 }
 
-// Decode reads the stored form of a record.
+// Decode returns the record of a stored form. The error is a DecodeError.
 func Decode(b []byte) (Record, error) {
 	if len(b) > MaxRecordBytes {
 		return Record{}, &DecodeError{"record", fmt.Sprintf("%d bytes, at most %d", len(b), MaxRecordBytes)}
@@ -87,7 +92,7 @@
 	return FromProto(&m)
 }
 
-// Proto returns the message form of a record.
+// Proto returns the protobuf message of a record.
 func (r Record) Proto() *pb.Record {
 	m := &pb.Record{
 		Format:    RecordFormat,
@@ -105,10 +110,10 @@
 	return m
 }
 
-// FromProto checks a message and returns its record.
+// FromProto checks a message and returns its record. The error is a DecodeError.
 func FromProto(m *pb.Record) (Record, error) {
 	if m.GetFormat() != RecordFormat {
-		return Record{}, &DecodeError{"record", fmt.Sprintf("format %d, this program reads %d", m.GetFormat(), RecordFormat)}
+		return Record{}, &DecodeError{"record", fmt.Sprintf("format %d is not supported, only %d", m.GetFormat(), RecordFormat)}
 	}
 	r := Record{Revision: m.GetRevision(), Time: time.UnixMilli(m.GetUnixMilli()).UTC()}
 	r.Change = Change{ID: m.GetChangeId(), Author: m.GetAuthor(), Note: m.GetNote(), Base: m.GetBase()}
@@ -116,38 +121,39 @@
 		r.Edits = append(r.Edits, tree.Edit{Path: e.GetPath(), Key: e.GetKey(), Value: e.GetValue(), Unset: e.GetUnset()})
 	}
 	if r.Revision == 0 {
-		return Record{}, &DecodeError{"record", "no revision"}
+		return Record{}, &DecodeError{"record", "revision is 0"}
 	}
-	if err := r.checkForm(); err != nil {
+	if err := r.checkSizes(); err != nil {
 		return Record{}, &DecodeError{"record", err.Error()}
 	}
 	return r, nil
 }
 
-// checkForm checks the sizes of a change, not the meaning of its edits.
-func (c *Change) checkForm() error {
+// checkSizes checks the sizes of a change, not its edits' paths, keys and values.
+func (c *Change) checkSizes() error {
 	if c.ID == "" || len(c.ID) > MaxChangeIDBytes {
-		return fmt.Errorf("change id of %d bytes, allowed are 1 to %d", len(c.ID), MaxChangeIDBytes)
+		return fmt.Errorf("change id has %d bytes; allowed: 1 to %d", len(c.ID), MaxChangeIDBytes)
 	}
 	if len(c.Edits) == 0 || len(c.Edits) > MaxEdits {
-		return fmt.Errorf("%d edits, allowed are 1 to %d", len(c.Edits), MaxEdits)
+		return fmt.Errorf("change has %d edits; allowed: 1 to %d", len(c.Edits), MaxEdits)
 	}
 	if len(c.Author) > MaxTextBytes || len(c.Note) > MaxTextBytes {
-		return fmt.Errorf("author or note longer than %d bytes", MaxTextBytes)
+		return fmt.Errorf("author or note is longer than %d bytes", MaxTextBytes)
 	}
 	for _, e := range c.Edits {
 		if len(e.Path) > MaxTextBytes || len(e.Key) > MaxTextBytes || len(e.Value) > MaxTextBytes {
-			return fmt.Errorf("edit with a part longer than %d bytes", MaxTextBytes)
+			return fmt.Errorf("path, key or value of an edit is longer than %d bytes", MaxTextBytes)
 		}
 	}
 	return nil
 }
 
-// slotKey returns the key of a revision's slot.
+// slotKey returns the store key of a revision's slot.
 func slotKey(revision uint64) string {
 	return fmt.Sprintf("log/%d", revision%RingSize)
 }
 
+// Store keys of the head and of the snapshot pointer.
 const (
 	headKey     = "head"
 	snapshotKey = "snapshot"
--- a/internal/configlog/snapshot.go
+++ b/internal/configlog/snapshot.go
@@ -15,54 +15,56 @@
 	"github.com/loomkeel/loomkeel/internal/tree"
 )
 
-// partBytes is about how large a snapshot part gets.
-const partBytes = 200 << 10
+// targetPartBytes is the size in bytes at which a new snapshot part begins. Only
+// a part with a single larger entry exceeds it.
+const targetPartBytes = 200 << 10
 
-// Snapshot is the whole state at one revision.
+// Snapshot is the tree and the newest change ids at one revision.
 type Snapshot struct {
 	Revision uint64
 	Tree     *tree.Tree
 	Changes  []AppliedChange
 }
 
-// Parts returns the messages of a snapshot one by one, at least one. The same
-// state always gives the same parts, so that two writers of one revision do not
-// disturb each other. Paths for which skip is true are left out; skip may be
-// nil.
+// Parts returns the snapshot as a sequence of at least one message. Equal
+// snapshots give equal parts, so that two writers of one revision store the same
+// values. Paths for which skip returns true are left out; skip may be nil.
 func (s *Snapshot) Parts(skip func(path string) bool) iter.Seq[*pb.SnapshotPart] {
 	return func(yield func(*pb.SnapshotPart) bool) {
-		p := packer{revision: s.Revision, yield: yield}
+		p := partPacker{revision: s.Revision, yield: yield}
 		for _, path := range s.Tree.AllPaths() {
 			if skip != nil && skip(path) {
 				continue
 			}
 			for _, m := range settingsAt(s.Tree, path) {
-				p.room(proto.Size(m)).Settings = append(p.part.Settings, m)
+				p.partFor(proto.Size(m)).Settings = append(p.part.Settings, m)
 			}
 		}
 		for _, a := range s.Changes {
 			m := &pb.AppliedChange{ChangeId: a.ID, Revision: a.Revision}
-			p.room(proto.Size(m)).Changes = append(p.part.Changes, m)
+			p.partFor(proto.Size(m)).Changes = append(p.part.Changes, m)
 		}
 		p.finish()
 	}
 }
 
-// packer fills parts and hands each on when it is full.
-type packer struct {
+// partPacker collects settings and changes into parts and yields each full part.
+type partPacker struct {
 	revision uint64
 	yield    func(*pb.SnapshotPart) bool
 	part     *pb.SnapshotPart
 	size     int
-	stopped  bool
+	// stopped is set when yield has returned false.
+	stopped bool
 }
 
-// room returns a part with room for n bytes more.
-func (p *packer) room(n int) *pb.SnapshotPart {
+// partFor returns the part to which the next n bytes are to be added. If the
+// current part is full, it is yielded first.
+func (p *partPacker) partFor(n int) *pb.SnapshotPart {
 	if p.part == nil {
 		p.part = &pb.SnapshotPart{Revision: p.revision}
 	}
-	if p.size > 0 && p.size+n > partBytes {
+	if p.size > 0 && p.size+n > targetPartBytes {
 		p.stopped = p.stopped || !p.yield(p.part)
 		p.part, p.size = &pb.SnapshotPart{Revision: p.revision}, 0
 	}
@@ -70,14 +72,15 @@
 	return p.part
 }
 
-// finish hands on the last part, which may be empty.
-func (p *packer) finish() {
-	p.room(0)
+// finish yields the last part, which may be empty.
+func (p *partPacker) finish() {
+	p.partFor(0)
 	if !p.stopped {
 		p.yield(p.part)
 	}
 }
 
+// settingsAt returns the messages of all keys written at path, in order of keys.
 func settingsAt(t *tree.Tree, path string) []*pb.Setting {
 	var all []*pb.Setting
 	t.VisitPath(path, func(key string, v tree.Setting) {
@@ -87,22 +90,23 @@
 	return all
 }
 
-// Assembler puts a snapshot together from its parts in order. Its zero value is
-// ready.
+// Assembler builds a snapshot from its parts in order. The zero value is ready to
+// use.
 type Assembler struct {
 	parts    int
 	snapshot Snapshot
 	builder  tree.Builder
 }
 
-// Add takes in the next part.
+// Add adds the next part. It returns an error if the part is of another revision
+// than the first.
 func (a *Assembler) Add(p *pb.SnapshotPart) error {
 	if a.parts == 0 {
 		a.snapshot.Revision = p.GetRevision()
 	}
 	a.parts++
 	if p.GetRevision() != a.snapshot.Revision {
-		return &DecodeError{"snapshot", "parts of several revisions"}
+		return &DecodeError{"snapshot", "parts are of different revisions"}
 	}
 	for _, m := range p.GetSettings() {
 		a.builder.Put(m.GetPath(), m.GetKey(), tree.Setting{Value: m.GetValue(), Revision: m.GetRevision(), Unset: m.GetUnset()})
@@ -113,8 +117,8 @@
 	return nil
 }
 
-// Snapshot returns the whole, or an error if there was no part. The Assembler
-// must not be used afterwards.
+// Snapshot returns the snapshot of all added parts, or an error if none was
+// added. The Assembler must not be used afterwards.
 func (a *Assembler) Snapshot() (*Snapshot, error) {
 	if a.parts == 0 {
 		return nil, &DecodeError{"snapshot", "no parts"}
@@ -123,13 +127,15 @@
 	return &a.snapshot, nil
 }
 
+// partKey returns the store key of a snapshot part.
 func partKey(revision uint64, part int) string {
 	return fmt.Sprintf("snapshot/%d/%d", revision, part)
 }
 
-// SaveSnapshot writes a snapshot to the store, swaps the pointer forward and
-// removes the parts of the snapshot before. It returns the revision that the
-// pointer names in the end, which may be newer than s.
+// SaveSnapshot writes a snapshot to the store, sets the snapshot pointer to it
+// and deletes the parts of the previous snapshot. If the stored snapshot is as new
+// as s or newer, it is kept. SaveSnapshot returns the revision of the stored
+// snapshot.
 func SaveSnapshot(ctx context.Context, store platform.Store, s *Snapshot) (uint64, error) {
 	at, old, err := readPointer(ctx, store)
 	if err != nil || old.GetRevision() >= s.Revision {
@@ -141,7 +147,7 @@
 		if err != nil {
 			return 0, err
 		}
-		if err := putPart(ctx, store, partKey(s.Revision, len(next.Checksums)), body); err != nil {
+		if err := storePart(ctx, store, partKey(s.Revision, len(next.Checksums)), body); err != nil {
 			return 0, err
 		}
 		next.Checksums = append(next.Checksums, xxhash.Sum64(body))
@@ -153,12 +159,13 @@
 	if _, err := store.Swap(ctx, snapshotKey, at, body, 0); err != nil {
 		return 0, err
 	}
-	dropParts(ctx, store, old)
+	deleteParts(ctx, store, old)
 	return s.Revision, nil
 }
 
-// putPart writes a part unless another writer of the same revision has.
-func putPart(ctx context.Context, store platform.Store, key string, body []byte) error {
+// storePart writes a part, unless another writer of the same revision has already
+// stored it.
+func storePart(ctx context.Context, store platform.Store, key string, body []byte) error {
 	_, err := store.Swap(ctx, key, platform.Absent, body, 0)
 	if errors.Is(err, platform.ErrConflict) {
 		return nil
@@ -166,8 +173,9 @@
 	return err
 }
 
-// dropParts removes an old snapshot's parts as far as the store lets it.
-func dropParts(ctx context.Context, store platform.Store, old *pb.SnapshotPointer) {
+// deleteParts deletes the parts of an old snapshot. It stops at the first failed
+// read and ignores failed deletions.
+func deleteParts(ctx context.Context, store platform.Store, old *pb.SnapshotPointer) {
 	for i := range old.GetChecksums() {
 		key := partKey(old.GetRevision(), i)
 		e, err := store.Get(ctx, key)
@@ -180,6 +188,8 @@
 	}
 }
 
+// readPointer returns the snapshot pointer and the store version of its key. The
+// pointer is empty if there is no snapshot.
 func readPointer(ctx context.Context, store platform.Store) (uint64, *pb.SnapshotPointer, error) {
 	var p pb.SnapshotPointer
 	e, err := store.Get(ctx, snapshotKey)
@@ -192,15 +202,14 @@
 	return e.Version, &p, nil
 }
 
-// snapshotTries bounds how often LoadSnapshot starts again when a newer
-// snapshot replaces the one that it reads.
-const snapshotTries = 3
+// maxLoadAttempts bounds the attempts of LoadSnapshot to read all parts. An
+// attempt fails if a newer snapshot replaces the one being read.
+const maxLoadAttempts = 3
 
-// LoadSnapshot reads the newest snapshot from the store; nil means that there
-// is none.
+// LoadSnapshot returns the newest snapshot in the store, or nil if there is none.
 func LoadSnapshot(ctx context.Context, store platform.Store) (*Snapshot, error) {
 	var err error
-	for range snapshotTries {
+	for range maxLoadAttempts {
 		var p *pb.SnapshotPointer
 		if _, p, err = readPointer(ctx, store); err != nil {
 			return nil, err
@@ -216,6 +225,8 @@
 	return nil, err
 }
 
+// loadParts reads the parts of the snapshot that p points to and checks them
+// against their checksums.
 func loadParts(ctx context.Context, store platform.Store, p *pb.SnapshotPointer) (*Snapshot, error) {
 	var a Assembler
 	for i, sum := range p.GetChecksums() {
