--- a/internal/tree/blocks.go
+++ b/internal/tree/blocks.go
@@ -10,51 +10,57 @@
 	"unique"
 )
 
-// blocksPrefix starts the paths whose keys are blocks of client addresses.
+// blocksPrefix is the prefix of the paths whose keys are blocks of client
+// addresses, that is, IP prefixes.
 const blocksPrefix = "/blocks/"
 
-// block is the setting of one block in compact form: hundreds of thousands of
-// them stand in a tree, with few distinct values.
-type block struct {
+// blockSetting is the setting of one block in a compact form, because a tree can
+// hold hundreds of thousands of blocks with few distinct values.
+type blockSetting struct {
 	addr     [16]byte
 	bits     uint8
-	v4       bool
+	isIPv4   bool
 	unset    bool
 	value    unique.Handle[string]
 	revision uint64
 }
 
-// blockList is sorted by address and length.
-type blockList []block
+// blockList is a list of blocks sorted by address and prefix length.
+type blockList []blockSetting
 
-// IsBlocksPath reports whether the keys of a path are blocks of client addresses.
+// IsBlocksPath reports whether the keys of path are blocks of client addresses.
 func IsBlocksPath(path string) bool { return strings.HasPrefix(path, blocksPrefix) }
 
-func newBlock(p netip.Prefix) block {
-	return block{addr: p.Addr().As16(), bits: uint8(p.Bits()), v4: p.Addr().Is4()}
+// newBlock returns the block of a prefix, without a setting.
+func newBlock(p netip.Prefix) blockSetting {
+	return blockSetting{addr: p.Addr().As16(), bits: uint8(p.Bits()), isIPv4: p.Addr().Is4()}
 }
 
-func (b *block) prefix() netip.Prefix {
+func (b *blockSetting) prefix() netip.Prefix {
 	addr := netip.AddrFrom16(b.addr)
-	if b.v4 {
+	if b.isIPv4 {
 		addr = addr.Unmap()
 	}
 	return netip.PrefixFrom(addr, int(b.bits))
 }
 
-func (b *block) setting() Setting {
+func (b *blockSetting) setting() Setting {
 	return Setting{Value: b.value.Value(), Revision: b.revision, Unset: b.unset}
 }
 
-func compareBlocks(a, b block) int {
+// compareBlocks orders blocks by address and prefix length.
+func compareBlocks(a, b blockSetting) int {
 	return cmp.Or(bytes.Compare(a.addr[:], b.addr[:]), cmp.Compare(a.bits, b.bits))
 }
 
-// find returns the place of a block and whether it is there.
-func (l blockList) find(b block) (int, bool) {
+// find returns the index of a block and whether the list contains it. If it does
+// not, the index is where the block would be inserted.
+func (l blockList) find(b blockSetting) (int, bool) {
 	return slices.BinarySearchFunc(l, b, compareBlocks)
 }
 
+// get returns the setting of the block that key names, and whether the list
+// contains it.
 func (l blockList) get(key string) (Setting, bool) {
 	p, err := netip.ParsePrefix(key)
 	if err != nil {
@@ -67,8 +73,8 @@
 	return l[i].setting(), true
 }
 
-// put returns the list with one more or one other block. A key that is no
-// prefix is passed over; checked edits have none.
+// put returns the list with a block added or replaced; the list itself is
+// modified. A key that is not a prefix is ignored; CheckEdits refuses such keys.
 func (l blockList) put(key string, s Setting) blockList {
 	p, err := netip.ParsePrefix(key)
 	if err != nil {
@@ -87,8 +93,9 @@
 	return slices.Insert(l, i, b)
 }
 
-// VisitBlocks calls visit with every block that is set at a path, in order. Regions
-// is the list that the block names.
+// VisitBlocks calls visit for every block that is set at path, in order of
+// addresses and prefix lengths. Regions is the block's value: region names,
+// separated by commas.
 func (t *Tree) VisitBlocks(path string, visit func(p netip.Prefix, regions string)) {
 	for i := range t.nodes[path].blocks {
 		if b := &t.nodes[path].blocks[i]; !b.unset {
@@ -97,7 +104,7 @@
 	}
 }
 
-// BlockPaths returns the paths that hold blocks, in order.
+// BlockPaths returns the paths under /blocks/, sorted.
 func (t *Tree) BlockPaths() []string {
 	var paths []string
 	for p := range t.nodes {
--- a/internal/tree/check.go
+++ b/internal/tree/check.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// RuleError reports settings that are each allowed, but not together.
+// RuleError reports settings that are each allowed, but not in combination.
 type RuleError struct {
 	Paths  []string
 	Reason string
@@ -17,7 +17,7 @@
 	return strings.Join(e.Paths, ", ") + ": " + e.Reason
 }
 
-// CheckEdits checks each edit by itself and returns all faults.
+// CheckEdits checks each edit on its own and returns all errors.
 func CheckEdits(edits []Edit) []error {
 	var faults []error
 	for _, e := range edits {
@@ -28,6 +28,8 @@
 	return faults
 }
 
+// checkEdit checks the path and key of an edit and, unless it unsets the key, the
+// value.
 func checkEdit(e Edit) error {
 	if !e.Unset {
 		return CheckValue(e.Path, e.Key, e.Value)
@@ -40,9 +42,9 @@
 	return err
 }
 
-// Check checks the rules that bind several settings of the tree together and
-// returns all faults. Run on the tree as it would be after a change, it finds
-// every pair of concurrent changes that breaks a rule only together.
+// Check checks the rules on combinations of settings and returns all errors. Run
+// on the tree that results from a change, it also finds concurrent changes that
+// are each allowed, but not together.
 func (t *Tree) Check() []error {
 	drains := t.Drains()
 	moves := t.Moves()
@@ -57,13 +59,14 @@
 	return append(faults, t.checkShift(moves)...)
 }
 
+// check checks the drain's own settings against each other.
 func (d Drain) check() []error {
 	var faults []error
 	if d.Upstream == "" && d.Region == "" {
-		faults = append(faults, &RuleError{[]string{d.Path}, "a drain names an upstream, or a region with or without a failure domain"})
+		faults = append(faults, &RuleError{[]string{d.Path}, "a drain needs an upstream or a region"})
 	}
 	if d.Domain != "" && d.Region == "" {
-		faults = append(faults, &RuleError{[]string{d.Path}, "a failure domain needs its region"})
+		faults = append(faults, &RuleError{[]string{d.Path}, "a drain of a failure domain needs its region"})
 	}
 	if !d.End.IsZero() && !d.End.After(d.Start) {
 		faults = append(faults, &RuleError{[]string{d.Path}, "end is not after start"})
@@ -71,6 +74,7 @@
 	return faults
 }
 
+// check checks the move's own settings against each other.
 func (m Move) check(t *Tree) []error {
 	var faults []error
 	if m.Service == "" || m.From == "" || m.To == "" || m.Start.IsZero() {
@@ -82,15 +86,15 @@
 	return faults
 }
 
-// checkDrainedDomains finds drains that together take more failure domains of
-// a region than may be drained at one time.
+// checkDrainedDomains returns an error for each drain at whose start more failure
+// domains of its region would be drained than KeyMaxDrainedDomains allows.
 func (t *Tree) checkDrainedDomains(drains []Drain) []error {
 	var faults []error
 	for _, d := range drains {
 		if d.Domain == "" {
 			continue
 		}
-		most := t.Int(RegionPath(d.Region), KeyMaxDrainedDomains)
+		limit := t.Int(RegionPath(d.Region), KeyMaxDrainedDomains)
 		domains := map[string]bool{d.Domain: true}
 		paths := []string{d.Path}
 		for _, other := range drains {
@@ -100,53 +104,55 @@
 			domains[other.Domain] = true
 			paths = append(paths, other.Path)
 		}
-		if len(domains) > most {
-			faults = append(faults, &RuleError{paths, fmt.Sprintf("%d failure domains of region %s drained at one time, at most %d may be", len(domains), d.Region, most)})
+		if len(domains) > limit {
+			faults = append(faults, &RuleError{paths, fmt.Sprintf("%d failure domains of region %s are drained at the same time; allowed: at most %d", len(domains), d.Region, limit)})
 		}
 	}
 	return faults
 }
 
+// covers reports whether at is in the drain's time span.
 func (d Drain) covers(at time.Time) bool {
 	return !at.Before(d.Start) && (d.End.IsZero() || at.Before(d.End))
 }
 
-// checkShift finds moves of one service out of one region that together pass
-// its shift cap or shift rate. Moves add up, since one that has ended its ramp
-// still holds its share.
+// checkShift finds moves of one service out of one region that together exceed
+// the service's shift cap or shift rate. The fractions of all moves are summed,
+// because a move keeps its whole fraction after its duration.
 func (t *Tree) checkShift(moves []Move) []error {
-	type lane struct{ service, from string }
-	byLane := make(map[lane][]Move)
+	type source struct{ service, from string }
+	bySource := make(map[source][]Move)
 	for _, m := range moves {
-		l := lane{m.Service, m.From}
-		byLane[l] = append(byLane[l], m)
+		s := source{m.Service, m.From}
+		bySource[s] = append(bySource[s], m)
 	}
 	var faults []error
-	for l, ms := range byLane {
-		most := t.Float(ServicePath(l.service), KeyShiftCap)
-		rate := t.Float(ServicePath(l.service), KeyShiftRate)
+	for s, ms := range bySource {
+		limit := t.Float(ServicePath(s.service), KeyShiftCap)
+		rate := t.Float(ServicePath(s.service), KeyShiftRate)
 		var sum, fastest float64
 		var paths []string
 		for _, m := range ms {
 			sum += m.Fraction
-			fastest = max(fastest, rateAt(ms, m.Start))
+			fastest = max(fastest, shiftRateAt(ms, m.Start))
 			paths = append(paths, m.Path)
 		}
-		if sum > most+epsilon {
-			faults = append(faults, &RuleError{paths, fmt.Sprintf("moves of service %s out of %s shift %.3g of its traffic, shift_cap is %.3g", l.service, l.from, sum, most)})
+		if sum > limit+epsilon {
+			faults = append(faults, &RuleError{paths, fmt.Sprintf("moves of service %s out of region %s shift %.3g of its traffic, shift_cap is %.3g", s.service, s.from, sum, limit)})
 		}
 		if fastest > rate+epsilon {
-			faults = append(faults, &RuleError{paths, fmt.Sprintf("moves of service %s out of %s shift %.3g of its traffic in a minute, shift_rate is %.3g", l.service, l.from, fastest, rate)})
+			faults = append(faults, &RuleError{paths, fmt.Sprintf("moves of service %s out of region %s shift %.3g of its traffic in a minute, shift_rate is %.3g", s.service, s.from, fastest, rate)})
 		}
 	}
 	return faults
 }
 
-// epsilon absorbs rounding in sums of fractions.
+// epsilon is the tolerance for rounding errors in sums of fractions.
 const epsilon = 1e-9
 
-// rateAt returns the share per minute that all moves shift at one time.
-func rateAt(moves []Move, at time.Time) float64 {
+// shiftRateAt returns the share of traffic per minute that the moves together
+// shift at a time. A move shorter than a second counts as a second long.
+func shiftRateAt(moves []Move, at time.Time) float64 {
 	var sum float64
 	for _, m := range moves {
 		if at.Before(m.Start) || !at.Before(m.Start.Add(max(m.Duration, time.Second))) {
--- a/internal/tree/markdown.go
+++ b/internal/tree/markdown.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Markdown describes every key of the tree, for docs/SETTINGS.md.
+// Markdown returns a table of all keys of the tree for docs/SETTINGS.md.
 func Markdown() string {
 	var b strings.Builder
 	b.WriteString("| key | default | allowed | at | meaning |\n| --- | --- | --- | --- | --- |\n")
--- a/internal/tree/path.go
+++ b/internal/tree/path.go
@@ -6,10 +6,11 @@
 	"strings"
 )
 
-// Kind is the role of a path in the tree; it decides which keys may stand there.
+// Kind is the kind of object that a path stands for. It determines the keys that
+// can be set at the path.
 type Kind uint8
 
-// The kinds of paths.
+// The kinds of paths, as in pathPatterns.
 const (
 	KindRoot Kind = iota
 	KindRegion
@@ -25,7 +26,9 @@
 	kindCount
 )
 
-var kindForms = [kindCount]string{
+// pathPatterns holds the pattern of the paths of each kind; words in capitals
+// stand for names.
+var pathPatterns = [kindCount]string{
 	KindRoot:          "/",
 	KindRegion:        "/regions/REGION",
 	KindDomain:        "/regions/REGION/domains/DOMAIN",
@@ -39,23 +42,24 @@
 	KindMove:          "/moves/NAME",
 }
 
-// String returns the form of the kind's paths.
+// String returns the pattern of the kind's paths.
 func (k Kind) String() string {
 	if k < kindCount {
-		return kindForms[k]
+		return pathPatterns[k]
 	}
 	return "unknown"
 }
 
-// PathPatterns lists the forms that a path may have.
-func PathPatterns() []string { return kindForms[:] }
+// PathPatterns returns the patterns of all paths.
+func PathPatterns() []string { return pathPatterns[:] }
 
 // maxPath is the largest length of a path in bytes.
 const maxPath = 256
 
+// nameRE matches the names in paths and in values.
 var nameRE = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._-]{0,63}$`)
 
-// PathError reports a path that the tree has no place for.
+// PathError reports a malformed path.
 type PathError struct {
 	Path   string
 	Reason string
@@ -63,10 +67,11 @@
 
 // Error implements error.
 func (e *PathError) Error() string {
-	return fmt.Sprintf("path %q: %s; allowed are %s", e.Path, e.Reason, strings.Join(PathPatterns(), ", "))
+	return fmt.Sprintf("path %q: %s; allowed: %s", e.Path, e.Reason, strings.Join(PathPatterns(), ", "))
 }
 
-// ParsePath returns the kind of a path and its names in order.
+// ParsePath returns the kind of a path and the names in it, in order. The error is
+// a PathError.
 func ParsePath(path string) (Kind, []string, error) {
 	if path == "/" {
 		return KindRoot, nil, nil
@@ -76,7 +81,7 @@
 	}
 	parts := strings.Split(path, "/")
 	for k := KindRoot + 1; k < kindCount; k++ {
-		names, ok := match(strings.Split(kindForms[k], "/"), parts)
+		names, ok := matchPattern(strings.Split(pathPatterns[k], "/"), parts)
 		if !ok {
 			continue
 		}
@@ -87,28 +92,29 @@
 		}
 		return k, names, nil
 	}
-	return 0, nil, &PathError{path, "no such place"}
+	return 0, nil, &PathError{path, "matches no path pattern"}
 }
 
-// match compares a path with a form; capital words in the form match any name.
-func match(form, parts []string) ([]string, bool) {
-	if len(form) != len(parts) {
+// matchPattern compares the parts of a path with those of a pattern. It returns
+// the parts that match words in capitals, and whether the path matches.
+func matchPattern(pattern, parts []string) ([]string, bool) {
+	if len(pattern) != len(parts) {
 		return nil, false
 	}
 	var names []string
-	for i, f := range form {
-		if f != "" && f == strings.ToUpper(f) {
+	for i, want := range pattern {
+		if want != "" && want == strings.ToUpper(want) {
 			names = append(names, parts[i])
 			continue
 		}
-		if f != parts[i] {
+		if want != parts[i] {
 			return nil, false
 		}
 	}
 	return names, true
 }
 
-// Parent returns the path that path inherits from, and false for the root.
+// Parent returns the path from which path inherits values, and false for the root.
 func Parent(path string) (string, bool) {
 	for path != "/" {
 		i := strings.LastIndexByte(path, '/')
--- a/internal/tree/schedule.go
+++ b/internal/tree/schedule.go
@@ -7,17 +7,19 @@
 	"time"
 )
 
-// Drain is an announced drain of an upstream, a failure domain or a region.
+// Drain is a scheduled drain of an upstream, a failure domain or a region. Empty
+// fields are not set; a drain without End lasts until it is removed.
 type Drain struct {
 	Path                              string
 	Service, Region, Domain, Upstream string
 	Start, End                        time.Time
 }
 
-// Active reports whether the drain is in force at a time.
+// Active reports whether the drain is in effect at a time.
 func (d Drain) Active(at time.Time) bool { return d.covers(at) }
 
-// MatchesUpstream reports whether the drain is for an upstream.
+// MatchesUpstream reports whether the drain applies to an upstream, given its
+// service, region, failure domain and id.
 func (d Drain) MatchesUpstream(service, region, domain, upstream string) bool {
 	if d.Service != "" && d.Service != service {
 		return false
@@ -28,7 +30,8 @@
 	return d.Region == region && (d.Domain == "" || d.Domain == domain)
 }
 
-// Move is an announced move of a share of a service's traffic.
+// Move is a scheduled move of a share of a service's traffic from one region to
+// another. Fraction and Step are shares of the service's traffic in region From.
 type Move struct {
 	Path              string
 	Service, From, To string
@@ -37,10 +40,10 @@
 	Fraction, Step    float64
 }
 
-// Share returns how much of the region's traffic is to be moved at a time. It
+// Share returns the share of the region's traffic to be moved at a time. The share
 // rises in steps from zero at Start to Fraction at Start plus Duration. Every
-// instance computes it from its own clock, so a move goes on while the
-// configuration store is away.
+// instance computes the share from its own clock, so a move continues while the
+// configuration store is unavailable.
 func (m Move) Share(at time.Time) float64 {
 	elapsed := at.Sub(m.Start)
 	switch {
@@ -56,7 +59,7 @@
 	return math.Floor(share/m.Step) * m.Step
 }
 
-// Drains returns the announced drains in order of their paths.
+// Drains returns all drains in the tree, past ones too, in order of their paths.
 func (t *Tree) Drains() []Drain {
 	var drains []Drain
 	for _, p := range t.pathsUnder("/drains/") {
@@ -73,7 +76,7 @@
 	return drains
 }
 
-// Moves returns the announced moves in order of their paths.
+// Moves returns all moves in the tree, past ones too, in order of their paths.
 func (t *Tree) Moves() []Move {
 	var moves []Move
 	for _, p := range t.pathsUnder("/moves/") {
@@ -91,6 +94,7 @@
 	return moves
 }
 
+// pathsUnder returns the sorted paths with a prefix at which a key is set.
 func (t *Tree) pathsUnder(prefix string) []string {
 	var paths []string
 	for p, n := range t.nodes {
--- a/internal/tree/tree.go
+++ b/internal/tree/tree.go
@@ -1,8 +1,8 @@
-// Package tree holds the operators' settings: a tree of paths whose keys
-// inherit from the parent path what they do not set themselves.
+// Package tree holds the operators' settings as a tree of paths with keys. A path
+// inherits the values of keys that are not set at the path from its parent path.
 //
-// A Tree is immutable. Apply makes a new one that shares what did not change,
-// so that a Tree can be handed to any number of goroutines.
+// A Tree is immutable and so safe for concurrent use. Apply returns a new Tree
+// that shares unchanged paths with the old one.
 package tree
 
 import (
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Edit sets or unsets one key.
+// Edit sets or unsets one key at a path.
 type Edit struct {
 	Path  string
 	Key   string
@@ -20,8 +20,8 @@
 	Unset bool
 }
 
-// Setting is the value of a key with the revision that wrote it. An unset key
-// is kept as a mark, so that a racing edit still finds the revision of its
+// Setting is the value of a key with the revision that wrote it. An unset key is
+// kept as a tombstone, so that a concurrent edit still finds the revision of the
 // removal.
 type Setting struct {
 	Value    string
@@ -34,7 +34,7 @@
 	nodes map[string]node
 }
 
-// node is what one path sets itself. It has either keys or blocks.
+// node holds the settings of one path: either keys or, under /blocks/, blocks.
 type node struct {
 	keys   map[string]Setting
 	blocks blockList
@@ -42,6 +42,8 @@
 	revision uint64
 }
 
+// get returns the setting of a key at the node's own path, and whether the key
+// was ever written there.
 func (n node) get(key string) (Setting, bool) {
 	if n.blocks != nil {
 		return n.blocks.get(key)
@@ -50,7 +52,8 @@
 	return s, ok
 }
 
-// put sets a key of a node of a path. The node must not be shared.
+// put writes a setting to the node of path. The node must not be shared with
+// another tree.
 func (n *node) put(path, key string, s Setting) {
 	n.revision = max(n.revision, s.Revision)
 	if IsBlocksPath(path) {
@@ -63,18 +66,18 @@
 	n.keys[key] = s
 }
 
-// clone returns a node that shares nothing with n.
+// clone returns a copy that shares no keys and blocks with n.
 func (n node) clone() node {
 	return node{maps.Clone(n.keys), slices.Clone(n.blocks), n.revision}
 }
 
-// each calls visit with every key, also those unset.
-func (n node) each(visit func(key string, s Setting)) {
+// visit calls fn for every key, unset ones too.
+func (n node) visit(fn func(key string, s Setting)) {
 	for k, s := range n.keys {
-		visit(k, s)
+		fn(k, s)
 	}
 	for i := range n.blocks {
-		visit(n.blocks[i].prefix().String(), n.blocks[i].setting())
+		fn(n.blocks[i].prefix().String(), n.blocks[i].setting())
 	}
 }
 
@@ -85,18 +88,19 @@
 			return true
 		}
 	}
-	return slices.ContainsFunc(n.blocks, func(b block) bool { return !b.unset })
+	return slices.ContainsFunc(n.blocks, func(b blockSetting) bool { return !b.unset })
 }
 
-// Value is the effective value of a key and where it comes from.
+// Value is the effective value of a key at a path, with its origin.
 type Value struct {
 	Value string
-	// From is the path that sets the value; empty for the key's default.
-	From     string
+	// From is the path at which the value is set; empty for the key's default.
+	From string
+	// Revision is the revision that set the value; 0 for the key's default.
 	Revision uint64
 }
 
-// Apply returns the tree after edits at revision. It does not check them.
+// Apply returns the tree after edits at revision. It does not check the edits.
 func (t *Tree) Apply(edits []Edit, revision uint64) *Tree {
 	next := &Tree{nodes: maps.Clone(t.nodes)}
 	if next.nodes == nil {
@@ -110,7 +114,7 @@
 			n = &c
 			edited[e.Path] = n
 		}
-		n.put(e.Path, e.Key, settingOf(e, revision))
+		n.put(e.Path, e.Key, newSetting(e, revision))
 	}
 	for path, n := range edited {
 		next.nodes[path] = *n
@@ -118,23 +122,27 @@
 	return next
 }
 
-func settingOf(e Edit, revision uint64) Setting {
+// newSetting returns the setting that an edit writes at revision.
+func newSetting(e Edit, revision uint64) Setting {
 	if e.Unset {
 		return Setting{Revision: revision, Unset: true}
 	}
 	return Setting{Value: e.Value, Revision: revision}
 }
 
-// SettingAt returns what path itself says of key, with false if it was never written.
+// SettingAt returns the setting of key at path itself, and false if key was never
+// written there. Parent paths are not considered.
 func (t *Tree) SettingAt(path, key string) (Setting, bool) {
 	return t.nodes[path].get(key)
 }
 
-// PathRevision returns the newest revision that wrote to path itself.
+// PathRevision returns the newest revision that wrote a key at path, or 0 if none
+// did. Parent paths are not considered.
 func (t *Tree) PathRevision(path string) uint64 { return t.nodes[path].revision }
 
-// Get returns the effective value of key at path: that of the nearest path up
-// the tree which sets it, or the key's default.
+// Get returns the effective value of key at path: the value at path or at the
+// nearest parent path where the key is set, or the key's default. For an unknown
+// key, Get returns the zero Value.
 func (t *Tree) Get(path, key string) Value {
 	for p, ok := path, true; ok; p, ok = Parent(p) {
 		if s, found := t.nodes[p].get(key); found && !s.Unset {
@@ -147,28 +155,32 @@
 	return Value{}
 }
 
-// String returns the effective value of a key.
+// String returns the effective value of key at path.
 func (t *Tree) String(path, key string) string { return t.Get(path, key).Value }
 
-// Duration returns the effective value of a key that holds a duration.
+// Duration returns the effective value of a key that holds a duration, or 0 if the
+// value is none.
 func (t *Tree) Duration(path, key string) time.Duration {
 	d, _ := time.ParseDuration(t.String(path, key))
 	return d
 }
 
-// Int returns the effective value of a key that holds a whole number.
+// Int returns the effective value of a key that holds a whole number, or 0 if the
+// value is none.
 func (t *Tree) Int(path, key string) int {
 	n, _ := strconv.Atoi(t.String(path, key))
 	return n
 }
 
-// Float returns the effective value of a key that holds a number.
+// Float returns the effective value of a key that holds a number, or 0 if the
+// value is none.
 func (t *Tree) Float(path, key string) float64 {
 	f, _ := strconv.ParseFloat(t.String(path, key), 64)
 	return f
 }
 
-// Time returns the effective value of a key that holds a time, or the zero time.
+// Time returns the effective value of a key that holds a time, or the zero time if
+// the value is none.
 func (t *Tree) Time(path, key string) time.Time {
 	at, _ := time.Parse(time.RFC3339, t.String(path, key))
 	return at
@@ -177,7 +189,7 @@
 // List returns the effective value of a key that holds a list.
 func (t *Tree) List(path, key string) []string { return SplitList(t.String(path, key)) }
 
-// Paths returns the paths at which at least one key is set, in order.
+// Paths returns the sorted paths at which at least one key is set.
 func (t *Tree) Paths() []string {
 	paths := make([]string, 0, len(t.nodes))
 	for p, n := range t.nodes {
@@ -189,31 +201,33 @@
 	return paths
 }
 
-// AllPaths returns the paths at which any key was ever written, in order.
+// AllPaths returns the sorted paths at which a key was ever written, those whose
+// keys were all unset later too.
 func (t *Tree) AllPaths() []string {
 	paths := slices.Collect(maps.Keys(t.nodes))
 	slices.Sort(paths)
 	return paths
 }
 
-// VisitPath calls visit with every key written at path, also those unset, in no
-// particular order.
+// VisitPath calls visit for every key that was written at path, unset ones too.
+// The order of keys is undefined, that of blocks is by address.
 func (t *Tree) VisitPath(path string, visit func(key string, s Setting)) {
-	t.nodes[path].each(visit)
+	t.nodes[path].visit(visit)
 }
 
-// VisitAll calls visit with every key written in the tree, also those unset, in no
-// particular order.
+// VisitAll calls visit for every key that was written in the tree, unset ones too,
+// in undefined order.
 func (t *Tree) VisitAll(visit func(path, key string, s Setting)) {
 	for p, n := range t.nodes {
-		n.each(func(key string, s Setting) { visit(p, key, s) })
+		n.visit(func(key string, s Setting) { visit(p, key, s) })
 	}
 }
 
-// Builder fills a tree with settings that already have revisions.
+// Builder builds a tree from settings that already have revisions. The zero value
+// is ready to use.
 type Builder struct{ tree Tree }
 
-// Put writes one setting.
+// Put adds one setting, or replaces that of the same path and key.
 func (b *Builder) Put(path, key string, s Setting) {
 	if b.tree.nodes == nil {
 		b.tree.nodes = make(map[string]node)
@@ -223,5 +237,5 @@
 	b.tree.nodes[path] = n
 }
 
-// Tree returns the tree; the builder must not be used afterwards.
+// Tree returns the tree. The Builder must not be used afterwards.
 func (b *Builder) Tree() *Tree { return &b.tree }
--- a/internal/tree/tree_test.go
+++ b/internal/tree/tree_test.go
@@ -10,6 +10,7 @@
 	"github.com/leanovate/gopter/prop"
 )
 
+// apply checks edits and returns the tree after them.
 func apply(t *testing.T, edits ...Edit) *Tree {
 	t.Helper()
 	if faults := CheckEdits(edits); len(faults) > 0 {
@@ -42,27 +43,27 @@
 		t.Errorf("after unset: %+v", v)
 	}
 	if v := tr.Get("/services/stock/regions/muscat", KeyDeadline); v.Value != "3s" {
-		t.Errorf("the tree before changed: %+v", v)
+		t.Errorf("the tree before Apply was changed: %+v", v)
 	}
 }
 
-func TestBadEdits(t *testing.T) {
+func TestCheckEditsRejects(t *testing.T) {
 	tests := []struct {
 		edit Edit
 		want string
 	}{
-		{Edit{Path: "/service/stock", Key: KeyDeadline, Value: "2s"}, "no such place"},
+		{Edit{Path: "/service/stock", Key: KeyDeadline, Value: "2s"}, "matches no path pattern"},
 		{Edit{Path: "/services/st ock", Key: KeyDeadline, Value: "2s"}, "must match"},
 		{Edit{Path: "/services/stock", Key: "deadlin", Value: "2s"}, "unknown key"},
-		{Edit{Path: "/services/stock", Key: KeyLatency, Value: "2s"}, "cannot stand"},
+		{Edit{Path: "/services/stock", Key: KeyLatency, Value: "2s"}, "key is not allowed at this path"},
 		{Edit{Path: "/services/stock", Key: KeyDeadline, Value: "soon"}, "not a duration"},
 		{Edit{Path: "/services/stock", Key: KeyDeadline, Value: "1h"}, "from 10ms to 10m0s"},
 		{Edit{Path: "/services/stock", Key: KeyAttempts, Value: "0"}, "out of bounds"},
 		{Edit{Path: "/services/stock", Key: KeyRepeat, Value: "often"}, "safe, unsafe"},
 		{Edit{Path: "/services/stock", Key: KeyShiftCap, Value: "NaN"}, "out of bounds"},
 		{Edit{Path: "/services/stock", Key: KeyNotRunStatuses, Value: "200"}, "from 400 to 599"},
-		{Edit{Path: "/blocks/b", Key: "10.0.0.1/8", Value: "muscat"}, "masked prefix"},
-		{Edit{Path: "/blocks/b", Key: "2001:db8:0:0::/64", Value: "muscat"}, "usual form"},
+		{Edit{Path: "/blocks/b", Key: "10.0.0.1/8", Value: "muscat"}, "masked IP prefix"},
+		{Edit{Path: "/blocks/b", Key: "2001:db8:0:0::/64", Value: "muscat"}, "canonical form"},
 		{Edit{Path: "/blocks/b", Key: "10.0.0.0/8", Value: ""}, "no region"},
 		{Edit{Path: "/drains/d", Key: KeyStart, Value: "tonight"}, "not a time"},
 	}
@@ -74,6 +75,7 @@
 	}
 }
 
+// drain returns the edits of a drain of a failure domain in region sohar.
 func drain(name, domain, start, end string) []Edit {
 	path := "/drains/" + name
 	return []Edit{
@@ -102,6 +104,7 @@
 	}
 }
 
+// move returns the edits of a move of service stock from muscat to sohar.
 func move(name, fraction, duration string) []Edit {
 	path := "/moves/" + name
 	return []Edit{
@@ -130,12 +133,12 @@
 	}
 	lowered := append(move("a", "0.4", "10m"), Edit{Path: "/services/stock", Key: KeyShiftCap, Value: "0.3"})
 	if len(apply(t, lowered...).Check()) == 0 {
-		t.Error("a cap lowered below a move is accepted")
+		t.Error("a shift cap below the share of a move is accepted")
 	}
 }
 
-// TestMoveShare checks over times that a move never falls, passes its fraction
-// or gets ahead of its schedule.
+// TestMoveShare checks that the share of a move never falls, never exceeds the
+// linear schedule and ends at the move's fraction.
 func TestMoveShare(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	params := gopter.DefaultTestParametersWithSeed(4)
@@ -157,7 +160,7 @@
 	props.TestingRun(t)
 }
 
-func TestParentOfEveryForm(t *testing.T) {
+func TestParentOfEachKind(t *testing.T) {
 	tests := map[string]string{
 		"/services/s/regions/r/domains/d": "/services/s/regions/r",
 		"/services/s/regions/r":           "/services/s",
@@ -185,7 +188,7 @@
 		}
 		tr := new(Tree).Apply(edits, 1)
 		if s, ok := tr.SettingAt(path, key); !ok || s.Value != value {
-			t.Errorf("%s %s = %q is accepted, but reads %+v", path, key, value, s)
+			t.Errorf("%s: %s = %q is accepted, but SettingAt returns %+v", path, key, value, s)
 		}
 		tr.Check()
 	})
