--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,4 +1,5 @@
-// Package command is the operators' interface for changes.
+// Package command serves the operators' HTTP interface for changes to the
+// configuration.
 package command
 
 import (
@@ -17,15 +18,15 @@
 	"github.com/loomkeel/loomkeel/internal/tree"
 )
 
-// maxBody is the largest change in bytes.
-const maxBody = 1 << 20
+// maxBodyBytes is the largest request body.
+const maxBodyBytes = 1 << 20
 
-// Committer has changes accepted.
+// Committer commits changes to the configuration log.
 type Committer interface {
 	Commit(ctx context.Context, c configlog.Change) configlog.Result
 }
 
-// Edit is one edit of a Change.
+// Edit sets or unsets one key of the settings tree.
 type Edit struct {
 	Path  string `json:"path"`
 	Key   string `json:"key"`
@@ -33,48 +34,51 @@
 	Unset bool   `json:"unset,omitempty"`
 }
 
-// Change is the body of a request for a change.
+// Change is the request body of POST /v1/changes.
 type Change struct {
 	ID     string `json:"id"`
 	Author string `json:"author"`
 	Note   string `json:"note,omitempty"`
-	// Base is the revision that the author has seen; 0 means the agent's own.
+	// Base is the revision on which the author based the edits; 0 means the agent's
+	// current revision.
 	Base  uint64 `json:"base,omitempty"`
 	Edits []Edit `json:"edits"`
 }
 
-// Result is the answer to a request for a change.
+// Result is the response body of POST /v1/changes.
 type Result struct {
 	Outcome  configlog.Outcome     `json:"outcome"`
 	ID       string                `json:"id"`
 	Revision uint64                `json:"revision,omitempty"`
 	Kind     configlog.RefusalKind `json:"kind,omitempty"`
 	Faults   []string              `json:"faults,omitempty"`
-	// RetryAfterMillis is when to try again; 0 means that it would not help.
+	// RetryAfterMillis is the time to wait before a retry; 0 means that a retry
+	// would not help.
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
 }
 
-// AddRoutes adds the commands to a router. A commit takes at most timeout.
+// AddRoutes adds the route for changes to a router. A commit takes at most timeout.
 func AddRoutes(r chi.Router, c Committer, timeout time.Duration) {
 	r.Post("/v1/changes", func(w http.ResponseWriter, req *http.Request) {
 		var body Change
-		dec := json.NewDecoder(http.MaxBytesReader(w, req.Body, maxBody))
+		dec := json.NewDecoder(http.MaxBytesReader(w, req.Body, maxBodyBytes))
 		dec.DisallowUnknownFields()
 		if err := dec.Decode(&body); err != nil {
-			fault := fmt.Sprintf("body: %v", err)
+			fault := fmt.Sprintf("decode request body: %v", err)
 			process.JSON(w, http.StatusBadRequest, Result{Outcome: configlog.Refused, Kind: configlog.RefusedInvalid, Faults: []string{fault}})
 			return
 		}
-		// The commit goes on when the operator hangs up: a change half way in
-		// the store is better brought to its end.
+		// The commit continues if the operator disconnects: if it stopped after the
+		// write to the store was sent, the outcome would be unknown.
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(req.Context()), timeout)
 		defer cancel()
 		res := resultOf(body.ID, c.Commit(ctx, body.change()))
-		klog.InfoS("change", "id", body.ID, "author", body.Author, "outcome", res.Outcome, "revision", res.Revision)
+		klog.InfoS("commit finished", "id", body.ID, "author", body.Author, "outcome", res.Outcome, "revision", res.Revision)
 		process.JSON(w, statusOf(res), res)
 	})
 }
 
+// change returns the change for the configuration log.
 func (c Change) change() configlog.Change {
 	out := configlog.Change{ID: c.ID, Author: c.Author, Note: c.Note, Base: c.Base}
 	for _, e := range c.Edits {
@@ -83,6 +87,7 @@
 	return out
 }
 
+// resultOf returns the response body for the result of a commit.
 func resultOf(id string, r configlog.Result) Result {
 	out := Result{Outcome: r.Outcome, ID: id, Revision: r.Revision}
 	if r.Refusal != nil {
@@ -95,6 +100,7 @@
 	return out
 }
 
+// statusOf returns the HTTP status for a result.
 func statusOf(r Result) int {
 	switch {
 	case r.Outcome == configlog.Accepted:
--- a/internal/command/token.go
+++ b/internal/command/token.go
@@ -11,13 +11,14 @@
 	"github.com/loomkeel/loomkeel/internal/process"
 )
 
-// Token is the operators' secret; empty means that none is asked for.
+// Token is the operators' bearer token. An empty Token disables authentication.
 type Token string
 
-// minToken is the fewest characters of a token.
-const minToken = 16
+// minTokenLength is the smallest length of a token in bytes.
+const minTokenLength = 16
 
-// LoadToken reads a token from a file; no file gives no token.
+// LoadToken reads a token from a file and trims white space around it. Without a
+// file name it returns the empty Token.
 func LoadToken(file string) (Token, error) {
 	if file == "" {
 		return "", nil
@@ -27,13 +28,14 @@
 		return "", err
 	}
 	t := strings.TrimSpace(string(b))
-	if len(t) < minToken {
-		return "", eris.Errorf("%s: token of %d characters, at least %d are needed", file, len(t), minToken)
+	if len(t) < minTokenLength {
+		return "", eris.Errorf("token in %s has %d bytes; allowed: at least %d", file, len(t), minTokenLength)
 	}
 	return Token(t), nil
 }
 
-// Require refuses requests that do not carry the token as a bearer token.
+// Require returns a handler that passes requests with the bearer token to next and
+// answers others with status 401. With an empty Token it returns next.
 func (t Token) Require(next http.Handler) http.Handler {
 	if t == "" {
 		return next
--- a/internal/query/dump.go
+++ b/internal/query/dump.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	// dumpTimeout bounds the dump of one process.
+	// dumpTimeout bounds the request for the dump of one process.
 	dumpTimeout = 2 * time.Second
-	// maxDump bounds a dump in bytes.
-	maxDump = 64 << 20
+	// maxDumpBytes bounds the dump of one process; the rest is not read.
+	maxDumpBytes = 64 << 20
 )
 
-// AddDumpRoute adds the dump of all processes of the instance. Others are the
-// debug addresses of the processes beside the agent, by name.
+// AddDumpRoute adds the route for the dump of all processes of the instance. Agent
+// returns the agent's dump. Others holds the debug addresses of the other
+// processes by name.
 func AddDumpRoute(r chi.Router, others map[string]string, agent func() any) {
 	r.Get("/v1/dump", func(w http.ResponseWriter, req *http.Request) {
 		out := map[string]any{"agent": agent()}
@@ -31,11 +32,12 @@
 	})
 }
 
-// dumpError stands in the place of a dump that could not be had.
+// dumpError replaces the dump of a process that could not be fetched.
 type dumpError struct {
 	Error string `json:"error"`
 }
 
+// fetchDump returns the dump of the process with a debug address, or a dumpError.
 func fetchDump(ctx context.Context, addr string) any {
 	ctx, cancel := context.WithTimeout(ctx, dumpTimeout)
 	defer cancel()
@@ -49,7 +51,7 @@
 	}
 	defer resp.Body.Close()
 	var v json.RawMessage
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxDump)).Decode(&v); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxDumpBytes)).Decode(&v); err != nil {
 		return dumpError{err.Error()}
 	}
 	return v
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -1,5 +1,5 @@
-// Package query is the operators' interface for reading: the tree, its history
-// and the members.
+// Package query serves the operators' read-only HTTP interface: the settings tree,
+// its history, the members of the cluster and the dumps of an instance's processes.
 package query
 
 import (
@@ -16,13 +16,13 @@
 	"github.com/loomkeel/loomkeel/internal/tree"
 )
 
-// Source is what the queries read.
+// Source provides the data for the queries.
 type Source interface {
 	Log() *configlog.Log
 	Table() *membership.Table
 }
 
-// Setting is one key written in the tree.
+// Setting is one key that is set in the tree.
 type Setting struct {
 	Path     string `json:"path"`
 	Key      string `json:"key"`
@@ -30,25 +30,28 @@
 	Revision uint64 `json:"revision"`
 }
 
-// Tree is the answer to a query for settings.
+// Tree is the response body of GET /v1/tree.
 type Tree struct {
 	Revision uint64    `json:"revision"`
 	Settings []Setting `json:"settings"`
 }
 
-// Value is the answer to a query for one effective value.
+// Value is the response body of GET /v1/value: the effective value of a key at a
+// path.
 type Value struct {
 	Revision uint64 `json:"revision"`
 	Path     string `json:"path"`
 	Key      string `json:"key"`
 	Value    string `json:"value"`
-	// From is the path that sets the value; empty for the key's default.
-	From       string `json:"from,omitempty"`
-	WrittenRevision  uint64 `json:"written_at,omitempty"`
-	Overridden bool   `json:"overridden"`
+	// From is the path at which the value is set; empty for the key's default.
+	From string `json:"from,omitempty"`
+	// WrittenRevision is the revision that set the value; 0 for the key's default.
+	WrittenRevision uint64 `json:"written_at,omitempty"`
+	// Overridden reports whether the value is set at Path itself.
+	Overridden bool `json:"overridden"`
 }
 
-// Change is one line of the history.
+// Change is one accepted change in the response body of GET /v1/history.
 type Change struct {
 	Revision uint64        `json:"revision"`
 	ID       string        `json:"id"`
@@ -66,10 +69,11 @@
 	Unset bool   `json:"unset,omitempty"`
 }
 
-// defaultHistory is how many changes a history shows unless asked for more.
-const defaultHistory = 20
+// defaultHistoryLimit is the number of changes in a history if the request has no
+// valid limit.
+const defaultHistoryLimit = 20
 
-// AddRoutes adds the queries to a router.
+// AddRoutes adds the routes of the queries to a router.
 func AddRoutes(r chi.Router, s Source) {
 	r.Get("/v1/tree", func(w http.ResponseWriter, req *http.Request) {
 		process.JSON(w, http.StatusOK, treeOf(s.Log(), req.URL.Query().Get("path")))
@@ -78,7 +82,7 @@
 	r.Get("/v1/history", func(w http.ResponseWriter, req *http.Request) {
 		n, err := strconv.Atoi(req.URL.Query().Get("limit"))
 		if err != nil || n <= 0 {
-			n = defaultHistory
+			n = defaultHistoryLimit
 		}
 		process.JSON(w, http.StatusOK, historyOf(s.Log().History(n)))
 	})
@@ -89,7 +93,9 @@
 	})
 }
 
-func treeOf(log *configlog.Log, under string) Tree {
+// treeOf returns the settings at a path, or all settings if path is empty, sorted
+// by path and key.
+func treeOf(log *configlog.Log, path string) Tree {
 	revision, t, _ := log.Current()
 	out := Tree{Revision: revision, Settings: []Setting{}}
 	add := func(path, key string, v tree.Setting) {
@@ -97,10 +103,10 @@
 			out.Settings = append(out.Settings, Setting{path, key, v.Value, v.Revision})
 		}
 	}
-	if under == "" {
+	if path == "" {
 		t.VisitAll(add)
 	} else {
-		t.VisitPath(under, func(key string, v tree.Setting) { add(under, key, v) })
+		t.VisitPath(path, func(key string, v tree.Setting) { add(path, key, v) })
 	}
 	sort.Slice(out.Settings, func(i, j int) bool {
 		a, b := out.Settings[i], out.Settings[j]
@@ -112,6 +118,7 @@
 	return out
 }
 
+// value answers a query for the effective value of a key.
 func value(w http.ResponseWriter, req *http.Request, log *configlog.Log) {
 	path, key := req.URL.Query().Get("path"), req.URL.Query().Get("key")
 	if err := tree.CheckQuery(path, key); err != nil {
@@ -123,6 +130,7 @@
 	process.JSON(w, http.StatusOK, Value{revision, path, key, v.Value, v.From, v.Revision, v.From == path})
 }
 
+// historyOf returns the history entries of records.
 func historyOf(records []configlog.Record) []Change {
 	out := make([]Change, 0, len(records))
 	for _, r := range records {
@@ -135,7 +143,8 @@
 	return out
 }
 
-// change tells whether a change id is known to have been accepted.
+// change answers a query for a change id: accepted with its revision, or unknown if
+// the log holds no such id.
 func change(w http.ResponseWriter, req *http.Request, log *configlog.Log) {
 	id := chi.URLParam(req, "id")
 	revision := log.FindChange(id)
