--- a/internal/rpc/conn.go
+++ b/internal/rpc/conn.go
@@ -16,47 +16,52 @@
 )
 
 const (
+	// dialTimeout bounds the set-up of a connection, the TLS handshake included.
 	dialTimeout = 2 * time.Second
-	// idleConns and idlePerPeer bound the connections kept open for reuse.
-	idleConns   = 24
-	idlePerPeer = 1
-	idleFor     = 30 * time.Second
+	// maxIdleConns and maxIdlePerPeer bound the idle connections kept open for
+	// reuse, idleTimeout the time for which they are kept.
+	maxIdleConns   = 24
+	maxIdlePerPeer = 1
+	idleTimeout    = 30 * time.Second
 )
 
-// ErrBusy is what a peer answers that serves too many others already.
-var ErrBusy = errors.New("rpc: peer busy")
+// ErrBusy is the error of a peer that is already sending snapshots to as many
+// others as it may.
+var ErrBusy = errors.New("rpc: peer is busy")
 
-// ByteCounts counts bytes on the connections of a process.
+// ByteCounts counts the bytes sent and received on the connections of a process.
 type ByteCounts struct {
 	Sent, Received atomic.Int64
 }
 
-// Dialer opens connections to agents and keeps some open. It is safe for
-// concurrent use.
+// Dialer opens connections to agents and keeps idle connections open for reuse. It
+// is safe for concurrent use.
 type Dialer struct {
-	tls     *tls.Config
-	traffic *ByteCounts
-	pool    *drpcpool.Pool[string, drpcpool.Conn]
+	tls    *tls.Config
+	counts *ByteCounts
+	pool   *drpcpool.Pool[string, drpcpool.Conn]
 }
 
-// NewDialer returns a Dialer. With conf set it speaks TLS; traffic may be nil.
-func NewDialer(conf *tls.Config, traffic *ByteCounts) *Dialer {
-	if traffic == nil {
-		traffic = new(ByteCounts)
+// NewDialer returns a Dialer that uses TLS if conf is not nil. The bytes on its
+// connections are added to counts, which may be nil.
+func NewDialer(conf *tls.Config, counts *ByteCounts) *Dialer {
+	if counts == nil {
+		counts = new(ByteCounts)
 	}
-	return &Dialer{tls: conf, traffic: traffic, pool: drpcpool.New[string, drpcpool.Conn](drpcpool.Options{
-		Expiration:  idleFor,
-		Capacity:    idleConns,
-		KeyCapacity: idlePerPeer,
+	return &Dialer{tls: conf, counts: counts, pool: drpcpool.New[string, drpcpool.Conn](drpcpool.Options{
+		Expiration:  idleTimeout,
+		Capacity:    maxIdleConns,
+		KeyCapacity: maxIdlePerPeer,
 	})}
 }
 
-// Conn returns a connection to an address, which is opened at the first call
-// on it.
+// Conn returns a connection to an address. The connection is taken from the pool or
+// opened at the first call on it.
 func (d *Dialer) Conn(addr string) drpc.Conn {
 	return d.pool.Get(context.Background(), addr, d.dial)
 }
 
+// dial opens a connection whose bytes are counted.
 func (d *Dialer) dial(ctx context.Context, addr string) (drpcpool.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -64,9 +69,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return drpcconn.New(&meteredConn{conn, d.traffic}), nil
+	return drpcconn.New(&countingConn{conn, d.counts}), nil
 }
 
+// open opens a connection, with TLS if the Dialer has a configuration.
 func (d *Dialer) open(ctx context.Context, addr string) (net.Conn, error) {
 	var nd net.Dialer
 	if d.tls == nil {
@@ -79,48 +85,51 @@
 // Close closes the idle connections.
 func (d *Dialer) Close() error { return d.pool.Close() }
 
-// Serve answers calls on lis until ctx ends.
-func Serve(ctx context.Context, lis net.Listener, mux *drpcmux.Mux, traffic *ByteCounts) error {
-	if traffic == nil {
-		traffic = new(ByteCounts)
+// Serve answers calls on lis until ctx is done. The bytes on its connections are
+// added to counts, which may be nil.
+func Serve(ctx context.Context, lis net.Listener, mux *drpcmux.Mux, counts *ByteCounts) error {
+	if counts == nil {
+		counts = new(ByteCounts)
 	}
-	return drpcserver.New(mux).Serve(ctx, &meteredListener{lis, traffic})
+	return drpcserver.New(mux).Serve(ctx, &countingListener{lis, counts})
 }
 
-type meteredListener struct {
+// countingListener counts the bytes on the connections that it accepts.
+type countingListener struct {
 	net.Listener
-	traffic *ByteCounts
+	counts *ByteCounts
 }
 
 // Accept implements net.Listener.
-func (l *meteredListener) Accept() (net.Conn, error) {
+func (l *countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &meteredConn{c, l.traffic}, nil
+	return &countingConn{c, l.counts}, nil
 }
 
-type meteredConn struct {
+// countingConn counts the bytes that it sends and receives.
+type countingConn struct {
 	net.Conn
-	traffic *ByteCounts
+	counts *ByteCounts
 }
 
 // Read implements net.Conn.
-func (c *meteredConn) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.traffic.Received.Add(int64(n))
+	c.counts.Received.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c *meteredConn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.traffic.Sent.Add(int64(n))
+	c.counts.Sent.Add(int64(n))
 	return n, err
 }
 
-// WrapTLS returns lis with TLS, or lis itself without a configuration.
+// WrapTLS returns a TLS listener on lis, or lis itself if conf is nil.
 func WrapTLS(lis net.Listener, conf *tls.Config) net.Listener {
 	if conf == nil {
 		return lis
--- a/internal/rpc/convert.go
+++ b/internal/rpc/convert.go
@@ -1,5 +1,6 @@
-// Package rpc carries the messages between loomkeel's own processes over drpc:
-// connections, conversion of the messages, and the generated code.
+// Package rpc carries the messages between loomkeel's own processes over drpc. It
+// has the connections, the client and server of an agent, and the conversion of
+// messages from and to the types of other packages. The generated code is in pb.
 package rpc
 
 import (
@@ -9,7 +10,7 @@
 	"github.com/loomkeel/loomkeel/internal/rpc/pb"
 )
 
-// MemberToProto returns the message of a member.
+// MemberToProto returns the protobuf message of a member.
 func MemberToProto(m membership.Member) *pb.Member {
 	return &pb.Member{
 		Id:          m.ID,
@@ -23,7 +24,7 @@
 	}
 }
 
-// MemberFromProto returns the member of a message.
+// MemberFromProto returns the member of a protobuf message.
 func MemberFromProto(m *pb.Member) membership.Member {
 	return membership.Member{
 		ID:          m.GetId(),
@@ -37,7 +38,7 @@
 	}
 }
 
-// MembersToProto returns the messages of members.
+// MembersToProto returns the protobuf messages of members, in the same order.
 func MembersToProto(ms []membership.Member) []*pb.Member {
 	out := make([]*pb.Member, len(ms))
 	for i, m := range ms {
@@ -46,7 +47,7 @@
 	return out
 }
 
-// MembersFromProto returns the members of messages.
+// MembersFromProto returns the members of protobuf messages, in the same order.
 func MembersFromProto(ms []*pb.Member) []membership.Member {
 	out := make([]membership.Member, len(ms))
 	for i, m := range ms {
@@ -55,7 +56,7 @@
 	return out
 }
 
-// DirectoryToProto returns the message of a directory.
+// DirectoryToProto returns the protobuf message of a directory.
 func DirectoryToProto(d model.Directory) *pb.Directory {
 	m := &pb.Directory{Version: d.Version, Upstreams: make([]*pb.Upstream, len(d.Upstreams))}
 	for i, u := range d.Upstreams {
@@ -73,7 +74,7 @@
 	return m
 }
 
-// DirectoryFromProto returns the directory of a message.
+// DirectoryFromProto returns the directory of a protobuf message.
 func DirectoryFromProto(m *pb.Directory) model.Directory {
 	d := model.Directory{Version: m.GetVersion(), Upstreams: make([]model.Upstream, len(m.GetUpstreams()))}
 	for i, u := range m.GetUpstreams() {
@@ -91,7 +92,7 @@
 	return d
 }
 
-// RecordsToProto returns the messages of records.
+// RecordsToProto returns the protobuf messages of records, in the same order.
 func RecordsToProto(rs []configlog.Record) []*pb.Record {
 	out := make([]*pb.Record, len(rs))
 	for i, r := range rs {
@@ -100,8 +101,8 @@
 	return out
 }
 
-// RecordsFromProto checks messages and returns their records. It stops at the
-// first that cannot be used.
+// RecordsFromProto checks protobuf messages and returns their records. At the first
+// invalid message it returns the records before it and the error.
 func RecordsFromProto(ms []*pb.Record) ([]configlog.Record, error) {
 	var out []configlog.Record
 	for _, m := range ms {
--- a/internal/rpc/peer.go
+++ b/internal/rpc/peer.go
@@ -8,31 +8,32 @@
 	"github.com/loomkeel/loomkeel/internal/rpc/pb"
 )
 
-// maxParts bounds the parts of one snapshot.
-const maxParts = 4096
+// maxSnapshotParts is the largest number of parts of a received snapshot.
+const maxSnapshotParts = 4096
 
-// PeerClient calls other agents over drpc.
+// PeerClient calls the Peer service of other agents over drpc.
 type PeerClient struct{ dialer *Dialer }
 
-// NewPeerClient returns a Peers that connects with dialer.
+// NewPeerClient returns a PeerClient that connects with dialer.
 func NewPeerClient(dialer *Dialer) *PeerClient { return &PeerClient{dialer} }
 
-// Exchange calls a peer's Exchange.
+// Exchange calls Exchange at the agent with an address.
 func (p *PeerClient) Exchange(ctx context.Context, addr string, req *pb.ExchangeRequest) (*pb.ExchangeReply, error) {
 	conn := p.dialer.Conn(addr)
 	defer conn.Close()
 	return pb.NewDRPCPeerClient(conn).Exchange(ctx, req)
 }
 
-// Push calls a peer's Push.
+// Push calls Push at the agent with an address.
 func (p *PeerClient) Push(ctx context.Context, addr string, req *pb.PushRequest) (*pb.PushReply, error) {
 	conn := p.dialer.Conn(addr)
 	defer conn.Close()
 	return pb.NewDRPCPeerClient(conn).Push(ctx, req)
 }
 
-// Snapshot calls each with the parts of a peer's state, in order, if it is newer
-// than above.
+// Snapshot calls Snapshot at the agent with an address and calls each for every
+// part of its state, in order. If the state is not newer than revision above, there
+// are no parts. An error of each ends the call.
 func (p *PeerClient) Snapshot(ctx context.Context, addr string, above uint64, each func(*pb.SnapshotPart) error) error {
 	conn := p.dialer.Conn(addr)
 	defer conn.Close()
@@ -41,7 +42,7 @@
 		return err
 	}
 	defer stream.Close()
-	for range maxParts {
+	for range maxSnapshotParts {
 		part, err := stream.Recv()
 		if errors.Is(err, io.EOF) {
 			return nil
@@ -53,5 +54,5 @@
 			return err
 		}
 	}
-	return errors.New("rpc: snapshot with too many parts")
+	return errors.New("rpc: snapshot has too many parts")
 }
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -8,7 +8,7 @@
 	"github.com/loomkeel/loomkeel/internal/rpc/pb"
 )
 
-// Handler is what a server hands its calls to.
+// Handler handles the calls of the services of an agent.
 type Handler interface {
 	HandleExchange(ctx context.Context, req *pb.ExchangeRequest) *pb.ExchangeReply
 	HandlePush(ctx context.Context, req *pb.PushRequest) *pb.PushReply
@@ -17,7 +17,7 @@
 	HandleReport(req *pb.ReportRequest) *pb.ReportReply
 }
 
-// NewMux returns the services of an agent.
+// NewMux returns a mux with the Peer and Node services, whose calls go to a.
 func NewMux(a Handler) (*drpcmux.Mux, error) {
 	mux := drpcmux.New()
 	if err := pb.DRPCRegisterPeer(mux, &peerServer{a}); err != nil {
@@ -26,6 +26,7 @@
 	return mux, pb.DRPCRegisterNode(mux, &nodeServer{a})
 }
 
+// peerServer implements the Peer service.
 type peerServer struct{ agent Handler }
 
 // Exchange implements pb.DRPCPeerServer.
@@ -43,6 +44,7 @@
 	return s.agent.HandleSnapshot(req, stream.Send)
 }
 
+// nodeServer implements the Node service.
 type nodeServer struct{ agent Handler }
 
 // Follow implements pb.DRPCNodeServer.
