--- a/cmd/loomkeel-agent/main.go
+++ b/cmd/loomkeel-agent/main.go
@@ -16,9 +16,9 @@
 	"github.com/loomkeel/loomkeel/internal/bootclock"
 	"github.com/loomkeel/loomkeel/internal/cli"
 	"github.com/loomkeel/loomkeel/internal/command"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 	"github.com/loomkeel/loomkeel/internal/membership"
 	"github.com/loomkeel/loomkeel/internal/metrics"
-	"github.com/loomkeel/loomkeel/internal/platform"
 	"github.com/loomkeel/loomkeel/internal/process"
 	"github.com/loomkeel/loomkeel/internal/query"
 	"github.com/loomkeel/loomkeel/internal/rpc"
@@ -27,39 +27,39 @@
 )
 
 func main() {
-	cli.Main(cli.Daemon{Name: "loomkeel-agent", Usage: "follow the configuration and the other instances", Ballast: process.BallastControl, Run: run})
+	cli.Main(cli.Daemon{Name: "loomkeel-agent", Usage: "follow the configuration and the other instances", Ballast: process.BallastAgent, Run: run})
 }
 
 func run(ctx context.Context, s *settings.Settings) error {
-	serverTLS, clientTLS, err := tlsconf.Peers(s.TLS)
+	serverTLS, clientTLS, err := tlsconf.PeerConfigs(s.TLS)
 	if err != nil {
 		return eris.Wrap(err, "peer certificates")
 	}
-	token, err := command.LoadToken(s.Agent.Token)
+	token, err := command.LoadToken(s.Agent.TokenFile)
 	if err != nil {
 		return eris.Wrap(err, "operators' token")
 	}
 	traffic := new(rpc.ByteCounts)
 	dialer := rpc.NewDialer(clientTLS, traffic)
 	defer dialer.Close()
-	client := platform.NewClient(s.Platform.Address, s.Platform.Timeout)
+	client := coordination.NewClient(s.Platform.Address, s.Platform.Timeout)
 	a := agent.New(agent.Options{
-		Self:       self(s),
-		Seeds:      s.Agent.Seeds,
-		Store:      client,
-		List:       client,
-		Peers:      rpc.NewPeerClient(dialer),
-		Rand:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		Period:     agent.DefaultPeriod,
-		Machine:    bootclock.BootID(),
-		Boot:       bootclock.Now,
-		Membership: membership.DefaultConfig(),
+		Self:        self(s),
+		Seeds:       s.Agent.Seeds,
+		Store:       client,
+		List:        client,
+		Peers:       rpc.NewPeerClient(dialer),
+		Rand:        rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		ProbePeriod: agent.DefaultProbePeriod,
+		BootID:      bootclock.BootID(),
+		BootClock:   bootclock.Now,
+		Membership:  membership.DefaultConfig(),
 	})
 	mux, err := rpc.NewMux(a)
 	if err != nil {
 		return eris.Wrap(err, "services")
 	}
-	lis, err := net.Listen("tcp", s.Agent.Peer)
+	lis, err := net.Listen("tcp", s.Agent.PeerAddress)
 	if err != nil {
 		return eris.Wrap(err, "peer address")
 	}
@@ -68,12 +68,12 @@
 			klog.ErrorS(err, "peer server ended")
 		}
 	}()
-	srv, err := process.Listen(s.Agent.Operator, operator(a, s, token, traffic))
+	srv, err := process.Listen(s.Agent.OperatorAddress, operator(a, s, token, traffic))
 	if err != nil {
 		return eris.Wrap(err, "operator address")
 	}
 	go srv.Serve()
-	klog.InfoS("agent started", "id", s.Instance.ID, "peer", s.Agent.Peer, "operator", s.Agent.Operator)
+	klog.InfoS("agent started", "id", s.Instance.ID, "peer", s.Agent.PeerAddress, "operator", s.Agent.OperatorAddress)
 	a.Run(ctx)
 	return stop(a, srv)
 }
@@ -93,9 +93,9 @@
 		ID:       s.Instance.ID,
 		Region:   s.Instance.Region,
 		Domain:   s.Instance.Domain,
-		Agent:    s.Agent.Peer,
-		Entry:    s.Entry.Listen,
-		Director: s.Director.Listen,
+		Agent:    s.Agent.PeerAddress,
+		Entry:    s.Entry.ListenAddress,
+		Director: s.Director.ListenAddress,
 	}
 }
 
@@ -105,12 +105,12 @@
 	metrics.Publish("agent", func() any { return a.Counters() })
 	metrics.Publish("peer_bytes_sent", func() any { return traffic.Sent.Load() })
 	metrics.Publish("peer_bytes_received", func() any { return traffic.Received.Load() })
-	process.Debug(r, func() bool { return a.Log().Revision() > 0 }, func() any { return a.Dump() })
+	process.AddDebugRoutes(r, func() bool { return a.Log().Revision() > 0 }, func() any { return a.Dump() })
 	r.Group(func(r chi.Router) {
 		r.Use(token.Require)
 		query.AddRoutes(r, a)
-		query.AddDumpRoute(r, map[string]string{"director": s.Director.Debug, "entry": s.Entry.Debug}, func() any { return a.Dump() })
-		command.AddRoutes(r, a, s.Agent.Commit)
+		query.AddDumpRoute(r, map[string]string{"director": s.Director.DebugAddress, "entry": s.Entry.DebugAddress}, func() any { return a.Dump() })
+		command.AddRoutes(r, a, s.Agent.CommitTimeout)
 	})
 	return r
 }
--- a/cmd/loomkeel-director/main.go
+++ b/cmd/loomkeel-director/main.go
@@ -24,7 +24,7 @@
 const stopTimeout = 5 * time.Second
 
 func main() {
-	cli.Main(cli.Daemon{Name: "loomkeel-director", Usage: "answer look-ups: which entry instances to use", Ballast: process.BallastLookups, Run: run})
+	cli.Main(cli.Daemon{Name: "loomkeel-director", Usage: "answer look-ups: which entry instances to use", Ballast: process.BallastDirector, Run: run})
 }
 
 // dump is everything that the process decides by.
@@ -34,11 +34,11 @@
 }
 
 func run(ctx context.Context, s *settings.Settings) error {
-	_, clientTLS, err := tlsconf.Peers(s.TLS)
+	_, clientTLS, err := tlsconf.PeerConfigs(s.TLS)
 	if err != nil {
 		return eris.Wrap(err, "peer certificates")
 	}
-	serverTLS, err := tlsconf.Server(s.TLS)
+	serverTLS, err := tlsconf.ServerConfig(s.TLS)
 	if err != nil {
 		return eris.Wrap(err, "certificate")
 	}
@@ -46,23 +46,23 @@
 	defer dialer.Close()
 	d := director.New(time.Now)
 	f := follow.New(follow.Options{
-		Dialer: dialer, Agent: s.Agent.Peer, Process: agent.ProcessDirector, Region: s.Instance.Region, Update: d.Update,
+		Dialer: dialer, Agent: s.Agent.PeerAddress, Process: agent.ProcessDirector, Region: s.Instance.Region, OnUpdate: d.Update,
 	})
 	state := func() any { return dump{f.Status(), d.Dump()} }
 	metrics.Publish("director", state)
 	debug := chi.NewRouter()
-	process.Debug(debug, d.Ready, state)
-	debugServer, err := process.Listen(s.Director.Debug, debug)
+	process.AddDebugRoutes(debug, d.Ready, state)
+	debugServer, err := process.Listen(s.Director.DebugAddress, debug)
 	if err != nil {
 		return eris.Wrap(err, "debug address")
 	}
 	go debugServer.Serve()
-	srv, err := process.ListenTLS(s.Director.Listen, d.Handler(), serverTLS)
+	srv, err := process.ListenTLS(s.Director.ListenAddress, d.Handler(), serverTLS)
 	if err != nil {
 		return eris.Wrap(err, "listen address")
 	}
 	go srv.Serve()
-	klog.InfoS("director started", "listen", s.Director.Listen)
+	klog.InfoS("director started", "listen", s.Director.ListenAddress)
 	f.Run(ctx)
 	stopCtx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
--- a/cmd/loomkeel-entry/main.go
+++ b/cmd/loomkeel-entry/main.go
@@ -23,44 +23,44 @@
 )
 
 func main() {
-	cli.Main(cli.Daemon{Name: "loomkeel-entry", Usage: "carry requests to upstreams", Ballast: process.BallastCarrier, Run: run})
+	cli.Main(cli.Daemon{Name: "loomkeel-entry", Usage: "carry requests to upstreams", Ballast: process.BallastEntry, Run: run})
 }
 
 func run(ctx context.Context, s *settings.Settings) error {
-	_, clientTLS, err := tlsconf.Peers(s.TLS)
+	_, clientTLS, err := tlsconf.PeerConfigs(s.TLS)
 	if err != nil {
 		return eris.Wrap(err, "peer certificates")
 	}
-	upstreamTLS, err := tlsconf.Upstreams(s.TLS)
+	upstreamTLS, err := tlsconf.UpstreamConfig(s.TLS)
 	if err != nil {
 		return eris.Wrap(err, "upstream certificates")
 	}
-	serverTLS, err := tlsconf.Server(s.TLS)
+	serverTLS, err := tlsconf.ServerConfig(s.TLS)
 	if err != nil {
 		return eris.Wrap(err, "certificate")
 	}
 	dialer := rpc.NewDialer(clientTLS, nil)
 	defer dialer.Close()
-	e := entry.New(forward.Options{Self: s.Instance.ID, MaxInFlight: s.Entry.Room, MaxBody: int64(s.Entry.MaxBody), TLS: upstreamTLS, Now: time.Now})
+	e := entry.New(forward.Options{Self: s.Instance.ID, MaxInFlight: s.Entry.MaxInFlight, MaxBody: int64(s.Entry.MaxBody), TLS: upstreamTLS, Now: time.Now})
 	f := follow.New(follow.Options{
-		Dialer: dialer, Agent: s.Agent.Peer, Process: agent.ProcessEntry, Region: s.Instance.Region,
-		Update: e.Carrier.Update, Skip: tree.IsBlocksPath,
+		Dialer: dialer, Agent: s.Agent.PeerAddress, Process: agent.ProcessEntry, Region: s.Instance.Region,
+		OnUpdate: e.Carrier.Update, SkipPath: tree.IsBlocksPath,
 	})
 	metrics.Publish("entry", func() any { return e.Metrics() })
 	debug := chi.NewRouter()
 	ready := func() bool { return e.Carrier.Snapshot() != nil && ctx.Err() == nil }
-	process.Debug(debug, ready, func() any { return e.Dump(f.Status()) })
-	debugServer, err := process.Listen(s.Entry.Debug, debug)
+	process.AddDebugRoutes(debug, ready, func() any { return e.Dump(f.Status()) })
+	debugServer, err := process.Listen(s.Entry.DebugAddress, debug)
 	if err != nil {
 		return eris.Wrap(err, "debug address")
 	}
 	go debugServer.Serve()
-	srv, err := process.ListenTLS(s.Entry.Listen, e.Carrier, serverTLS)
+	srv, err := process.ListenTLS(s.Entry.ListenAddress, e.Carrier, serverTLS)
 	if err != nil {
 		return eris.Wrap(err, "listen address")
 	}
 	go srv.Serve()
-	klog.InfoS("entry started", "listen", s.Entry.Listen)
+	klog.InfoS("entry started", "listen", s.Entry.ListenAddress)
 	following, end := context.WithCancel(context.Background())
 	defer end()
 	go f.Run(following)
@@ -68,7 +68,7 @@
 	<-ctx.Done()
 	return e.Stop(context.Background(), srv, entry.StopOptions{
 		Linger:  s.Entry.Linger,
-		Timeout: s.Entry.StopTime,
+		Timeout: s.Entry.StopTimeout,
 		Agent:   f,
 	})
 }
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -65,7 +65,7 @@
 		dec.DisallowUnknownFields()
 		if err := dec.Decode(&body); err != nil {
 			fault := fmt.Sprintf("decode request body: %v", err)
-			process.JSON(w, http.StatusBadRequest, Result{Outcome: configlog.Refused, Kind: configlog.RefusedInvalid, Faults: []string{fault}})
+			process.WriteJSON(w, http.StatusBadRequest, Result{Outcome: configlog.Refused, Kind: configlog.RefusedInvalid, Faults: []string{fault}})
 			return
 		}
 		// The commit continues if the operator disconnects: if it stopped after the
@@ -74,7 +74,7 @@
 		defer cancel()
 		res := resultOf(body.ID, c.Commit(ctx, body.change()))
 		klog.InfoS("commit finished", "id", body.ID, "author", body.Author, "outcome", res.Outcome, "revision", res.Revision)
-		process.JSON(w, statusOf(res), res)
+		process.WriteJSON(w, statusOf(res), res)
 	})
 }
 
--- a/internal/configlog/committer.go
+++ b/internal/configlog/committer.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"github.com/loomkeel/loomkeel/internal/platform"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 )
 
 const (
@@ -52,7 +52,7 @@
 // use; commits of one Committer run one after the other.
 type Committer struct {
 	mu    sync.Mutex
-	store platform.Store
+	store coordination.Store
 	log   *Log
 	now   func() time.Time
 	// snapshot is the revision of the newest snapshot known to be stored.
@@ -61,7 +61,7 @@
 
 // NewCommitter returns a Committer that writes to store, keeps log up to date
 // with the store and checks changes against it. Records are timestamped with now.
-func NewCommitter(store platform.Store, log *Log, now func() time.Time) *Committer {
+func NewCommitter(store coordination.Store, log *Log, now func() time.Time) *Committer {
 	return &Committer{store: store, log: log, now: now}
 }
 
@@ -152,13 +152,13 @@
 	if err != nil {
 		return refusedResult(invalidRefusal([]error{err})), true
 	}
-	_, err = a.store.Swap(ctx, slotKey(rec.Revision), free.version, body, 0)
+	_, err = a.store.CompareAndSwap(ctx, slotKey(rec.Revision), free.version, body, 0)
 	switch {
 	case err == nil:
 		return a.acceptedResult(ctx, rec), true
-	case errors.Is(err, platform.ErrConflict):
+	case errors.Is(err, coordination.ErrConflict):
 		return Result{}, false
-	case errors.Is(err, platform.ErrRefused):
+	case errors.Is(err, coordination.ErrRefused):
 		return a.retry(ctx, err)
 	}
 	a.pending = rec.Revision
--- a/internal/configlog/committer_test.go
+++ b/internal/configlog/committer_test.go
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/loomkeel/loomkeel/internal/platform"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 	"github.com/loomkeel/loomkeel/internal/standin"
 	"github.com/loomkeel/loomkeel/internal/tree"
 )
@@ -21,7 +21,7 @@
 	c   *Committer
 }
 
-func newWriter(s platform.Store) *writer {
+func newWriter(s coordination.Store) *writer {
 	log := NewLog()
 	return &writer{log, NewCommitter(s, log, time.Now)}
 }
@@ -39,7 +39,7 @@
 
 // occurrences reads the whole log from the store. It returns how often each
 // change id was read and the resulting log.
-func occurrences(t testing.TB, s platform.Store) (map[string]int, *Log) {
+func occurrences(t testing.TB, s coordination.Store) (map[string]int, *Log) {
 	t.Helper()
 	log := NewLog()
 	seen := make(map[string]int)
@@ -83,7 +83,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := standin.NewStore()
-				injectOneFault(s, standin.OpSwap, "log/", f)
+				injectOneFault(s, standin.OpCompareAndSwap, "log/", f)
 				r := newWriter(s).commit(t, deadlineChange("c1", "stock", "2s"))
 				if r.Outcome != Accepted || r.Revision != 1 {
 					t.Fatalf("commit = %+v", r)
@@ -104,7 +104,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewStore()
 		s.SetFault(func(op standin.Op, key string) standin.Fault {
-			return standin.Fault{LoseReply: op == standin.OpSwap, Down: op == standin.OpGet && s.Calls(standin.OpSwap) > 0}
+			return standin.Fault{LoseReply: op == standin.OpCompareAndSwap, Down: op == standin.OpGet && s.CallCount(standin.OpCompareAndSwap) > 0}
 		})
 		w := newWriter(s)
 		if r := w.commit(t, deadlineChange("c1", "stock", "2s")); r.Outcome != Unknown {
@@ -165,7 +165,7 @@
 
 // commitConcurrently commits n changes, each by its own writer, and counts the
 // outcomes.
-func commitConcurrently(t *testing.T, s platform.Store, n int, change func(i int) Change) map[Outcome]int {
+func commitConcurrently(t *testing.T, s coordination.Store, n int, change func(i int) Change) map[Outcome]int {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	got := make(map[Outcome]int)
@@ -207,7 +207,7 @@
 func TestWriterPausedForFullRing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewStore()
-		injectOneFault(s, standin.OpSwap, "log/", standin.Fault{Delay: 24 * time.Hour})
+		injectOneFault(s, standin.OpCompareAndSwap, "log/", standin.Fault{Delay: 24 * time.Hour})
 		late := newWriter(s)
 		var r Result
 		var wg sync.WaitGroup
--- a/internal/configlog/reader.go
+++ b/internal/configlog/reader.go
@@ -8,7 +8,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/loomkeel/loomkeel/internal/platform"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 	"github.com/loomkeel/loomkeel/internal/rpc/pb"
 )
 
@@ -25,14 +25,14 @@
 
 // Reader follows the log in the store. It is not safe for concurrent use.
 type Reader struct {
-	store platform.Store
+	store coordination.Store
 	log   *Log
 	// headVersion is the store version of the head at the last read.
 	headVersion uint64
 }
 
 // NewReader returns a Reader that applies the records in store to log.
-func NewReader(store platform.Store, log *Log) *Reader {
+func NewReader(store coordination.Store, log *Log) *Reader {
 	return &Reader{store: store, log: log}
 }
 
@@ -52,7 +52,7 @@
 func (r *Reader) CatchUp(ctx context.Context) error { return catchUp(ctx, r.store, r.log) }
 
 // catchUp applies all records of the stored log that follow log's revision.
-func catchUp(ctx context.Context, store platform.Store, log *Log) error {
+func catchUp(ctx context.Context, store coordination.Store, log *Log) error {
 	for {
 		_, more, err := readNext(ctx, store, log)
 		if err != nil || !more {
@@ -72,13 +72,13 @@
 // readNext reads the slot of the next revision and applies its record, or a
 // snapshot if the slot holds a later record. It returns true if there may be more
 // to read. Otherwise the returned slot is free for the next revision.
-func readNext(ctx context.Context, store platform.Store, log *Log) (slot, bool, error) {
+func readNext(ctx context.Context, store coordination.Store, log *Log) (slot, bool, error) {
 	next := log.Revision() + 1
 	e, err := store.Get(ctx, slotKey(next))
 	if err != nil {
 		return slot{}, false, err
 	}
-	if e.Version == platform.Absent {
+	if e.Version == coordination.Absent {
 		return slot{}, false, checkSlotFree(0, next)
 	}
 	rec, err := Decode(e.Value)
@@ -106,7 +106,7 @@
 
 // restoreSnapshot loads the newest snapshot into log. It is called when the next
 // record of log was overwritten by the record of revision seen.
-func restoreSnapshot(ctx context.Context, store platform.Store, log *Log, seen uint64) error {
+func restoreSnapshot(ctx context.Context, store coordination.Store, log *Log, seen uint64) error {
 	s, err := LoadSnapshot(ctx, store)
 	if err != nil {
 		return err
@@ -161,7 +161,7 @@
 // updateHead writes log's revision and newest records to the head, unless the
 // head is already at that revision. Errors are ignored because readers also read
 // the slots.
-func updateHead(ctx context.Context, store platform.Store, log *Log) {
+func updateHead(ctx context.Context, store coordination.Store, log *Log) {
 	e, err := store.Get(ctx, headKey)
 	if err != nil {
 		return
@@ -174,7 +174,7 @@
 	if err != nil {
 		return
 	}
-	_, _ = store.Swap(ctx, headKey, e.Version, body, 0)
+	_, _ = store.CompareAndSwap(ctx, headKey, e.Version, body, 0)
 }
 
 // newHead returns the head for log, with the newest records that are within
--- a/internal/configlog/snapshot.go
+++ b/internal/configlog/snapshot.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/loomkeel/loomkeel/internal/platform"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 	"github.com/loomkeel/loomkeel/internal/rpc/pb"
 	"github.com/loomkeel/loomkeel/internal/tree"
 )
@@ -136,7 +136,7 @@
 // and deletes the parts of the previous snapshot. If the stored snapshot is as new
 // as s or newer, it is kept. SaveSnapshot returns the revision of the stored
 // snapshot.
-func SaveSnapshot(ctx context.Context, store platform.Store, s *Snapshot) (uint64, error) {
+func SaveSnapshot(ctx context.Context, store coordination.Store, s *Snapshot) (uint64, error) {
 	at, old, err := readPointer(ctx, store)
 	if err != nil || old.GetRevision() >= s.Revision {
 		return old.GetRevision(), err
@@ -156,7 +156,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if _, err := store.Swap(ctx, snapshotKey, at, body, 0); err != nil {
+	if _, err := store.CompareAndSwap(ctx, snapshotKey, at, body, 0); err != nil {
 		return 0, err
 	}
 	deleteParts(ctx, store, old)
@@ -165,9 +165,9 @@
 
 // storePart writes a part, unless another writer of the same revision has already
 // stored it.
-func storePart(ctx context.Context, store platform.Store, key string, body []byte) error {
-	_, err := store.Swap(ctx, key, platform.Absent, body, 0)
-	if errors.Is(err, platform.ErrConflict) {
+func storePart(ctx context.Context, store coordination.Store, key string, body []byte) error {
+	_, err := store.CompareAndSwap(ctx, key, coordination.Absent, body, 0)
+	if errors.Is(err, coordination.ErrConflict) {
 		return nil
 	}
 	return err
@@ -175,14 +175,14 @@
 
 // deleteParts deletes the parts of an old snapshot. It stops at the first failed
 // read and ignores failed deletions.
-func deleteParts(ctx context.Context, store platform.Store, old *pb.SnapshotPointer) {
+func deleteParts(ctx context.Context, store coordination.Store, old *pb.SnapshotPointer) {
 	for i := range old.GetChecksums() {
 		key := partKey(old.GetRevision(), i)
 		e, err := store.Get(ctx, key)
 		if err != nil {
 			return
 		}
-		if e.Version != platform.Absent {
+		if e.Version != coordination.Absent {
 			_ = store.Delete(ctx, key, e.Version)
 		}
 	}
@@ -190,7 +190,7 @@
 
 // readPointer returns the snapshot pointer and the store version of its key. The
 // pointer is empty if there is no snapshot.
-func readPointer(ctx context.Context, store platform.Store) (uint64, *pb.SnapshotPointer, error) {
+func readPointer(ctx context.Context, store coordination.Store) (uint64, *pb.SnapshotPointer, error) {
 	var p pb.SnapshotPointer
 	e, err := store.Get(ctx, snapshotKey)
 	if err != nil {
@@ -207,7 +207,7 @@
 const maxLoadAttempts = 3
 
 // LoadSnapshot returns the newest snapshot in the store, or nil if there is none.
-func LoadSnapshot(ctx context.Context, store platform.Store) (*Snapshot, error) {
+func LoadSnapshot(ctx context.Context, store coordination.Store) (*Snapshot, error) {
 	var err error
 	for range maxLoadAttempts {
 		var p *pb.SnapshotPointer
@@ -227,7 +227,7 @@
 
 // loadParts reads the parts of the snapshot that p points to and checks them
 // against their checksums.
-func loadParts(ctx context.Context, store platform.Store, p *pb.SnapshotPointer) (*Snapshot, error) {
+func loadParts(ctx context.Context, store coordination.Store, p *pb.SnapshotPointer) (*Snapshot, error) {
 	var a Assembler
 	for i, sum := range p.GetChecksums() {
 		e, err := store.Get(ctx, partKey(p.GetRevision(), i))
--- a/internal/inflight/rates.go
+++ b/internal/inflight/rates.go
@@ -11,42 +11,46 @@
 	"github.com/loomkeel/loomkeel/internal/ratelimit"
 )
 
-// This file has what entries tell each other of the limits that upstreams name (package
-// ratelimit), in reports of their own. The senders of an upstream tell each other at once of
-// their requests; what the limits are goes the ways of the reports of requests under way.
+// This file has the reports of the rate limits that upstreams announce; see package ratelimit.
+// The senders of an upstream report the number of their requests to each other at once. The
+// limits themselves go to the peers that also get the reports of requests in flight.
 
 const (
-	// maxRates bounds the upstreams of one report, so that it fits a datagram; one takes up to
-	// 16 bytes.
+	// maxRates bounds the upstreams of one report, so that it fits a datagram; an upstream
+	// takes up to 16 bytes.
 	maxRates = 75
-	// maxRateUnits bounds what is believed of a limit, in units of ratelimit.Resolution.
+	// maxRateUnits bounds the limits accepted from a report, in units of
+	// ratelimit.Resolution.
 	maxRateUnits = 1 << 50
-	// ratesPeriods is after how many near periods senders tell each other that they are there,
-	// and allRatesPeriods after how many all limits are told.
+	// ratesPeriods is the number of periods (localPeriod) between two reports that confirm to other
+	// senders that this entry is present, allRatesPeriods the number between two reports of
+	// all limits.
 	ratesPeriods    = 2
 	allRatesPeriods = 10
-	// urgentGap is the least time between two urgent reports.
+	// urgentGap is the shortest time between two urgent reports.
 	urgentGap = 5 * time.Millisecond
-	// maxStarted bounds the peers that have started and are to be told.
+	// maxStarted bounds the queue of restarted peers that are to get all limits.
 	maxStarted = 64
-	// changesGap is the least time between two urgent reports of limits that have changed.
+	// changesGap is the shortest time between two urgent reports of changed limits.
 	changesGap = 50 * time.Millisecond
 )
 
-// Rates is what an Exchange tells of the limits of upstreams, and where it brings what it is
-// told.
+// Rates holds the limits of upstreams that an Exchange reports, and takes the limits and
+// counts that peers report.
 type Rates interface {
-	// UrgentRates has a value when others are to hear at once.
-	UrgentRates() <-chan struct{}
-	// RateNews returns what to tell.
-	RateNews(scope balance.UpdateScope) []balance.LimitUpdate
-	// RateSenders returns the ids of the entries that share a limit with this one.
-	RateSenders() map[string]bool
-	// HeardRates takes in what a peer told in one of its lives.
-	HeardRates(peer string, life uint64, told []balance.LimitUpdate)
+	// UrgentUpdates returns a channel that has a value when a report is to be sent at once.
+	UrgentUpdates() <-chan struct{}
+	// LimitUpdates returns the limits and request counts to report.
+	LimitUpdates(scope balance.UpdateScope) []balance.LimitUpdate
+	// LimitSenders returns the ids of the entries that share the limit of an upstream with
+	// this entry.
+	LimitSenders() map[string]bool
+	// ApplyPeerLimits takes what an incarnation of a peer has reported.
+	ApplyPeerLimits(peer string, incarnation uint64, rates []balance.LimitUpdate)
 }
 
-// appendRates encodes a limit as its units and one, so that 0 stands for none.
+// appendRates appends the encoding of up to maxRates limits. A limit is encoded as its units
+// plus one, where 0 means no limit.
 func appendRates(b []byte, rates []balance.LimitUpdate) []byte {
 	for _, n := range rates[:min(len(rates), maxRates)] {
 		units := uint64(0)
@@ -61,6 +65,7 @@
 	return b
 }
 
+// decodeRates decodes the output of appendRates.
 func decodeRates(b []byte) ([]balance.LimitUpdate, error) {
 	var out []balance.LimitUpdate
 	var upstream uint32
@@ -85,15 +90,16 @@
 	return out, nil
 }
 
-// tellRates tells peers of limits. It sends a report also if there is nothing to tell.
-func (x *Exchange) tellRates(peers []Peer, news []balance.LimitUpdate) {
-	for first := true; first || len(news) > 0; first = false {
-		n := min(len(news), maxRates)
+// sendRates sends limits to peers, in as many reports as needed. It sends an empty report if
+// there are no limits, as this still confirms that the entry is present.
+func (x *Exchange) sendRates(peers []Peer, updates []balance.LimitUpdate) {
+	for first := true; first || len(updates) > 0; first = false {
+		n := min(len(updates), maxRates)
 		r := Report{
 			Entry: x.opt.Entry, Incarnation: x.opt.Incarnation, Sequence: x.seq,
-			Scope: ScopeNone, Last: allUpstreams, HasRates: true, Rates: news[:n],
+			Scope: ScopeNone, Last: allUpstreams, HasRates: true, Rates: updates[:n],
 		}
-		news = news[n:]
+		updates = updates[n:]
 		x.buf = r.Append(x.buf[:0])
 		for _, p := range peers {
 			_, _ = x.conn.WriteToUDPAddrPort(x.buf, p.Address)
@@ -101,48 +107,48 @@
 	}
 }
 
-// urgentRates tells the other senders of upstreams what they have not been told, and those that
-// reports go to of limits that have changed.
-func (x *Exchange) urgentRates(now time.Time) {
-	news := x.opt.Rates.RateNews(balance.UnsentUpdates)
-	x.tellSenders(x.opt.Fleet(), news, nil)
-	changed := slices.DeleteFunc(news, func(n balance.LimitUpdate) bool { return !n.Changed })
-	if len(changed) > 0 && now.Sub(x.changesTold) >= changesGap {
-		x.changesTold = now
-		x.tellRates(x.rateListeners, changed)
+// sendUrgentRates sends unsent request counts to the other senders of their upstreams, and
+// changed limits to the peers of the periodic reports.
+func (x *Exchange) sendUrgentRates(now time.Time) {
+	updates := x.opt.Rates.LimitUpdates(balance.UnsentUpdates)
+	x.sendRatesToSenders(x.opt.Fleet(), updates, nil)
+	changed := slices.DeleteFunc(updates, func(n balance.LimitUpdate) bool { return !n.Changed })
+	if len(changed) > 0 && now.Sub(x.changesSentAt) >= changesGap {
+		x.changesSentAt = now
+		x.sendRates(x.ratePeers, changed)
 	}
 }
 
-// noteLife notices a peer that has started. The limits that it does not know are told to it at
-// once if there is room in the queue, else in the next report.
-func (x *Exchange) noteLife(p Peer, life uint64, fleet Fleet) {
+// noteIncarnation queues a peer of which a new incarnation is seen, so that it gets all limits
+// at once. If the queue is full the peer gets them by the next periodic report.
+func (x *Exchange) noteIncarnation(p Peer, incarnation uint64, fleet Fleet) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.opt.Rates == nil || life <= x.lives[p.ID] {
+	if x.opt.Rates == nil || incarnation <= x.incarnations[p.ID] {
 		return
 	}
-	if len(x.lives) > 2*len(fleet.Peers) {
-		// Most of them have left for good.
-		clear(x.lives)
+	if len(x.incarnations) > 2*len(fleet.Peers) {
+		// Most of these entries are no longer in the fleet.
+		clear(x.incarnations)
 	}
-	x.lives[p.ID] = life
+	x.incarnations[p.ID] = incarnation
 	select {
 	case x.started <- p:
 	default:
 	}
 }
 
-// tellStarted tells a peer that has started all limits.
-func (x *Exchange) tellStarted(p Peer) {
-	if news := x.opt.Rates.RateNews(balance.AllUpdates); len(news) > 0 {
-		x.tellRates([]Peer{p}, news)
+// sendRatesToStarted sends all limits to a peer that has started.
+func (x *Exchange) sendRatesToStarted(p Peer) {
+	if updates := x.opt.Rates.LimitUpdates(balance.AllUpdates); len(updates) > 0 {
+		x.sendRates([]Peer{p}, updates)
 	}
 }
 
-// periodicRates tells again what may have been lost: the senders of their requests, and the
-// peers that reports go to of the limits.
-func (x *Exchange) periodicRates(fleet Fleet, to []Peer) {
-	x.rateListeners = to
+// sendPeriodicRates repeats what may have been lost: request counts to the other senders, and
+// limits to the given peers.
+func (x *Exchange) sendPeriodicRates(fleet Fleet, to []Peer) {
+	x.ratePeers = to
 	if x.opt.Rates == nil || x.seq%ratesPeriods != 0 {
 		return
 	}
@@ -150,16 +156,16 @@
 	if x.seq%allRatesPeriods == 0 {
 		scope = balance.AllUpdates
 	}
-	news := x.opt.Rates.RateNews(scope)
-	x.tellSenders(fleet, news, x.opt.Rates.RateSenders())
-	if len(news) > 0 {
-		x.tellRates(to, news)
+	updates := x.opt.Rates.LimitUpdates(scope)
+	x.sendRatesToSenders(fleet, updates, x.opt.Rates.LimitSenders())
+	if len(updates) > 0 {
+		x.sendRates(to, updates)
 	}
 }
 
-// listenersByHubs are those that an entry of a fleet with hubs tells of limits: its hub, or those
-// that it is the hub of and the other hubs.
-func listenersByHubs(self string, hub Peer, busy, idle, remote []Peer) []Peer {
+// ratePeersByHubs returns the peers to which an entry of a fleet with hubs sends limits: its
+// hub, and, if it acts as a hub, its reporters and the hubs of the other failure domains.
+func ratePeersByHubs(self string, hub Peer, busy, idle, remote []Peer) []Peer {
 	out := slices.Concat(busy, idle)
 	if hub.ID != self {
 		out = append(out, hub)
@@ -170,21 +176,22 @@
 	return out
 }
 
-// tellSenders tells each entry of those upstreams that it may send to as well, and those that
-// are to hear in any case that this entry is there.
-func (x *Exchange) tellSenders(fleet Fleet, news []balance.LimitUpdate, always map[string]bool) {
-	if len(news)+len(always) == 0 {
+// sendRatesToSenders sends each entry the updates of the upstreams to which that entry may send
+// as well. The entries in always get a report in any case, which confirms that this entry is
+// present.
+func (x *Exchange) sendRatesToSenders(fleet Fleet, updates []balance.LimitUpdate, always map[string]bool) {
+	if len(updates)+len(always) == 0 {
 		return
 	}
 	shared := make(map[string][]balance.LimitUpdate)
-	for _, n := range news {
+	for _, n := range updates {
 		for _, id := range n.Senders {
 			shared[id] = append(shared[id], n)
 		}
 	}
 	for _, p := range fleet.Peers {
 		if list := shared[p.ID]; len(list) > 0 || always[p.ID] {
-			x.tellRates([]Peer{p}, list)
+			x.sendRates([]Peer{p}, list)
 		}
 	}
 }
