--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -1,5 +1,5 @@
 // Package query serves the operators' read-only HTTP interface: the settings tree,
-// its history, the members of the cluster and the dumps of an instance's processes.
+// its history, the members and the dumps of an instance's processes.
 package query
 
 import (
@@ -93,9 +93,9 @@
 	})
 }
 
-// treeOf returns the settings at a path, or all settings if path is empty, sorted
-// by path and key.
-func treeOf(log *configlog.Log, path string) Tree {
+// treeOf returns the settings at a path, or all settings if queryPath is empty,
+// sorted by path and key.
+func treeOf(log *configlog.Log, queryPath string) Tree {
 	revision, t, _ := log.Current()
 	out := Tree{Revision: revision, Settings: []Setting{}}
 	add := func(path, key string, v tree.Setting) {
@@ -103,10 +103,10 @@
 			out.Settings = append(out.Settings, Setting{path, key, v.Value, v.Revision})
 		}
 	}
-	if path == "" {
+	if queryPath == "" {
 		t.VisitAll(add)
 	} else {
-		t.VisitPath(path, func(key string, v tree.Setting) { add(path, key, v) })
+		t.VisitPath(queryPath, func(key string, v tree.Setting) { add(queryPath, key, v) })
 	}
 	sort.Slice(out.Settings, func(i, j int) bool {
 		a, b := out.Settings[i], out.Settings[j]
