--- a/internal/agent/readers.go
+++ b/internal/agent/readers.go
@@ -31,7 +31,7 @@
 func (a *Agent) logLoop(ctx context.Context) {
 	r := configlog.NewReader(a.opt.Store, a.log)
 	a.readerLoop(ctx, "log", func(ctx context.Context) error {
-		if err := r.Wait(ctx, watchTimeout); err != nil {
+		if err := r.WatchHead(ctx, watchTimeout); err != nil {
 			return err
 		}
 		before := a.log.Revision()
@@ -39,7 +39,7 @@
 			return err
 		}
 		if a.log.Revision() > before {
-			r.RaiseHead(ctx)
+			r.UpdateHead(ctx)
 		}
 		return nil
 	})
--- a/internal/agent/shares.go
+++ b/internal/agent/shares.go
@@ -42,7 +42,7 @@
 // capConfigs returns the configured caps on requests in flight, by region, and the
 // longest deadline of a request to any listed service.
 func (a *Agent) capConfigs() ([]share.Terms, time.Duration) {
-	_, t, _ := a.log.View()
+	_, t, _ := a.log.Current()
 	list, _ := a.directory.get()
 	byRegion := make(map[string]*share.Terms)
 	seen := make(map[[2]string]bool)
