--- a/cmd/loomkeel-node/main.go
+++ b/cmd/loomkeel-node/main.go
@@ -90,7 +90,7 @@
 	if s.MemoryBytes > 0 {
 		debug.SetMemoryLimit(int64(memoryLimitShare * float64(s.MemoryBytes)))
 	}
-	// By default a SIGHUP would end the process before Reload handles it.
+	// By default a SIGHUP would end the process before process.WatchFile handles it.
 	signal.Ignore(syscall.SIGHUP)
 	stopCtx, cancel := process.SignalContext(ctx)
 	defer cancel()
--- a/internal/balance/ratelimit_fleet_test.go
+++ b/internal/balance/ratelimit_fleet_test.go
@@ -54,10 +54,10 @@
 
 // simFleet is a simulated fleet of entries and upstreams of one service.
 type simFleet struct {
-	rnd     *rand.Rand
-	agenda  *eventsim.Scheduler
-	entries []*simEntry
-	service *model.Service
+	rnd       *rand.Rand
+	scheduler *eventsim.Scheduler
+	entries   []*simEntry
+	service   *model.Service
 	// limitOf returns the limit that an upstream announces at a time since the start.
 	limitOf func(upstream string, at time.Duration) float64
 	// demand returns the requests per second over all entries.
@@ -78,7 +78,7 @@
 // domains in three regions.
 func newSimFleet(seed uint64, entries, upstreams int) *simFleet {
 	f := &simFleet{
-		rnd: rand.New(rand.NewPCG(seed, 3)), agenda: eventsim.New(t0), arrivals: make(map[string][]time.Duration),
+		rnd: rand.New(rand.NewPCG(seed, 3)), scheduler: eventsim.New(t0), arrivals: make(map[string][]time.Duration),
 		service: &model.Service{Name: "s", Routed: true}, serviceTime: 150 * time.Millisecond, objects: 40 * upstreams,
 	}
 	place := func(i int) (region, domain string) {
@@ -103,18 +103,18 @@
 	return f
 }
 
-func (f *simFleet) after(d time.Duration, do func()) { f.agenda.After(d, do) }
+func (f *simFleet) after(d time.Duration, do func()) { f.scheduler.After(d, do) }
 
 // at schedules do at a time since the start.
-func (f *simFleet) at(d time.Duration, do func()) { f.agenda.At(t0.Add(d), do) }
+func (f *simFleet) at(d time.Duration, do func()) { f.scheduler.At(t0.Add(d), do) }
 
-func (f *simFleet) since() time.Duration { return f.agenda.Now().Sub(t0) }
+func (f *simFleet) since() time.Duration { return f.scheduler.Now().Sub(t0) }
 
-func (f *simFleet) run(until time.Duration) { f.agenda.RunUntil(t0.Add(until)) }
+func (f *simFleet) run(until time.Duration) { f.scheduler.RunUntil(t0.Add(until)) }
 
 // start begins a new incarnation of an entry, which has no information about limits.
 func (f *simFleet) start(e *simEntry) {
-	e.incarnation = uint64(f.agenda.Now().UnixMilli())
+	e.incarnation = uint64(f.scheduler.Now().UnixMilli())
 	e.dead, e.frozenUntil, e.updateScheduled = false, time.Time{}, false
 	e.balancer = NewBalancer()
 	incarnation := e.incarnation
@@ -156,7 +156,7 @@
 			members = append(members, o.Member)
 		}
 	}
-	e.balancer.Update(ServiceState{Service: f.service, Draining: notDraining, Self: e.ID, Region: e.Region, Domain: e.Domain, Entries: members}, f.agenda.Now())
+	e.balancer.Update(ServiceState{Service: f.service, Draining: notDraining, Self: e.ID, Region: e.Region, Domain: e.Domain, Entries: members}, f.scheduler.Now())
 }
 
 // propagateMembers passes the current members to all entries that can reach the store, each after a
@@ -179,8 +179,8 @@
 func (f *simFleet) whenRunning(e *simEntry, incarnation uint64, do func()) {
 	switch {
 	case e.dead || e.incarnation != incarnation:
-	case f.agenda.Now().Before(e.frozenUntil):
-		f.after(e.frozenUntil.Sub(f.agenda.Now()), func() { f.whenRunning(e, incarnation, do) })
+	case f.scheduler.Now().Before(e.frozenUntil):
+		f.after(e.frozenUntil.Sub(f.scheduler.Now()), func() { f.whenRunning(e, incarnation, do) })
 	default:
 		do()
 	}
@@ -203,7 +203,7 @@
 	f.propagateMembers()
 }
 
-func (f *simFleet) freeze(e *simEntry, d time.Duration) { e.frozenUntil = f.agenda.Now().Add(d) }
+func (f *simFleet) freeze(e *simEntry, d time.Duration) { e.frozenUntil = f.scheduler.Now().Add(d) }
 
 // oneWayDelay returns the network delay between two regions in one direction.
 func oneWayDelay(a, b string) time.Duration {
@@ -220,7 +220,7 @@
 	}
 	incarnation, fromIncarnation := to.incarnation, from.incarnation
 	f.after(oneWayDelay(from.Region, to.Region), func() {
-		f.whenRunning(to, incarnation, func() { to.balancer.ApplyPeerLimits(f.agenda.Now(), from.ID, fromIncarnation, updates) })
+		f.whenRunning(to, incarnation, func() { to.balancer.ApplyPeerLimits(f.scheduler.Now(), from.ID, fromIncarnation, updates) })
 	})
 }
 
@@ -229,14 +229,14 @@
 	updates := f.updates(e, UnsentUpdates)
 	f.sendToSenders(e, updates, nil)
 	changed := slices.DeleteFunc(updates, func(n LimitUpdate) bool { return !n.Changed })
-	if len(changed) > 0 && f.agenda.Now().Sub(e.lastChangesSent) >= minChangeInterval {
-		e.lastChangesSent = f.agenda.Now()
+	if len(changed) > 0 && f.scheduler.Now().Sub(e.lastChangesSent) >= minChangeInterval {
+		e.lastChangesSent = f.scheduler.Now()
 		f.sendToListeners(e, changed)
 	}
 }
 
 func (f *simFleet) updates(e *simEntry, scope UpdateScope) (out []LimitUpdate) {
-	e.balancer.VisitLimitUpdates(f.agenda.Now(), scope, func(n LimitUpdate) { out = append(out, n) })
+	e.balancer.VisitLimitUpdates(f.scheduler.Now(), scope, func(n LimitUpdate) { out = append(out, n) })
 	return out
 }
 
@@ -263,7 +263,7 @@
 		return
 	}
 	f.after(updateInterval, func() { f.sendPeriodically(e, incarnation) })
-	if f.agenda.Now().Before(e.frozenUntil) {
+	if f.scheduler.Now().Before(e.frozenUntil) {
 		return
 	}
 	scope := RecentUpdates
@@ -318,13 +318,13 @@
 	f.after(time.Duration(f.rnd.ExpFloat64()/rate*float64(time.Second)), f.generateRequests)
 	total := 0.0
 	for _, e := range f.entries {
-		if !e.dead && !f.agenda.Now().Before(e.frozenUntil) {
+		if !e.dead && !f.scheduler.Now().Before(e.frozenUntil) {
 			total += f.weight(e)
 		}
 	}
 	x := f.rnd.Float64() * total
 	for _, e := range f.entries {
-		if e.dead || f.agenda.Now().Before(e.frozenUntil) {
+		if e.dead || f.scheduler.Now().Before(e.frozenUntil) {
 			continue
 		}
 		if x -= f.weight(e); x < 0 {
@@ -337,7 +337,7 @@
 func (f *simFleet) request(e *simEntry) {
 	f.requests++
 	lb, incarnation := e.balancer, e.incarnation
-	c, err := lb.PickObject(f.agenda.Now(), ObjectRequest{
+	c, err := lb.PickObject(f.scheduler.Now(), ObjectRequest{
 		Object: HashObject("c", fmt.Sprint(f.rnd.IntN(f.objects), e.Region)), Class: "c", Objective: 10 * time.Second,
 	})
 	if err != nil {
@@ -351,8 +351,8 @@
 		rate := RateLimit{Known: true, PerSecond: f.limitOf(c.ID, f.since())}
 		f.after(way, func() {
 			f.whenRunning(e, incarnation, func() {
-				lb.ObserveLimit(f.agenda.Now(), c, rate)
-				lb.Done(f.agenda.Now(), c, DoneInfo{Result: OK, Load: -1, Waiting: -1})
+				lb.ObserveLimit(f.scheduler.Now(), c, rate)
+				lb.Done(f.scheduler.Now(), c, DoneInfo{Result: OK, Load: -1, Waiting: -1})
 			})
 		})
 	})
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -18,7 +18,7 @@
 	// Name is the name of the program, and Usage a one-line description for its help.
 	Name  string
 	Usage string
-	// Ballast is the size of the heap ballast for process.InitMemory, in bytes.
+	// Ballast is the size of the heap ballast for process.InitGC, in bytes.
 	Ballast int
 	// Run runs the process until ctx ends, at a signal to stop. Its error is printed before
 	// the process exits with status 1.
--- a/internal/forward/admission.go
+++ b/internal/forward/admission.go
@@ -106,17 +106,17 @@
 	}
 }
 
-// waitForSlot waits in the queue until a slot is free, giveUp is reached or ctx ends.
-func (p *Proxy) waitForSlot(ctx context.Context, state *serviceState, req balance.Request, limit int, giveUp time.Time, mustWait bool) (balance.Choice, *verdict.Error) {
-	ticket, ok := state.queue.Enqueue(limit)
+// waitForSlot waits in the queue until a slot is free, the time until is reached or ctx ends.
+func (p *Proxy) waitForSlot(ctx context.Context, state *serviceState, req balance.Request, limit int, until time.Time, mustWait bool) (balance.Choice, *verdict.Error) {
+	waiter, ok := state.queue.Enqueue(limit)
 	if !ok {
 		return balance.Choice{}, verdict.New(verdict.NotRun, string(admit.ReasonQueueFull), nil).WithRetryAfter(state.retryAfter(req.Regions[0]))
 	}
-	defer state.queue.Remove(ticket)
+	defer state.queue.Remove(waiter)
 	if mustWait {
-		ticket.DiscardTurn()
+		waiter.DiscardTurn()
 	}
-	timer := time.NewTimer(giveUp.Sub(p.now()))
+	timer := time.NewTimer(until.Sub(p.now()))
 	defer timer.Stop()
 	recheck := time.NewTicker(recheckInterval)
 	defer recheck.Stop()
@@ -124,7 +124,7 @@
 		select {
 		case <-recheck.C:
 			state.queue.Wake()
-		case <-ticket.Ready():
+		case <-waiter.Ready():
 			choice, err := state.balancer.Pick(p.now(), p.opt.Rand(), req)
 			if err == nil {
 				return choice, nil
--- a/internal/forward/rates.go
+++ b/internal/forward/rates.go
@@ -60,12 +60,12 @@
 	return out
 }
 
-// ApplyPeerLimits merges the updates that a peer sent about rate limits of upstreams. life is the
-// incarnation of the peer.
-func (p *Proxy) ApplyPeerLimits(peer string, life uint64, updates []balance.LimitUpdate) {
+// ApplyPeerLimits applies the updates that a peer sent about rate limits of upstreams. The
+// incarnation is that of the peer.
+func (p *Proxy) ApplyPeerLimits(peer string, incarnation uint64, updates []balance.LimitUpdate) {
 	now := p.now()
 	for _, state := range p.allServices() {
-		state.balancer.ApplyPeerLimits(now, peer, life, updates)
+		state.balancer.ApplyPeerLimits(now, peer, incarnation, updates)
 	}
 }
 
--- a/internal/inflight/usages.go
+++ b/internal/inflight/usages.go
@@ -12,7 +12,7 @@
 )
 
 // This file has the reports of the use of organisations' limits; see package quota. They go to
-// the peers that also get the reports of requests in flight, as separate reports: UsesScope
+// the peers that also get the reports of requests in flight, as separate reports: UsagesScope
 // selects the entries whose use is reported, First and Last bound the hashes of the
 // organisations.
 
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -47,7 +47,7 @@
 // simFleet is a simulated fleet that serves one organisation with a limit.
 type simFleet struct {
 	rnd       *rand.Rand
-	agenda    *eventsim.Scheduler
+	scheduler *eventsim.Scheduler
 	nodes     []*simNode
 	domains   int
 	perDomain int
@@ -74,7 +74,7 @@
 
 // newSimFleet returns a fleet of n nodes in six failure domains, with two serving nodes in each.
 func newSimFleet(seed uint64, n int, limit model.Limit) *simFleet {
-	f := &simFleet{rnd: rand.New(rand.NewPCG(seed, 7)), agenda: eventsim.New(t0), domains: simDomains, perDomain: n / simDomains, limit: limit}
+	f := &simFleet{rnd: rand.New(rand.NewPCG(seed, 7)), scheduler: eventsim.New(t0), domains: simDomains, perDomain: n / simDomains, limit: limit}
 	f.table = organisationTable(limit)
 	for i := range f.domains * f.perDomain {
 		node := &simNode{id: i, name: "n" + strconv.Itoa(i), domain: i % f.domains}
@@ -99,16 +99,16 @@
 }
 
 // after schedules a call after a delay.
-func (f *simFleet) after(d time.Duration, do func()) { f.agenda.After(d, do) }
+func (f *simFleet) after(d time.Duration, do func()) { f.scheduler.After(d, do) }
 
 // at schedules a call at a time since t0.
-func (f *simFleet) at(d time.Duration, do func()) { f.agenda.At(t0.Add(d), do) }
+func (f *simFleet) at(d time.Duration, do func()) { f.scheduler.At(t0.Add(d), do) }
 
 // elapsed returns the virtual time since t0.
-func (f *simFleet) elapsed() time.Duration { return f.agenda.Now().Sub(t0) }
+func (f *simFleet) elapsed() time.Duration { return f.scheduler.Now().Sub(t0) }
 
 // run runs the simulation until a time since t0.
-func (f *simFleet) run(until time.Duration) { f.agenda.RunUntil(t0.Add(until)) }
+func (f *simFleet) run(until time.Duration) { f.scheduler.RunUntil(t0.Add(until)) }
 
 // serves reports whether a node is one of the serving nodes of its failure domain.
 func (f *simFleet) serves(n *simNode) bool { return n.id/f.domains < simServing }
@@ -122,7 +122,7 @@
 	n.dead = false
 	n.limiter = NewLimiter()
 	f.setSources(n)
-	n.limiter.Update(f.table, testSlack, n.clock(f.agenda.Now()))
+	n.limiter.Update(f.table, testSlack, n.clock(f.scheduler.Now()))
 	incarnation := n.incarnation
 	var report func()
 	report = func() {
@@ -168,7 +168,7 @@
 	}
 	self := f.nodeWeight(n)
 	if f.hub(n.domain, n) != n {
-		n.limiter.SetSources(self, []Source{{Name: "*", Weight: f.domains*domain - self, Complete: true}}, n.clock(f.agenda.Now()))
+		n.limiter.SetSources(self, []Source{{Name: "*", Weight: f.domains*domain - self, Complete: true}}, n.clock(f.scheduler.Now()))
 		return
 	}
 	list := []Source{{Name: "peers", Weight: domain - self}}
@@ -177,13 +177,13 @@
 			list = append(list, Source{Name: "*" + strconv.Itoa(d), Weight: domain})
 		}
 	}
-	n.limiter.SetSources(self, list, n.clock(f.agenda.Now()))
+	n.limiter.SetSources(self, list, n.clock(f.scheduler.Now()))
 }
 
 // interval returns the time until a node's next report, which is longer for a node with few
 // requests.
 func (f *simFleet) interval(n *simNode) time.Duration {
-	if f.serves(n) || f.hub(n.domain, n) == n || n.limiter.InUse(n.clock(f.agenda.Now())) {
+	if f.serves(n) || f.hub(n.domain, n) == n || n.limiter.InUse(n.clock(f.scheduler.Now())) {
 		return reportInterval
 	}
 	return idleReportInterval
@@ -206,7 +206,7 @@
 	}
 	for i := range f.perDomain {
 		p := f.nodes[i*f.domains+n.domain]
-		if p != n && !p.dead && (f.serves(p) || p.limiter.InUse(p.clock(f.agenda.Now()))) {
+		if p != n && !p.dead && (f.serves(p) || p.limiter.InUse(p.clock(f.scheduler.Now()))) {
 			f.send(n, p, "*", func(s string) bool { return s != p.name })
 		}
 	}
@@ -223,7 +223,7 @@
 
 // send sends a report of a node's own usage and of that from the included reporters.
 func (f *simFleet) send(from, to *simNode, source string, include func(string) bool) {
-	now := from.clock(f.agenda.Now())
+	now := from.clock(f.scheduler.Now())
 	usages, covered := from.limiter.Usages(true, include, now), f.nodeWeight(from)+from.limiter.CoveredWeight(include, now)
 	if f.rnd.Float64() < lossRate || from.partition != to.partition {
 		return
@@ -236,7 +236,7 @@
 	}
 	f.after(delay, func() {
 		if !to.dead && to.partition == from.partition {
-			to.limiter.ApplyReport(Report{Reporter: from.name, Source: source, CoveredWeight: covered, Idle: idle, Last: 1<<32 - 1, Usages: usages}, to.clock(f.agenda.Now()))
+			to.limiter.ApplyReport(Report{Reporter: from.name, Source: source, CoveredWeight: covered, Idle: idle, Last: 1<<32 - 1, Usages: usages}, to.clock(f.scheduler.Now()))
 		}
 	})
 }
@@ -268,7 +268,7 @@
 		if x -= f.weight(n, at); x >= 0 {
 			continue
 		}
-		if ok, _ := n.limiter.Take("o", n.clock(f.agenda.Now())); ok {
+		if ok, _ := n.limiter.Take("o", n.clock(f.scheduler.Now())); ok {
 			f.admitted = append(f.admitted, at)
 		} else {
 			f.refused = append(f.refused, at)
