--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -68,7 +68,7 @@
 	table     *membership.Table
 	directory *directory
 	draining  *draining
-	keeper    *share.Keeper
+	keeper    *share.Allocator
 	stats     Stats
 
 	// proberMu guards prober and rnd, which are not safe for concurrent use.
@@ -120,7 +120,7 @@
 		rnd:       opt.Rand,
 		processes: make(map[string]*process),
 	}
-	a.keeper = share.NewKeeper(opt.Store, opt.Self.ID+"@"+opt.Machine, opt.Self.Region, opt.Boot, time.Now)
+	a.keeper = share.NewAllocator(opt.Store, opt.Self.ID+"@"+opt.Machine, opt.Self.Region, opt.Boot, time.Now)
 	a.committer = configlog.NewCommitter(opt.Store, a.log, time.Now)
 	a.prober = membership.NewProber(a.table, opt.Rand)
 	a.origin.Store("nothing yet")
--- a/internal/agent/shares.go
+++ b/internal/agent/shares.go
@@ -30,7 +30,7 @@
 			continue
 		}
 		call, cancel := context.WithTimeout(ctx, shareTimeout)
-		if err := a.keeper.Round(call, terms, hold); err != nil && ctx.Err() == nil {
+		if err := a.keeper.Reconcile(call, terms, hold); err != nil && ctx.Err() == nil {
 			a.stats.StoreFailed.Add(1)
 			klog.V(1).InfoS("shares not renewed", "err", err)
 		}
@@ -40,10 +40,10 @@
 
 // terms returns the caps that the operators have set, by region, and the longest
 // time that a request of those services may take.
-func (a *Agent) terms() ([]share.Terms, time.Duration) {
+func (a *Agent) terms() ([]share.CapConfig, time.Duration) {
 	_, t, _ := a.log.View()
 	list, _ := a.directory.get()
-	byRegion := make(map[string]*share.Terms)
+	byRegion := make(map[string]*share.CapConfig)
 	seen := make(map[[2]string]bool)
 	var hold time.Duration
 	for _, u := range list.Upstreams {
@@ -58,20 +58,20 @@
 			addCap(byRegion, t, u, total)
 		}
 	}
-	var out []share.Terms
+	var out []share.CapConfig
 	for _, terms := range byRegion {
 		slices.SortFunc(terms.Caps, func(a, b share.Cap) int { return cmp.Compare(a.Service, b.Service) })
 		out = append(out, *terms)
 	}
-	slices.SortFunc(out, func(a, b share.Terms) int { return cmp.Compare(a.Region, b.Region) })
+	slices.SortFunc(out, func(a, b share.CapConfig) int { return cmp.Compare(a.Region, b.Region) })
 	return out, hold
 }
 
-func addCap(byRegion map[string]*share.Terms, t *tree.Tree, u model.Upstream, total int) {
+func addCap(byRegion map[string]*share.CapConfig, t *tree.Tree, u model.Upstream, total int) {
 	terms := byRegion[u.Region]
 	if terms == nil {
 		path := tree.RegionPath(u.Region)
-		terms = &share.Terms{Region: u.Region, Floor: t.Float(path, tree.KeyCapFloor), Seats: t.Int(path, tree.KeyCapSeats)}
+		terms = &share.CapConfig{Region: u.Region, Floor: t.Float(path, tree.KeyCapFloor), Seats: t.Int(path, tree.KeyCapSeats)}
 		byRegion[u.Region] = terms
 	}
 	terms.Caps = append(terms.Caps, share.Cap{Service: u.Service, Total: total})
@@ -79,14 +79,14 @@
 
 // limits takes in what the entry uses of the caps and returns what it may use.
 func (a *Agent) limits(usage []*pb.CapUsage) []*pb.CapLimit {
-	reported := make([]share.Reported, len(usage))
+	reported := make([]share.CapUsage, len(usage))
 	for i, u := range usage {
-		reported[i] = share.Reported{Service: u.GetService(), Region: u.GetRegion(), Usage: share.Usage{
+		reported[i] = share.CapUsage{Service: u.GetService(), Region: u.GetRegion(), Usage: share.Usage{
 			InFlight: int(u.GetInFlight()), Refused: int(u.GetRefused()), Limit: int(u.GetLimit()),
 		}}
 	}
 	var out []*pb.CapLimit
-	for _, l := range a.keeper.Report(reported) {
+	for _, l := range a.keeper.ApplyUsage(reported) {
 		out = append(out, &pb.CapLimit{
 			Service: l.Service, Region: l.Region,
 			Floor: uint32(l.Floor), FloorUntil: l.FloorUntil, Grant: uint32(l.Grant), GrantUntil: l.GrantUntil,
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -26,7 +26,7 @@
 // Entry carries requests and counts how they end.
 type Entry struct {
 	Carrier *forward.Proxy
-	book    *share.Book
+	book    *share.Limiter
 	leaving atomic.Bool
 	mu      sync.Mutex
 	byEnd   map[end]int64
@@ -44,7 +44,7 @@
 
 // New returns an Entry. It sets Options.Observe, NewID, Book and Boot.
 func New(opt forward.Options) *Entry {
-	e := &Entry{book: share.NewBook(), byEnd: make(map[end]int64), latency: make(map[string]*metrics.Latency),
+	e := &Entry{book: share.NewLimiter(), byEnd: make(map[end]int64), latency: make(map[string]*metrics.Latency),
 		lines: logs.NewLimiter(linesPerSecond, lineBurst), routine: logs.NewLimiter(routinePerSecond, routineBurst)}
 	opt.Observe, opt.NewID = e.observe, newID
 	opt.CapShares, opt.BootClock = e.book, bootclock.Now
@@ -160,13 +160,13 @@
 	InFlight int                              `json:"in_flight"`
 	Services map[string]forward.ServiceStatus `json:"services"`
 	// Caps is what the entry uses and may use of the caps.
-	Caps    []share.Use               `json:"caps,omitempty"`
+	Caps    []share.LimitStatus       `json:"caps,omitempty"`
 	Metrics map[string]ServiceMetrics `json:"metrics"`
 }
 
 // Dump returns the entry's state.
 func (e *Entry) Dump(agent follow.Status) Dump {
-	return Dump{agent, revisionOf(e.Carrier.Snapshot()), e.Carrier.InFlight(), e.Carrier.Dump(), e.book.Look(bootclock.Now()), e.Metrics()}
+	return Dump{agent, revisionOf(e.Carrier.Snapshot()), e.Carrier.InFlight(), e.Carrier.Dump(), e.book.Statuses(bootclock.Now()), e.Metrics()}
 }
 
 func revisionOf(s *model.Snapshot) uint64 {
--- a/internal/forward/budget_test.go
+++ b/internal/forward/budget_test.go
@@ -27,7 +27,7 @@
 // newRouted returns one of several entries with one route to fakes.
 func newRouted(t *testing.T, entries int, route *model.Route, fakes []*fake) *entry {
 	c := New(Options{
-		MaxInFlight: 100, Now: time.Now, Protocol: routed{route: route}, CapShares: share.NewBook(), Domain: "a",
+		MaxInFlight: 100, Now: time.Now, Protocol: routed{route: route}, CapShares: share.NewLimiter(), Domain: "a",
 		BootClock: func() int64 { return 0 }, NewID: func() string { return "own" }, Observe: func(Outcome) {},
 	})
 	in := model.RoutedInput{
--- a/internal/forward/deadline_test.go
+++ b/internal/forward/deadline_test.go
@@ -26,7 +26,7 @@
 	}))
 	t.Cleanup(up.Close)
 	c := New(Options{
-		MaxInFlight: 100, Now: time.Now, Protocol: byRoutes{}, CapShares: share.NewBook(), Domain: "muscat-a",
+		MaxInFlight: 100, Now: time.Now, Protocol: byRoutes{}, CapShares: share.NewLimiter(), Domain: "muscat-a",
 		BootClock: func() int64 { return 0 }, NewID: func() string { return "own" }, Observe: func(Outcome) {},
 	})
 	route := func(name string, limit time.Duration) *model.Route {
--- a/internal/forward/fake_test.go
+++ b/internal/forward/fake_test.go
@@ -173,7 +173,7 @@
 	c := New(Options{
 		MaxInFlight: 100,
 		Now:         time.Now,
-		CapShares:   share.NewBook(),
+		CapShares:   share.NewLimiter(),
 		BootClock:   func() int64 { return time.Now().UnixNano() },
 		NewID: func() string {
 			mu.Lock()
--- a/internal/forward/proxy.go
+++ b/internal/forward/proxy.go
@@ -56,7 +56,7 @@
 	// one seeded from the process's own.
 	Rand func() *rand.Rand
 	// CapShares holds the own shares of the caps, by the clock BootClock.
-	CapShares *share.Book
+	CapShares *share.Limiter
 	BootClock func() int64
 	// NewID makes request ids.
 	NewID func() string
@@ -117,7 +117,7 @@
 	budget *balance.RetryBudget
 	// sheds limits how often requests go on after a shed.
 	sheds *balance.RetryBudget
-	shift *shift.Meter
+	shift *shift.Splitter
 }
 
 // New returns a Carrier that refuses everything until its first Update.
@@ -222,7 +222,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if l = c.lanes[service]; l == nil {
-		l = &lane{group: balance.NewBalancer(), budget: balance.NewRetryBudget(retryBurst), sheds: balance.NewRetryBudget(shedBurst), shift: shift.NewMeter()}
+		l = &lane{group: balance.NewBalancer(), budget: balance.NewRetryBudget(retryBurst), sheds: balance.NewRetryBudget(shedBurst), shift: shift.NewSplitter()}
 		l.group.OnLimitUpdate(c.notifyRates)
 		c.lanes[service] = l
 	}
--- a/internal/forward/regions_test.go
+++ b/internal/forward/regions_test.go
@@ -51,7 +51,7 @@
 func newHomes(t *testing.T, regions ...string) *homes {
 	h := &homes{t: t, under: func(int) bool { return false }}
 	h.carrier = New(Options{
-		MaxInFlight: 100, Now: time.Now, Protocol: byRoutes{}, CapShares: share.NewBook(), Domain: "muscat-a",
+		MaxInFlight: 100, Now: time.Now, Protocol: byRoutes{}, CapShares: share.NewLimiter(), Domain: "muscat-a",
 		BootClock: func() int64 { return 0 }, NewID: func() string { return "own" }, Observe: func(Outcome) {},
 	})
 	srv := httptest.NewServer(h.carrier)
--- a/internal/forward/serve.go
+++ b/internal/forward/serve.go
@@ -185,11 +185,11 @@
 		return order
 	}
 	to := l.shift.Decide(shift.Input{
-		Now:   c.now(),
-		Moves: moves,
-		Cap:   cl.service.ShiftCap,
-		Rate:  cl.service.ShiftRate,
-		Seen:  l.group.LastReport,
+		Now:              c.now(),
+		Moves:            moves,
+		MaxShare:         cl.service.ShiftCap,
+		MaxGainPerMinute: cl.service.ShiftRate,
+		LastReport:       l.group.LastReport,
 	})
 	if to == "" {
 		return order
--- a/internal/forward/status.go
+++ b/internal/forward/status.go
@@ -12,23 +12,23 @@
 
 // CapUsage returns what the entry uses of the caps, with the refusals since the
 // last call.
-func (c *Proxy) CapUsage() []share.Reported {
-	limits := make(map[[2]string]share.Use)
-	for _, u := range c.opt.CapShares.Uses(c.opt.BootClock()) {
+func (c *Proxy) CapUsage() []share.CapUsage {
+	limits := make(map[[2]string]share.LimitStatus)
+	for _, u := range c.opt.CapShares.StatusesAndReset(c.opt.BootClock()) {
 		limits[[2]string{u.Service, u.Region}] = u
 	}
 	snap := c.snap.Load()
 	if snap == nil {
 		return nil
 	}
-	var out []share.Reported
+	var out []share.CapUsage
 	for name, svc := range snap.Services {
 		for region := range svc.MaxInFlight {
 			if !svc.Capped(region) {
 				continue
 			}
 			u := limits[[2]string{name, region}]
-			out = append(out, share.Reported{Service: name, Region: region, Usage: share.Usage{
+			out = append(out, share.CapUsage{Service: name, Region: region, Usage: share.Usage{
 				InFlight: c.lane(name).group.InFlight(region), Refused: u.Refused, Limit: u.Limit,
 			}})
 		}
--- a/internal/forward/suspended_test.go
+++ b/internal/forward/suspended_test.go
@@ -37,7 +37,7 @@
 // newSleepingEntry is an entry on such a machine in front of one upstream.
 func newSleepingEntry(t *testing.T, clock *sleeper, f *fake) *entry {
 	c := New(Options{
-		MaxInFlight: 100, Now: clock.Now, SyncNow: clock.Check, CapShares: share.NewBook(), BootClock: func() int64 { return 0 },
+		MaxInFlight: 100, Now: clock.Now, SyncNow: clock.Check, CapShares: share.NewLimiter(), BootClock: func() int64 { return 0 },
 		NewID: func() string { return "own" }, Observe: func(Outcome) {},
 	})
 	deadline := tree.Edit{Path: "/services/orders", Key: tree.KeyDeadline, Value: "1m"}
--- a/internal/share/keeper.go
+++ b/internal/share/allocator.go
@@ -28,9 +28,9 @@
 	swapTries = 3
 )
 
-// Keeper takes part in the division of caps for one instance. It is safe for
+// Allocator takes part in the division of caps for one instance. It is safe for
 // concurrent use, but one Round must end before the next.
-type Keeper struct {
+type Allocator struct {
 	store platform.Store
 	id    string
 	home  string
@@ -52,7 +52,7 @@
 
 // region is the state of one region's ledger.
 type region struct {
-	terms  Terms
+	terms  CapConfig
 	ledger Ledger
 	usage  Demand
 	// pending is a ledger whose swap at pendingAt got no answer: it may still
@@ -63,10 +63,10 @@
 	sent map[string]int
 }
 
-// NewKeeper returns a Keeper for an instance of a region. The id must differ
+// NewAllocator returns a Keeper for an instance of a region. The id must differ
 // between two machines that take themselves for the same instance.
-func NewKeeper(store platform.Store, id, home string, boot func() int64, now func() time.Time) *Keeper {
-	return &Keeper{
+func NewAllocator(store platform.Store, id, home string, boot func() int64, now func() time.Time) *Allocator {
+	return &Allocator{
 		store: store, id: id, home: home, boot: boot, now: now,
 		regions: make(map[string]*region), absent: make(map[uint64]int64),
 	}
@@ -78,9 +78,9 @@
 // markKey returns the key that exists as long as a lease.
 func markKey(lease uint64) string { return fmt.Sprintf("lease/%d", lease) }
 
-// Round renews the lease and brings the ledgers of all regions with caps up to
+// Reconcile renews the lease and brings the ledgers of all regions with caps up to
 // date. Hold is the longest time that a request may take.
-func (k *Keeper) Round(ctx context.Context, all []Terms, hold time.Duration) error {
+func (k *Allocator) Reconcile(ctx context.Context, all []CapConfig, hold time.Duration) error {
 	errs := []error{k.renew(ctx)}
 	k.mu.Lock()
 	k.setTerms(all)
@@ -93,7 +93,7 @@
 	return errors.Join(errs...)
 }
 
-func (k *Keeper) setTerms(all []Terms) {
+func (k *Allocator) setTerms(all []CapConfig) {
 	known := make(map[string]bool, len(all))
 	for _, t := range all {
 		known[t.Region] = true
@@ -107,7 +107,7 @@
 }
 
 // region returns the state of a region. The caller holds the lock.
-func (k *Keeper) region(name string) *region {
+func (k *Allocator) region(name string) *region {
 	r := k.regions[name]
 	if r == nil {
 		r = &region{usage: make(Demand), sent: make(map[string]int)}
@@ -117,7 +117,7 @@
 }
 
 // takesPart reports whether the instance has to do with a region's caps.
-func (k *Keeper) takesPart(t Terms) bool {
+func (k *Allocator) takesPart(t CapConfig) bool {
 	if t.Region == k.home {
 		return true
 	}
@@ -126,7 +126,7 @@
 	r := k.region(t.Region)
 	for _, c := range t.Caps {
 		u := r.usage[c.Service]
-		if u.InFlight+u.Refused+r.ledger.GrantOf(k.id, uint64(k.lease), c.Service) > 0 {
+		if u.InFlight+u.Refused+r.ledger.GrantAmount(k.id, uint64(k.lease), c.Service) > 0 {
 			return true
 		}
 	}
@@ -135,7 +135,7 @@
 
 // renew extends the own lease, or takes a new one. The time up to which it may
 // be used counts from before the call.
-func (k *Keeper) renew(ctx context.Context) error {
+func (k *Allocator) renew(ctx context.Context) error {
 	k.mu.Lock()
 	lease, due := k.lease, k.boot()-k.renewed >= int64(renewEvery) || k.lease == 0
 	k.mu.Unlock()
@@ -159,7 +159,7 @@
 	return nil
 }
 
-func (k *Keeper) takeLease(ctx context.Context) (platform.LeaseID, error) {
+func (k *Allocator) takeLease(ctx context.Context) (platform.LeaseID, error) {
 	lease, err := k.store.Grant(ctx, LeaseTTL)
 	if err != nil {
 		return 0, err
@@ -169,7 +169,7 @@
 }
 
 // settle reads a region's ledger, plans the next, and swaps it in.
-func (k *Keeper) settle(ctx context.Context, t Terms, hold time.Duration) error {
+func (k *Allocator) settle(ctx context.Context, t CapConfig, hold time.Duration) error {
 	for range swapTries {
 		e, err := k.store.Get(ctx, ledgerKey(t.Region))
 		if err != nil {
@@ -196,7 +196,7 @@
 }
 
 // swap writes the next ledger in the place of now, and reports whether it did.
-func (k *Keeper) swap(ctx context.Context, t Terms, now, next Ledger, version uint64) (bool, error) {
+func (k *Allocator) swap(ctx context.Context, t CapConfig, now, next Ledger, version uint64) (bool, error) {
 	body, err := next.Encode()
 	if err != nil {
 		return false, err
@@ -219,7 +219,7 @@
 
 // confirm installs what the store holds at a version. While an earlier swap may
 // still take effect there, the holder relies on the smaller of the two.
-func (k *Keeper) confirm(t Terms, l Ledger, version uint64) {
+func (k *Allocator) confirm(t CapConfig, l Ledger, version uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	r := k.region(t.Region)
@@ -234,11 +234,11 @@
 
 // smaller returns l with the smaller of the own grants in l and other. The
 // caller holds the lock.
-func (k *Keeper) smaller(l, other Ledger, t Terms) Ledger {
+func (k *Allocator) smaller(l, other Ledger, t CapConfig) Ledger {
 	out := l.clone()
 	lease := uint64(k.lease)
 	for _, c := range t.Caps {
-		n := min(l.GrantOf(k.id, lease, c.Service), other.GrantOf(k.id, lease, c.Service))
+		n := min(l.GrantAmount(k.id, lease, c.Service), other.GrantAmount(k.id, lease, c.Service))
 		out.setGrant(Grant{k.id, lease, c.Service, n})
 	}
 	return out
@@ -246,7 +246,7 @@
 
 // checkMarks looks which leases of other holders have lapsed, if the own demand
 // is not met or it is time to.
-func (k *Keeper) checkMarks(ctx context.Context, t Terms, l Ledger) error {
+func (k *Allocator) checkMarks(ctx context.Context, t CapConfig, l Ledger) error {
 	if !k.short(t, l) && k.boot()-k.markCheck < int64(markCheckEvery) {
 		return nil
 	}
@@ -266,7 +266,7 @@
 	return nil
 }
 
-func (k *Keeper) note(lease uint64, lapsed bool) {
+func (k *Allocator) note(lease uint64, lapsed bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if !lapsed {
@@ -279,22 +279,22 @@
 }
 
 // short reports whether a pool has less left than the holder could use.
-func (k *Keeper) short(t Terms, l Ledger) bool {
+func (k *Allocator) short(t CapConfig, l Ledger) bool {
 	d := k.demand(t.Region)
 	for _, c := range t.Caps {
-		if d[c.Service].Refused > 0 && l.Granted(c.Service) >= t.Pool(c) {
+		if d[c.Service].Refused > 0 && l.TotalGranted(c.Service) >= t.Pool(c) {
 			return true
 		}
 	}
 	return false
 }
 
-func (k *Keeper) holder(t Terms, hold time.Duration) Holder {
-	return Holder{ID: k.id, Home: t.Region == k.home, Lease: k.usableLease(), Lapsed: func(g Grant) bool { return k.lapsed(g, hold) }, Now: k.now()}
+func (k *Allocator) holder(t CapConfig, hold time.Duration) Holder {
+	return Holder{ID: k.id, Local: t.Region == k.home, Lease: k.usableLease(), Reclaimable: func(g Grant) bool { return k.lapsed(g, hold) }, Now: k.now()}
 }
 
 // usableLease returns the own lease, or 0 if its time is up.
-func (k *Keeper) usableLease() uint64 {
+func (k *Allocator) usableLease() uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.boot() >= k.until {
@@ -303,7 +303,7 @@
 	return uint64(k.lease)
 }
 
-func (k *Keeper) lapsed(g Grant, hold time.Duration) bool {
+func (k *Allocator) lapsed(g Grant, hold time.Duration) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	since, ok := k.absent[g.Lease]
@@ -312,7 +312,7 @@
 
 // demand returns what the entry uses of a region's caps. Its limit counts as the
 // larger of the one that it reported and the one last sent to it.
-func (k *Keeper) demand(name string) Demand {
+func (k *Allocator) demand(name string) Demand {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	r := k.region(name)
@@ -324,8 +324,8 @@
 	return out
 }
 
-// Report takes in what the entry uses, and returns the limits for it.
-func (k *Keeper) Report(usage []Reported) []Limit {
+// ApplyUsage takes in what the entry uses, and returns the limits for it.
+func (k *Allocator) ApplyUsage(usage []CapUsage) []Limit {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, u := range usage {
@@ -342,15 +342,15 @@
 	return out
 }
 
-// Reported is what an entry uses of one cap.
-type Reported struct {
+// CapUsage is what an entry uses of one cap.
+type CapUsage struct {
 	Service, Region string
 	Usage
 }
 
-func (k *Keeper) limit(name string, r *region, c Cap) Limit {
-	h := Holder{ID: k.id, Home: name == k.home, Lease: uint64(k.lease)}
-	floor, grant := Target(r.ledger, r.terms, c, h, r.usage[c.Service])
+func (k *Allocator) limit(name string, r *region, c Cap) Limit {
+	h := Holder{ID: k.id, Local: name == k.home, Lease: uint64(k.lease)}
+	floor, grant := TargetLimit(r.ledger, r.terms, c, h, r.usage[c.Service])
 	r.sent[c.Service] = floor + grant
 	return Limit{
 		Service: c.Service, Region: name,
@@ -361,7 +361,7 @@
 
 // seatUntil returns until when the own seat may be used, by the clock since
 // boot.
-func (k *Keeper) seatUntil(l Ledger) int64 {
+func (k *Allocator) seatUntil(l Ledger) int64 {
 	for _, s := range l.Seats {
 		if s.Holder == k.id {
 			left := time.Unix(s.Renewed, 0).Add(seatUse).Sub(k.now())
@@ -373,12 +373,12 @@
 
 // RegionStatus is the state of one region's caps, for dumps.
 type RegionStatus struct {
-	Terms  Terms  `json:"terms"`
-	Ledger Ledger `json:"ledger"`
+	Config CapConfig `json:"terms"`
+	Ledger Ledger    `json:"ledger"`
 }
 
 // Dump returns the state of all regions with caps.
-func (k *Keeper) Dump() map[string]RegionStatus {
+func (k *Allocator) Dump() map[string]RegionStatus {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	out := make(map[string]RegionStatus, len(k.regions))
--- a/internal/share/ledger.go
+++ b/internal/share/ledger.go
@@ -37,8 +37,8 @@
 	Total int
 }
 
-// Terms are the caps of a region and how they are divided.
-type Terms struct {
+// CapConfig are the caps of a region and how they are divided.
+type CapConfig struct {
 	Region string
 	Caps   []Cap
 	// Floor is the share of each cap that is divided among the seats.
@@ -49,16 +49,16 @@
 
 // seated returns the terms with no fewer seats than are taken, so that lowering
 // their number does not raise the floors of those who sit.
-func (t Terms) seated(l Ledger) Terms {
+func (t CapConfig) seated(l Ledger) CapConfig {
 	t.Seats = max(t.Seats, len(l.Seats))
 	return t
 }
 
-// FloorOf returns what each seat has of a cap for good.
-func (t Terms) FloorOf(c Cap) int { return int(t.Floor*float64(c.Total)) / max(t.Seats, 1) }
+// SeatFloor returns what each seat has of a cap for good.
+func (t CapConfig) SeatFloor(c Cap) int { return int(t.Floor*float64(c.Total)) / max(t.Seats, 1) }
 
 // Pool returns what is left of a cap to be granted.
-func (t Terms) Pool(c Cap) int { return c.Total - t.FloorOf(c)*t.Seats }
+func (t CapConfig) Pool(c Cap) int { return c.Total - t.SeatFloor(c)*t.Seats }
 
 // Seat is a permanent part of a region's caps.
 type Seat struct {
@@ -113,8 +113,8 @@
 	return Ledger{slices.Clone(l.Seats), slices.Clone(l.Grants)}
 }
 
-// Granted returns the sum of a service's grants.
-func (l Ledger) Granted(service string) int {
+// TotalGranted returns the sum of a service's grants.
+func (l Ledger) TotalGranted(service string) int {
 	sum := 0
 	for _, g := range l.Grants {
 		if g.Service == service {
@@ -124,8 +124,8 @@
 	return sum
 }
 
-// GrantOf returns what a holder has under a lease.
-func (l Ledger) GrantOf(holder string, lease uint64, service string) int {
+// GrantAmount returns what a holder has under a lease.
+func (l Ledger) GrantAmount(holder string, lease uint64, service string) int {
 	for _, g := range l.Grants {
 		if g.Holder == holder && g.Lease == lease && g.Service == service {
 			return g.Amount
@@ -134,8 +134,8 @@
 	return 0
 }
 
-// Seated reports whether a holder has a seat.
-func (l Ledger) Seated(holder string) bool {
+// HasSeat reports whether a holder has a seat.
+func (l Ledger) HasSeat(holder string) bool {
 	return slices.ContainsFunc(l.Seats, func(s Seat) bool { return s.Holder == holder })
 }
 
--- a/internal/share/book.go
+++ b/internal/share/limiter.go
@@ -28,19 +28,19 @@
 // key names a cap.
 type key struct{ service, region string }
 
-// Book holds an entry's limits. It is safe for concurrent use.
-type Book struct {
+// Limiter holds an entry's limits. It is safe for concurrent use.
+type Limiter struct {
 	mu      sync.Mutex
 	limits  map[key]Limit
 	refused map[key]int
 }
 
-// NewBook returns an empty Book, which allows nothing of any cap.
-func NewBook() *Book { return &Book{limits: make(map[key]Limit), refused: make(map[key]int)} }
+// NewLimiter returns an empty Book, which allows nothing of any cap.
+func NewLimiter() *Limiter { return &Limiter{limits: make(map[key]Limit), refused: make(map[key]int)} }
 
 // Set replaces all limits. A time that has been extended stays so, since an
 // older answer may come late.
-func (b *Book) Set(limits []Limit) {
+func (b *Limiter) Set(limits []Limit) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	next := make(map[key]Limit, len(limits))
@@ -52,7 +52,7 @@
 
 // Allow reports whether one more request may go to a region where inFlight are
 // now, and counts a refusal.
-func (b *Book) Allow(service, region string, inFlight int, now int64) bool {
+func (b *Limiter) Allow(service, region string, inFlight int, now int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := key{service, region}
@@ -63,9 +63,9 @@
 	return false
 }
 
-// Uses returns what may be used at a time, with the refusals since the last
+// StatusesAndReset returns what may be used at a time, with the refusals since the last
 // call.
-func (b *Book) Uses(now int64) []Use {
+func (b *Limiter) StatusesAndReset(now int64) []LimitStatus {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := b.look(now)
@@ -73,28 +73,28 @@
 	return out
 }
 
-// Look is Uses without an effect on the count of refusals, for dumps.
-func (b *Book) Look(now int64) []Use {
+// Statuses is Uses without an effect on the count of refusals, for dumps.
+func (b *Limiter) Statuses(now int64) []LimitStatus {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.look(now)
 }
 
-func (b *Book) look(now int64) []Use {
-	var out []Use
+func (b *Limiter) look(now int64) []LimitStatus {
+	var out []LimitStatus
 	for k, l := range b.limits {
-		out = append(out, Use{k.service, k.region, l.At(now), b.refused[k]})
+		out = append(out, LimitStatus{k.service, k.region, l.At(now), b.refused[k]})
 	}
 	for k, n := range b.refused {
 		if _, ok := b.limits[k]; !ok {
-			out = append(out, Use{k.service, k.region, 0, n})
+			out = append(out, LimitStatus{k.service, k.region, 0, n})
 		}
 	}
 	return out
 }
 
-// Use is a limit in force with the refusals that it caused.
-type Use struct {
+// LimitStatus is a limit in force with the refusals that it caused.
+type LimitStatus struct {
 	Service, Region string
 	Limit           int
 	Refused         int
--- a/internal/share/plan.go
+++ b/internal/share/plan.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// SeatHold is how long a seat outlives the last word of its holder.
-	SeatHold = 24 * time.Hour
+	// SeatTTL is how long a seat outlives the last word of its holder.
+	SeatTTL = 24 * time.Hour
 	// seatUse is how long a holder uses its seat after it confirmed it. It is
 	// shorter than SeatHold by more than the wall clocks of instances differ.
-	seatUse = SeatHold - 2*time.Hour
+	seatUse = SeatTTL - 2*time.Hour
 	// seatRenew is how often a holder confirms its seat.
 	seatRenew = time.Hour
 	// headroom is by how much a holder asks for more than it uses.
@@ -30,19 +30,19 @@
 // Holder is who plans.
 type Holder struct {
 	ID string
-	// Home is true if the holder stands in the region of the ledger.
-	Home bool
+	// Local is true if the holder stands in the region of the ledger.
+	Local bool
 	// Lease is the holder's lease, or 0.
 	Lease uint64
-	// Lapsed reports whether a grant's lease lapsed so long ago that no request
+	// Reclaimable reports whether a grant's lease lapsed so long ago that no request
 	// begun under it can still run.
-	Lapsed func(g Grant) bool
+	Reclaimable func(g Grant) bool
 	// Now is the wall clock.
 	Now time.Time
 }
 
 // Plan returns the ledger as the holder wants it next, and whether it differs.
-func Plan(l Ledger, t Terms, h Holder, d Demand) (Ledger, bool) {
+func Plan(l Ledger, t CapConfig, h Holder, d Demand) (Ledger, bool) {
 	next := l.clone()
 	changed := next.seat(t, h)
 	t = t.seated(next)
@@ -50,7 +50,7 @@
 		if g.Holder == h.ID && g.Lease == h.Lease {
 			continue
 		}
-		if h.Lapsed(g) {
+		if h.Reclaimable(g) {
 			next.strike(g.Holder, g.Lease)
 			changed = true
 		}
@@ -59,7 +59,7 @@
 		return next, changed
 	}
 	for _, c := range t.Caps {
-		have := next.GrantOf(h.ID, h.Lease, c.Service)
+		have := next.GrantAmount(h.ID, h.Lease, c.Service)
 		want := next.wanted(t, c, h, d[c.Service], have)
 		if want != have {
 			next.setGrant(Grant{h.ID, h.Lease, c.Service, want})
@@ -70,8 +70,8 @@
 }
 
 // seat takes or confirms the holder's seat.
-func (l *Ledger) seat(t Terms, h Holder) bool {
-	if !h.Home {
+func (l *Ledger) seat(t CapConfig, h Holder) bool {
+	if !h.Local {
 		return false
 	}
 	now := h.Now.Unix()
@@ -89,7 +89,7 @@
 		return true
 	}
 	for i := range l.Seats {
-		if now-l.Seats[i].Renewed > int64(SeatHold.Seconds()) {
+		if now-l.Seats[i].Renewed > int64(SeatTTL.Seconds()) {
 			l.Seats[i] = Seat{h.ID, now}
 			return true
 		}
@@ -100,13 +100,13 @@
 // wanted returns the grant that the holder should have of a cap: enough for its
 // requests in flight and some more, within what the pool has left. A grant is
 // lowered only to what the entry already keeps to.
-func (l Ledger) wanted(t Terms, c Cap, h Holder, u Usage, have int) int {
+func (l Ledger) wanted(t CapConfig, c Cap, h Holder, u Usage, have int) int {
 	floor := 0
-	if h.Home && l.Seated(h.ID) {
-		floor = t.FloorOf(c)
+	if h.Local && l.HasSeat(h.ID) {
+		floor = t.SeatFloor(c)
 	}
 	pool := t.Pool(c)
-	free := pool - l.Granted(c.Service)
+	free := pool - l.TotalGranted(c.Service)
 	need := int(headroom*float64(u.InFlight)) + u.Refused + 1 - floor
 	if free < 0 {
 		// The cap was lowered: every holder gives back its part of the excess.
@@ -122,19 +122,19 @@
 // fairPart keeps one round of one holder from emptying the pool.
 func fairPart(free int) int { return (free + 1) / 2 }
 
-// Target returns the limit that an entry should keep to for a cap: all that it
+// TargetLimit returns the limit that an entry should keep to for a cap: all that it
 // has, or less when the holder wants to give a part back.
-func Target(l Ledger, t Terms, c Cap, h Holder, u Usage) (floor, grant int) {
+func TargetLimit(l Ledger, t CapConfig, c Cap, h Holder, u Usage) (floor, grant int) {
 	t = t.seated(l)
-	if h.Home && l.Seated(h.ID) {
-		floor = t.FloorOf(c)
+	if h.Local && l.HasSeat(h.ID) {
+		floor = t.SeatFloor(c)
 	}
-	have := l.GrantOf(h.ID, h.Lease, c.Service)
+	have := l.GrantAmount(h.ID, h.Lease, c.Service)
 	need := max(0, int(headroom*float64(u.InFlight))+u.Refused+1-floor)
-	if t.Pool(c) < l.Granted(c.Service) {
-		need = min(need, have*max(t.Pool(c), 0)/l.Granted(c.Service))
+	if t.Pool(c) < l.TotalGranted(c.Service) {
+		need = min(need, have*max(t.Pool(c), 0)/l.TotalGranted(c.Service))
 	}
-	if need < have-slack(have) || t.Pool(c) < l.Granted(c.Service) {
+	if need < have-slack(have) || t.Pool(c) < l.TotalGranted(c.Service) {
 		return floor, min(have, need)
 	}
 	return floor, have
--- a/internal/share/plan_test.go
+++ b/internal/share/plan_test.go
@@ -10,7 +10,7 @@
 func TestGrantIsLoweredAfterTheLimit(t *testing.T) {
 	want := terms("muscat", 40)
 	l := Ledger{Seats: []Seat{{"a", 1_800_000_000}}, Grants: []Grant{{"a", 1, "stock", 15}}}
-	h := Holder{ID: "a", Home: true, Lease: 1, Lapsed: func(Grant) bool { return false }, Now: time.Unix(1_800_000_000, 0)}
+	h := Holder{ID: "a", Local: true, Lease: 1, Reclaimable: func(Grant) bool { return false }, Now: time.Unix(1_800_000_000, 0)}
 	for _, tt := range []struct {
 		usage Usage
 		grant int
@@ -21,7 +21,7 @@
 		{Usage{}, 0},
 	} {
 		next, _ := Plan(l, want, h, Demand{"stock": tt.usage})
-		if got := next.GrantOf("a", 1, "stock"); got != tt.grant {
+		if got := next.GrantAmount("a", 1, "stock"); got != tt.grant {
 			t.Errorf("%+v: the ledger grants %d, want %d", tt.usage, got, tt.grant)
 		}
 	}
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -19,8 +19,8 @@
 // hold is the longest time that a request of these tests takes.
 const hold = 15 * time.Second
 
-func terms(region string, total int) Terms {
-	return Terms{Region: region, Caps: []Cap{{"stock", total}}, Floor: 0.5, Seats: 5}
+func terms(region string, total int) CapConfig {
+	return CapConfig{Region: region, Caps: []Cap{{"stock", total}}, Floor: 0.5, Seats: 5}
 }
 
 // clock is the virtual time since boot.
@@ -37,8 +37,8 @@
 
 // instance is an agent's keeper with the entry beside it.
 type instance struct {
-	keeper *Keeper
-	book   *Book
+	keeper *Allocator
+	book   *Limiter
 	rnd    *rand.Rand
 	mu     sync.Mutex
 	mine   int
@@ -90,11 +90,11 @@
 	x.mu.Lock()
 	mine := x.mine
 	x.mu.Unlock()
-	var usage []Reported
-	for _, u := range x.book.Uses(clock()) {
-		usage = append(usage, Reported{u.Service, u.Region, Usage{InFlight: mine, Refused: u.Refused, Limit: u.Limit}})
+	var usage []CapUsage
+	for _, u := range x.book.StatusesAndReset(clock()) {
+		usage = append(usage, CapUsage{u.Service, u.Region, Usage{InFlight: mine, Refused: u.Refused, Limit: u.Limit}})
 	}
-	x.book.Set(x.keeper.Report(usage))
+	x.book.Set(x.keeper.ApplyUsage(usage))
 }
 
 // awake reports which of the processes are not frozen.
@@ -119,12 +119,12 @@
 
 // run works until ctx ends. The processes do nothing while they are frozen, and
 // go on where they were.
-func (x *instance) run(ctx context.Context, b *bench, name string, home Terms) {
+func (x *instance) run(ctx context.Context, b *bench, name string, home CapConfig) {
 	for tick := 0; ctx.Err() == nil; tick++ {
 		agent, entry := x.awake()
 		if agent && tick%20 == 0 {
 			call, cancel := context.WithTimeout(ctx, time.Second)
-			_ = x.keeper.Round(call, []Terms{home}, hold)
+			_ = x.keeper.Reconcile(call, []CapConfig{home}, hold)
 			cancel()
 		}
 		if agent && entry && tick%10 == 0 {
@@ -155,7 +155,7 @@
 	var wg sync.WaitGroup
 	var all []*instance
 	start := func(id, home string) {
-		x := &instance{keeper: NewKeeper(store, id, home, clock, time.Now), book: NewBook(), rnd: rand.New(rand.NewPCG(rnd.Uint64(), 1)), wish: rnd.IntN(30)}
+		x := &instance{keeper: NewAllocator(store, id, home, clock, time.Now), book: NewLimiter(), rnd: rand.New(rand.NewPCG(rnd.Uint64(), 1)), wish: rnd.IntN(30)}
 		all = append(all, x)
 		wg.Go(func() { x.run(ctx, b, id, terms("muscat", b.total)) })
 	}
@@ -234,20 +234,20 @@
 			return standin.Fault{Delay: time.Duration(10+calls*137%400) * time.Millisecond}
 		})
 		want := terms("muscat", 40)
-		var keepers []*Keeper
+		var keepers []*Allocator
 		for i := range 5 {
-			keepers = append(keepers, NewKeeper(store, fmt.Sprint("home-", i), "muscat", clock, time.Now))
+			keepers = append(keepers, NewAllocator(store, fmt.Sprint("home-", i), "muscat", clock, time.Now))
 		}
 		for range 5 {
 			var wg sync.WaitGroup
 			for _, k := range keepers {
-				k.Report([]Reported{{"stock", "muscat", Usage{InFlight: 40, Refused: 100}}})
-				wg.Go(func() { _ = k.Round(t.Context(), []Terms{want}, hold) })
+				k.ApplyUsage([]CapUsage{{"stock", "muscat", Usage{InFlight: 40, Refused: 100}}})
+				wg.Go(func() { _ = k.Reconcile(t.Context(), []CapConfig{want}, hold) })
 			}
 			wg.Wait()
 			sum := 0
 			for _, k := range keepers {
-				for _, l := range k.Report(nil) {
+				for _, l := range k.ApplyUsage(nil) {
 					sum += l.At(clock())
 				}
 			}
@@ -283,14 +283,14 @@
 		var wg sync.WaitGroup
 		var all []*instance
 		for i := range 4 {
-			x := &instance{keeper: NewKeeper(store, fmt.Sprint("home-", i), "muscat", clock, time.Now), book: NewBook(), rnd: rand.New(rand.NewPCG(uint64(i), 1)), wish: 100}
+			x := &instance{keeper: NewAllocator(store, fmt.Sprint("home-", i), "muscat", clock, time.Now), book: NewLimiter(), rnd: rand.New(rand.NewPCG(uint64(i), 1)), wish: 100}
 			all = append(all, x)
 			wg.Go(func() { x.run(ctx, b, "x", terms("muscat", b.total)) })
 		}
 		usable := func() int {
 			n := 0
 			for _, x := range all {
-				for _, u := range x.book.Uses(clock()) {
+				for _, u := range x.book.StatusesAndReset(clock()) {
 					n += u.Limit
 				}
 			}
@@ -323,7 +323,7 @@
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if l, err := DecodeLedger(b); err == nil {
-			Plan(l, terms("muscat", 10), Holder{ID: "a", Home: true, Lease: 2, Lapsed: func(Grant) bool { return true }}, Demand{})
+			Plan(l, terms("muscat", 10), Holder{ID: "a", Local: true, Lease: 2, Reclaimable: func(Grant) bool { return true }}, Demand{})
 		}
 	})
 }
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -25,32 +25,32 @@
 	at     time.Time
 }
 
-// Meter decides which requests of one service are moved. It is safe for
+// Splitter decides which requests of one service are moved. It is safe for
 // concurrent use.
-type Meter struct {
+type Splitter struct {
 	mu    sync.Mutex
 	lanes map[string]*lane
 }
 
-// NewMeter returns a Meter without moves under way.
-func NewMeter() *Meter { return &Meter{lanes: make(map[string]*lane)} }
+// NewSplitter returns a Meter without moves under way.
+func NewSplitter() *Splitter { return &Splitter{lanes: make(map[string]*lane)} }
 
 // Input is what a decision is taken by.
 type Input struct {
 	Now time.Time
 	// Moves are the moves of the service out of the own region.
 	Moves []tree.Move
-	// Cap is the largest share that moves may shift together.
-	Cap float64
-	// Rate is the largest share that one move may gain in a minute.
-	Rate float64
-	// Seen returns when a region's upstreams last reported their load.
-	Seen func(region string) time.Time
+	// MaxShare is the largest share that moves may shift together.
+	MaxShare float64
+	// MaxGainPerMinute is the largest share that one move may gain in a minute.
+	MaxGainPerMinute float64
+	// LastReport returns when a region's upstreams last reported their load.
+	LastReport func(region string) time.Time
 }
 
 // Decide counts one request and returns the region it is moved to, or "" if it
 // stays.
-func (m *Meter) Decide(in Input) string {
+func (m *Splitter) Decide(in Input) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.drop(in.Moves)
@@ -58,7 +58,7 @@
 	for _, mv := range in.Moves {
 		l := m.lane(mv, in)
 		l.advance(mv, in)
-		share := math.Min(l.share, in.Cap-total)
+		share := math.Min(l.share, in.MaxShare-total)
 		total += share
 		l.credit = math.Min(l.credit+share, 1)
 		if target == "" && l.credit >= 1 {
@@ -71,7 +71,7 @@
 
 // lane returns a move's state. An entry that starts in the middle of a move
 // joins it at the share that the schedule gives.
-func (m *Meter) lane(mv tree.Move, in Input) *lane {
+func (m *Splitter) lane(mv tree.Move, in Input) *lane {
 	l := m.lanes[mv.Path]
 	if l == nil {
 		l = &lane{share: mv.Share(in.Now), at: in.Now}
@@ -91,10 +91,10 @@
 		return
 	}
 	first := l.share < mv.Step || l.share == 0
-	if !first && in.Now.Sub(in.Seen(mv.To)) > freshFor {
+	if !first && in.Now.Sub(in.LastReport(mv.To)) > freshFor {
 		return
 	}
-	next := l.share + in.Rate*elapsed.Minutes()
+	next := l.share + in.MaxGainPerMinute*elapsed.Minutes()
 	if first {
 		next = math.Max(next, mv.Step)
 	}
@@ -102,7 +102,7 @@
 }
 
 // drop forgets moves that are no longer announced.
-func (m *Meter) drop(moves []tree.Move) {
+func (m *Splitter) drop(moves []tree.Move) {
 	if len(m.lanes) <= len(moves) && m.allKnown(moves) {
 		return
 	}
@@ -115,7 +115,7 @@
 	m.lanes = keep
 }
 
-func (m *Meter) allKnown(moves []tree.Move) bool {
+func (m *Splitter) allKnown(moves []tree.Move) bool {
 	known := 0
 	for _, mv := range moves {
 		if m.lanes[mv.Path] != nil {
@@ -126,7 +126,7 @@
 }
 
 // Shares returns the share of each move under way, by its path.
-func (m *Meter) Shares() map[string]float64 {
+func (m *Splitter) Shares() map[string]float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := make(map[string]float64, len(m.lanes))
--- a/internal/shift/shift_test.go
+++ b/internal/shift/shift_test.go
@@ -14,7 +14,7 @@
 var t0 = time.Unix(1_800_000_000, 0)
 
 func input(now time.Time, moves ...tree.Move) Input {
-	return Input{Now: now, Moves: moves, Cap: 0.5, Rate: 0.2, Seen: func(string) time.Time { return now }}
+	return Input{Now: now, Moves: moves, MaxShare: 0.5, MaxGainPerMinute: 0.2, LastReport: func(string) time.Time { return now }}
 }
 
 func bulk(fraction float64, d time.Duration) tree.Move {
@@ -27,7 +27,7 @@
 	params := gopter.DefaultTestParametersWithSeed(6)
 	props := gopter.NewProperties(params)
 	props.Property("spread evenly", prop.ForAll(func(fraction float64, gaps []int) bool {
-		m, now := NewMeter(), t0
+		m, now := NewSplitter(), t0
 		var moved []int
 		for _, gap := range gaps {
 			now = now.Add(time.Duration(gap) * time.Millisecond)
@@ -53,12 +53,12 @@
 }
 
 func TestHeldWithoutReports(t *testing.T) {
-	m := NewMeter()
+	m := NewSplitter()
 	seen := t0
 	at := func(s int) float64 {
 		now := t0.Add(time.Duration(s) * time.Second)
 		in := input(now, bulk(0.4, 4*time.Minute))
-		in.Seen = func(string) time.Time { return seen }
+		in.LastReport = func(string) time.Time { return seen }
 		m.Decide(in)
 		return m.Shares()["/moves/bulk"]
 	}
@@ -83,7 +83,7 @@
 }
 
 func TestEndedMoveStops(t *testing.T) {
-	m := NewMeter()
+	m := NewSplitter()
 	for i := range 100 {
 		m.Decide(input(t0.Add(time.Duration(i)*time.Second), bulk(0.4, time.Minute)))
 	}
--- a/internal/sim/loomkeel.go
+++ b/internal/sim/loomkeel.go
@@ -15,7 +15,7 @@
 // loomkeel is the product's own policy: a balance.Group for each entry and service,
 // which hear of each other with a delay.
 type loomkeel struct {
-	play   *Play
+	play   *Simulation
 	groups [][]*balance.Balancer
 	index  map[string]int
 	ticks  int
@@ -25,7 +25,7 @@
 	members  []model.Member
 }
 
-func newLoomkeel(p *Play) Policy {
+func newLoomkeel(p *Simulation) Policy {
 	l := &loomkeel{play: p, index: make(map[string]int), drained: slices.Clone(p.drained)}
 	for _, s := range p.site.Services {
 		l.services = append(l.services, &model.Service{Name: s.Name, Routed: true})
@@ -89,9 +89,9 @@
 // way is the one-way latency between two entries.
 func (l *loomkeel) way(from, to int) time.Duration {
 	if l.members[to].Region == l.members[from].Region {
-		return l.play.site.Within
+		return l.play.site.IntraRegionLatency
 	}
-	return l.play.site.Between
+	return l.play.site.InterRegionLatency
 }
 
 // update gives all groups what an operator's order changed.
@@ -137,8 +137,8 @@
 }
 
 // Done implements Policy.
-func (l *loomkeel) Done(now time.Time, entry int, r *Request, e End) {
-	report := balance.DoneInfo{Result: balance.OK, Load: e.Load, Waiting: e.Waiting, ConnectTime: e.RoundTrip}
+func (l *loomkeel) Done(now time.Time, entry int, r *Request, e AttemptResult) {
+	report := balance.DoneInfo{Result: balance.OK, Load: e.Load, Waiting: e.Queued, ConnectTime: e.RoundTrip}
 	switch {
 	case e.TimedOut:
 		report.Result = balance.Failed
@@ -147,7 +147,7 @@
 	}
 	g := l.groups[entry][l.play.site.Classes[r.Class].Service]
 	if !e.TimedOut {
-		g.ObserveLimit(now, e.Token.(balance.Choice), balance.RateLimit{Known: true, PerSecond: e.PerSecond})
+		g.ObserveLimit(now, e.Token.(balance.Choice), balance.RateLimit{Known: true, PerSecond: e.RateLimit})
 	}
 	g.Done(now, e.Token.(balance.Choice), report)
 }
--- a/internal/sim/policies.go
+++ b/internal/sim/policies.go
@@ -11,15 +11,15 @@
 )
 
 // Policies are the policies by name.
-var Policies = map[string]func(*Play) Policy{
+var Policies = map[string]func(*Simulation) Policy{
 	"loomkeel":   newLoomkeel,
-	"least-load": func(p *Play) Policy { return &leastLoad{p} },
-	"hash":       func(p *Play) Policy { return &hashOnly{p} },
-	"omniscient": func(p *Play) Policy { return &omniscient{p} },
+	"least-load": func(p *Simulation) Policy { return &leastLoad{p} },
+	"hash":       func(p *Simulation) Policy { return &hashOnly{p} },
+	"omniscient": func(p *Simulation) Policy { return &omniscient{p} },
 }
 
 // candidates are the upstreams of a request's service that may be used.
-func (p *Play) candidates(r *Request) []int {
+func (p *Simulation) candidates(r *Request) []int {
 	var out []int
 	for i, u := range p.upstreams {
 		if u.service == p.site.Classes[r.Class].Service && !p.drained[u.domain] && !slices.Contains(r.Tried, i) {
@@ -31,7 +31,7 @@
 
 // leastLoad sends each request to the upstream with the fewest requests, of the own
 // region first. It knows the true loads.
-type leastLoad struct{ play *Play }
+type leastLoad struct{ play *Simulation }
 
 // Pick implements Policy.
 func (l *leastLoad) Pick(_ time.Time, _ int, r *Request) Decision {
@@ -47,7 +47,7 @@
 }
 
 // Done implements Policy.
-func (l *leastLoad) Done(time.Time, int, *Request, End) {}
+func (l *leastLoad) Done(time.Time, int, *Request, AttemptResult) {}
 
 // Tick implements Policy.
 func (l *leastLoad) Tick(time.Time) {}
@@ -62,7 +62,7 @@
 
 // hashOnly sends the requests for an object to one upstream by rendezvous hashing,
 // whatever its load.
-type hashOnly struct{ play *Play }
+type hashOnly struct{ play *Simulation }
 
 // Pick implements Policy.
 func (h *hashOnly) Pick(_ time.Time, _ int, r *Request) Decision {
@@ -72,7 +72,7 @@
 }
 
 // Done implements Policy.
-func (h *hashOnly) Done(time.Time, int, *Request, End) {}
+func (h *hashOnly) Done(time.Time, int, *Request, AttemptResult) {}
 
 // Tick implements Policy.
 func (h *hashOnly) Tick(time.Time) {}
@@ -82,12 +82,12 @@
 // sends each request where it will be answered first, but opens an object at another
 // upstream only if it has no warm one that answers in time, and refuses what would be
 // late while others wait.
-type omniscient struct{ play *Play }
+type omniscient struct{ play *Simulation }
 
 // Pick implements Policy.
 func (o *omniscient) Pick(now time.Time, entry int, r *Request) Decision {
 	c := &o.play.site.Classes[r.Class]
-	left := c.Objective - now.Sub(r.first) - o.play.site.Client
+	left := c.Objective - now.Sub(r.first) - o.play.site.ClientLatency
 	best, bestAt := -1, time.Duration(math.MaxInt64)
 	idle, idleAt := -1, math.MaxFloat64
 	for _, i := range o.play.candidates(r) {
@@ -120,14 +120,14 @@
 	mean := 0.0
 	for _, c := range o.play.site.Classes {
 		if c.Service == u.service {
-			mean = math.Max(mean, (1-c.Gain)*float64(c.Work)*u.slow)
+			mean = math.Max(mean, (1-c.CacheGain)*float64(c.ServiceTime)*u.slow)
 		}
 	}
 	return time.Duration(ahead * mean)
 }
 
 // Done implements Policy.
-func (o *omniscient) Done(time.Time, int, *Request, End) {}
+func (o *omniscient) Done(time.Time, int, *Request, AttemptResult) {}
 
 // Tick implements Policy.
 func (o *omniscient) Tick(time.Time) {}
--- a/internal/sim/result.go
+++ b/internal/sim/result.go
@@ -4,7 +4,7 @@
 
 // Result is what callers got in a play.
 type Result struct {
-	site    *Site
+	site    *Scenario
 	Classes []Tally
 	// Windows are the tallies of the requests by when they were first sent.
 	Windows []Tally
@@ -18,60 +18,60 @@
 
 // Tally counts requests by how they ended, each once however often it was tried.
 type Tally struct {
-	// Asked requests were sent; InTime of them were answered within their objective,
+	// Sent requests were sent; InTime of them were answered within their objective,
 	// Late after it, Refused at last, and Failed without an answer.
-	Asked, InTime, Late, Refused, Failed int
-	// Owed is the worth of all, Earned that of the answers.
-	Owed, Earned float64
+	Sent, InTime, Late, Refused, Failed int
+	// TotalValue is the worth of all, EarnedValue that of the answers.
+	TotalValue, EarnedValue float64
 }
 
-// Worth is the part of the worth that was earned.
-func (t Tally) Worth() float64 {
-	if t.Owed == 0 {
+// ValueRatio is the part of the worth that was earned.
+func (t Tally) ValueRatio() float64 {
+	if t.TotalValue == 0 {
 		return 1
 	}
-	return t.Earned / t.Owed
+	return t.EarnedValue / t.TotalValue
 }
 
-// Plus returns the sum of two tallies.
-func (t Tally) Plus(o Tally) Tally {
+// Add returns the sum of two tallies.
+func (t Tally) Add(o Tally) Tally {
 	return Tally{
-		t.Asked + o.Asked, t.InTime + o.InTime, t.Late + o.Late, t.Refused + o.Refused, t.Failed + o.Failed,
-		t.Owed + o.Owed, t.Earned + o.Earned,
+		t.Sent + o.Sent, t.InTime + o.InTime, t.Late + o.Late, t.Refused + o.Refused, t.Failed + o.Failed,
+		t.TotalValue + o.TotalValue, t.EarnedValue + o.EarnedValue,
 	}
 }
 
-func newResult(s *Site) *Result {
-	return &Result{site: s, Classes: make([]Tally, len(s.Classes)), Windows: make([]Tally, 1+s.Length/windowLength)}
+func newResult(s *Scenario) *Result {
+	return &Result{site: s, Classes: make([]Tally, len(s.Classes)), Windows: make([]Tally, 1+s.Duration/windowLength)}
 }
 
 // Total sums up all classes.
 func (r *Result) Total() Tally {
 	var sum Tally
 	for _, t := range r.Classes {
-		sum = sum.Plus(t)
+		sum = sum.Add(t)
 	}
 	return sum
 }
 
 // count adds to the tallies of a request.
 func (r *Result) count(class int, first time.Time, add Tally) {
-	r.Classes[class] = r.Classes[class].Plus(add)
+	r.Classes[class] = r.Classes[class].Add(add)
 	w := int(first.Sub(epoch) / windowLength)
-	r.Windows[w] = r.Windows[w].Plus(add)
+	r.Windows[w] = r.Windows[w].Add(add)
 }
 
 func (r *Result) asked(class int, now time.Time) {
-	r.count(class, now, Tally{Asked: 1, Owed: r.site.Classes[class].Worth})
+	r.count(class, now, Tally{Sent: 1, TotalValue: r.site.Classes[class].Value})
 }
 
 func (r *Result) served(q *Request, now time.Time) {
 	c := r.site.Classes[q.Class]
 	if now.Sub(q.first) <= c.Objective {
-		r.count(q.Class, q.first, Tally{InTime: 1, Earned: c.Worth})
+		r.count(q.Class, q.first, Tally{InTime: 1, EarnedValue: c.Value})
 		return
 	}
-	r.count(q.Class, q.first, Tally{Late: 1, Earned: c.Late * c.Worth})
+	r.count(q.Class, q.first, Tally{Late: 1, EarnedValue: c.LateValue * c.Value})
 }
 
 // refused counts a request that was refused at last. One that came back as it was told
@@ -79,7 +79,7 @@
 func (r *Result) refused(q *Request) {
 	t := Tally{Refused: 1}
 	if q.again {
-		t.Earned = -vainReturn * r.site.Classes[q.Class].Worth
+		t.EarnedValue = -vainReturn * r.site.Classes[q.Class].Value
 	}
 	r.count(q.Class, q.first, t)
 }
--- a/internal/sim/site.go
+++ b/internal/sim/scenario.go
@@ -15,23 +15,23 @@
 	"time"
 )
 
-// Site is a deployment with its load.
-type Site struct {
+// Scenario is a deployment with its load.
+type Scenario struct {
 	Name string
 	// Domains are the failure domains.
 	Domains []Domain
-	// Between is the one-way latency between regions, Within that between failure
-	// domains of a region, and Client that to callers.
-	Between, Within, Client time.Duration
-	Services                []Service
-	Classes                 []Class
-	Events                  []Event
-	// Length is for how long callers send requests.
-	Length time.Duration
-	// Wave is by what part the rate of a region swings about its mean, with the given
+	// InterRegionLatency is the one-way latency between regions, IntraRegionLatency that between failure
+	// domains of a region, and ClientLatency that to callers.
+	InterRegionLatency, IntraRegionLatency, ClientLatency time.Duration
+	Services                                              []Service
+	Classes                                               []Class
+	Events                                                []Event
+	// Duration is for how long callers send requests.
+	Duration time.Duration
+	// WaveAmplitude is by what part the rate of a region swings about its mean, with the given
 	// period; regions follow each other.
-	Wave   float64
-	Period time.Duration
+	WaveAmplitude float64
+	WavePeriod    time.Duration
 }
 
 // Domain is a failure domain with its entries.
@@ -45,10 +45,10 @@
 	Name string
 	// Upstreams is how many there are in each failure domain.
 	Upstreams []int
-	// Slots is how many requests an upstream works on at once, Queue how many may wait.
-	Slots, Queue int
-	// Memory is how many objects an upstream has at hand.
-	Memory int
+	// Slots is how many requests an upstream works on at once, QueueLimit how many may wait.
+	Slots, QueueLimit int
+	// CacheSize is how many objects an upstream has at hand.
+	CacheSize int
 }
 
 // Class is a kind of request.
@@ -61,25 +61,25 @@
 	// falls as n to the power of minus Skew.
 	Objects int
 	Skew    float64
-	// Work is the mean time at an upstream without the object at hand; with it Gain of
+	// ServiceTime is the mean time at an upstream without the object at hand; with it Gain of
 	// that is saved. Spread is the standard deviation of its logarithm.
-	Work         time.Duration
-	Gain, Spread float64
+	ServiceTime                 time.Duration
+	CacheGain, ServiceTimeSigma float64
 	// Objective is the latency within which an answer has its whole worth; a later one
 	// has Late of it. Timeout is the longest time at the entry, Deadline that of the
 	// caller.
 	Objective, Timeout, Deadline time.Duration
-	Worth, Late                  float64
+	Value, LateValue             float64
 }
 
 // Event is a trouble that begins at At and lasts For.
 type Event struct {
-	At, For time.Duration
-	Kind    EventKind
+	At, Duration time.Duration
+	Kind         EventKind
 	// Service is the index of the service concerned, Domain that of the failure domain.
 	Service, Domain int
-	// Share is the part of the upstreams concerned.
-	Share float64
+	// UpstreamShare is the part of the upstreams concerned.
+	UpstreamShare float64
 	// Factor is by how much work is slower, or the part of the requests refused or taken.
 	Factor float64
 }
@@ -105,19 +105,19 @@
 	randomKinds = Limit
 )
 
-// Random returns a deployment drawn from a seed: of one to four regions, with work of
+// RandomScenario returns a deployment drawn from a seed: of one to four regions, with work of
 // 0.1 s to 1 s, and with load between a fifth and nine tenths of what the slots could
 // bear if all work were warm.
-func Random(seed uint64) *Site {
+func RandomScenario(seed uint64) *Scenario {
 	r := rand.New(rand.NewPCG(seed, 17))
-	s := &Site{
-		Name:    fmt.Sprint("random-", seed),
-		Between: between(r, 10*time.Millisecond, 80*time.Millisecond),
-		Within:  between(r, 500*time.Microsecond, 2*time.Millisecond),
-		Client:  between(r, time.Millisecond, 10*time.Millisecond),
-		Length:  20 * time.Second,
-		Wave:    0.6 * r.Float64(),
-		Period:  between(r, 20*time.Second, 60*time.Second),
+	s := &Scenario{
+		Name:               fmt.Sprint("random-", seed),
+		InterRegionLatency: between(r, 10*time.Millisecond, 80*time.Millisecond),
+		IntraRegionLatency: between(r, 500*time.Microsecond, 2*time.Millisecond),
+		ClientLatency:      between(r, time.Millisecond, 10*time.Millisecond),
+		Duration:           20 * time.Second,
+		WaveAmplitude:      0.6 * r.Float64(),
+		WavePeriod:         between(r, 20*time.Second, 60*time.Second),
 	}
 	for region := range 1 + r.IntN(4) {
 		for d := range 1 + r.IntN(3) {
@@ -139,9 +139,9 @@
 }
 
 // addService adds a service and a class of requests for it.
-func (s *Site) addService(r *rand.Rand, i int) {
-	svc := Service{Name: fmt.Sprint("s", i), Slots: 2 + r.IntN(8), Memory: 20 + r.IntN(80)}
-	svc.Queue = 3 * svc.Slots
+func (s *Scenario) addService(r *rand.Rand, i int) {
+	svc := Service{Name: fmt.Sprint("s", i), Slots: 2 + r.IntN(8), CacheSize: 20 + r.IntN(80)}
+	svc.QueueLimit = 3 * svc.Slots
 	total := 0
 	for range s.Domains {
 		n := 1 + r.IntN(5)
@@ -151,12 +151,12 @@
 	work := between(r, 100*time.Millisecond, time.Second)
 	c := Class{
 		Name: fmt.Sprint("c", i), Service: i, Objects: 10 + r.IntN(100), Skew: 0.8 * r.Float64(),
-		Work: work, Gain: 0.3 + 0.5*r.Float64(), Spread: 0.1 + 0.3*r.Float64(), Worth: float64(1 + r.IntN(3)), Late: 0.2,
+		ServiceTime: work, CacheGain: 0.3 + 0.5*r.Float64(), ServiceTimeSigma: 0.1 + 0.3*r.Float64(), Value: float64(1 + r.IntN(3)), LateValue: 0.2,
 	}
-	c.Objective = time.Duration((0.6+0.4*r.Float64())*float64(work)) + 2*s.Client
+	c.Objective = time.Duration((0.6+0.4*r.Float64())*float64(work)) + 2*s.ClientLatency
 	c.Timeout = time.Duration(2.5 * float64(work))
 	c.Deadline = time.Duration((4 + 3*r.Float64()) * float64(work))
-	warm := (1 - c.Gain) * work.Seconds()
+	warm := (1 - c.CacheGain) * work.Seconds()
 	c.Rate = (0.2 + 0.7*r.Float64()) * float64(total*svc.Slots) / warm / float64(len(s.Domains))
 	// Plays of many thousand requests show nothing that shorter ones do not.
 	c.Rate = math.Min(c.Rate, 400/float64(len(s.Domains)))
@@ -164,11 +164,11 @@
 	s.Classes = append(s.Classes, c)
 }
 
-func (s *Site) addEvent(r *rand.Rand) {
+func (s *Scenario) addEvent(r *rand.Rand) {
 	e := Event{
-		At: between(r, 3*time.Second, 10*time.Second), For: between(r, 3*time.Second, 8*time.Second),
+		At: between(r, 3*time.Second, 10*time.Second), Duration: between(r, 3*time.Second, 8*time.Second),
 		Kind: EventKind(r.IntN(int(randomKinds))), Service: r.IntN(len(s.Services)), Domain: r.IntN(len(s.Domains)),
-		Share: 0.1 + 0.4*r.Float64(),
+		UpstreamShare: 0.1 + 0.4*r.Float64(),
 	}
 	switch e.Kind {
 	case Slow:
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-func playOf(s *Site, policy string) *Result { return New(s, 1, Policies[policy]).Run() }
+func playOf(s *Scenario, policy string) *Result { return New(s, 1, Policies[policy]).Run() }
 
 // between sums up the windows of a time.
 func (r *Result) between(from, to time.Duration) Tally {
 	var sum Tally
 	for _, w := range r.Windows[from/windowLength : to/windowLength] {
-		sum = sum.Plus(w)
+		sum = sum.Add(w)
 	}
 	return sum
 }
 
 func TestPlaysRepeat(t *testing.T) {
 	for seed := range uint64(2) {
-		a := New(Random(seed), seed, Policies["loomkeel"]).Run()
-		b := New(Random(seed), seed, Policies["loomkeel"]).Run()
+		a := New(RandomScenario(seed), seed, Policies["loomkeel"]).Run()
+		b := New(RandomScenario(seed), seed, Policies["loomkeel"]).Run()
 		if !reflect.DeepEqual(a, b) {
 			t.Errorf("seed %d: %+v and then %+v", seed, a.Total(), b.Total())
 		}
@@ -31,9 +31,9 @@
 func TestEveryRequestEnds(t *testing.T) {
 	for name := range Policies {
 		for seed := range uint64(2) {
-			sum := New(Random(seed), seed, Policies[name]).Run().Total()
-			if ended := sum.InTime + sum.Late + sum.Refused + sum.Failed; ended != sum.Asked || sum.Asked == 0 {
-				t.Errorf("%s, seed %d: %d of %d requests ended", name, seed, ended, sum.Asked)
+			sum := New(RandomScenario(seed), seed, Policies[name]).Run().Total()
+			if ended := sum.InTime + sum.Late + sum.Refused + sum.Failed; ended != sum.Sent || sum.Sent == 0 {
+				t.Errorf("%s, seed %d: %d of %d requests ended", name, seed, ended, sum.Sent)
 			}
 		}
 	}
@@ -41,16 +41,16 @@
 
 // TestPoliciesGetTheSameLoad compares what was asked.
 func TestPoliciesGetTheSameLoad(t *testing.T) {
-	want := playOf(Random(7), "loomkeel").Total().Asked
+	want := playOf(RandomScenario(7), "loomkeel").Total().Sent
 	for name := range Policies {
-		if got := playOf(Random(7), name).Total().Asked; got != want {
+		if got := playOf(RandomScenario(7), name).Total().Sent; got != want {
 			t.Errorf("%s was asked %d, loomkeel %d", name, got, want)
 		}
 	}
 }
 
 func TestUpstreamForgetsWhatWasUsedLongestAgo(t *testing.T) {
-	u := newUpstream("u", 0, 0, Service{Memory: 2})
+	u := newUpstream("u", 0, 0, Service{CacheSize: 2})
 	for _, object := range []uint64{1, 2, 1, 3} {
 		u.touch(object)
 	}
@@ -64,8 +64,8 @@
 // capacity, 0.877 of the requests of that time were answered within their objective,
 // now 0.934.
 func TestEmptiedDomain(t *testing.T) {
-	during := playOf(Named["emptied-domain"](), "loomkeel").between(8*time.Second, 16*time.Second)
-	if share := float64(during.InTime) / float64(during.Asked); share < 0.91 {
+	during := playOf(Scenarios["emptied-domain"](), "loomkeel").between(8*time.Second, 16*time.Second)
+	if share := float64(during.InTime) / float64(during.Sent); share < 0.91 {
 		t.Errorf("%.3f of the requests answered in time while a domain is empty: %+v", share, during)
 	}
 }
@@ -77,7 +77,7 @@
 	mean := make(map[string]float64)
 	for seed := range uint64(deployments) {
 		for name := range Policies {
-			mean[name] += New(Random(seed), seed, Policies[name]).Run().Total().Worth() / deployments
+			mean[name] += New(RandomScenario(seed), seed, Policies[name]).Run().Total().ValueRatio() / deployments
 		}
 	}
 	for _, simple := range []string{"least-load", "hash"} {
@@ -93,8 +93,8 @@
 func TestLimitedUpstreamsKeepTheirObjects(t *testing.T) {
 	const taken, least = 0.45, 0.5
 	for seed := range uint64(4) {
-		sum := New(Named["limits-all"](), seed, Policies["loomkeel"]).Run().between(10*time.Second, 26*time.Second)
-		if inTime := float64(sum.InTime) / float64(sum.Asked); inTime < least*taken {
+		sum := New(Scenarios["limits-all"](), seed, Policies["loomkeel"]).Run().between(10*time.Second, 26*time.Second)
+		if inTime := float64(sum.InTime) / float64(sum.Sent); inTime < least*taken {
 			t.Errorf("seed %d: %.3f of the requests in time, where limits leave room for %v", seed, inTime, taken)
 		}
 	}
--- a/internal/sim/play.go
+++ b/internal/sim/simulation.go
@@ -27,7 +27,7 @@
 	// and when it should come back.
 	Pick(now time.Time, entry int, r *Request) Decision
 	// Done tells how the attempt ended.
-	Done(now time.Time, entry int, r *Request, e End)
+	Done(now time.Time, entry int, r *Request, e AttemptResult)
 	// Tick is called every tickEvery.
 	Tick(now time.Time)
 }
@@ -44,17 +44,17 @@
 	Token any
 }
 
-// End is how an attempt ended.
-type End struct {
+// AttemptResult is how an attempt ended.
+type AttemptResult struct {
 	Token any
 	// Shed is set if the upstream refused it, TimedOut if no answer came in time.
 	Shed, TimedOut bool
-	// Load and Waiting are the requests at the upstream, and those that wait there.
-	Load, Waiting int
+	// Load and Queued are the requests at the upstream, and those that wait there.
+	Load, Queued int
 	// RoundTrip is the time to the upstream and back.
 	RoundTrip time.Duration
-	// PerSecond is the limit that the upstream names, or ratelimit.Unlimited.
-	PerSecond float64
+	// RateLimit is the limit that the upstream names, or ratelimit.Unlimited.
+	RateLimit float64
 }
 
 // Request is one try of a caller.
@@ -87,9 +87,9 @@
 	ended bool
 }
 
-// Play is one play of a site. It is not safe for concurrent use.
-type Play struct {
-	site      *Site
+// Simulation is one play of a site. It is not safe for concurrent use.
+type Simulation struct {
+	site      *Scenario
 	policy    Policy
 	rnd       *rand.Rand
 	agenda    *eventsim.Scheduler
@@ -116,8 +116,8 @@
 var epoch = time.Unix(1_700_000_000, 0)
 
 // New returns a play of a site under the policy that newPolicy returns.
-func New(site *Site, seed uint64, newPolicy func(*Play) Policy) *Play {
-	p := &Play{
+func New(site *Scenario, seed uint64, newPolicy func(*Simulation) Policy) *Simulation {
+	p := &Simulation{
 		site: site, rnd: rand.New(rand.NewPCG(seed, 1)), agenda: eventsim.New(epoch), burst: 1,
 		regionOf: make(map[string]int), result: newResult(site),
 	}
@@ -131,7 +131,7 @@
 }
 
 // addEntries sets up the failure domains with their entries.
-func (p *Play) addEntries() {
+func (p *Simulation) addEntries() {
 	site := p.site
 	for i, d := range site.Domains {
 		if _, ok := p.regionOf[d.Region]; !ok {
@@ -147,7 +147,7 @@
 	}
 }
 
-func (p *Play) addUpstreams() {
+func (p *Simulation) addUpstreams() {
 	for i, s := range p.site.Services {
 		for d, n := range s.Upstreams {
 			for k := range n {
@@ -173,7 +173,7 @@
 }
 
 // Run plays to the end and returns what callers got.
-func (p *Play) Run() *Result {
+func (p *Simulation) Run() *Result {
 	for d := range p.site.Domains {
 		for c := range p.site.Classes {
 			p.nextArrival(d, c, rand.New(rand.NewPCG(uint64(d)<<16|uint64(c), p.rnd.Uint64())))
@@ -187,13 +187,13 @@
 	return p.result
 }
 
-func (p *Play) at(t time.Time, do func()) { p.agenda.At(t, do) }
+func (p *Simulation) at(t time.Time, do func()) { p.agenda.At(t, do) }
 
-func (p *Play) after(d time.Duration, do func()) { p.agenda.After(d, do) }
+func (p *Simulation) after(d time.Duration, do func()) { p.agenda.After(d, do) }
 
-func (p *Play) over() bool { return p.agenda.Now().Sub(epoch) >= p.site.Length }
+func (p *Simulation) over() bool { return p.agenda.Now().Sub(epoch) >= p.site.Duration }
 
-func (p *Play) tick() {
+func (p *Simulation) tick() {
 	p.policy.Tick(p.agenda.Now())
 	if !p.over() {
 		p.after(tickEvery, p.tick)
@@ -202,7 +202,7 @@
 
 // nextArrival plans the next request of a class from a failure domain. Each such
 // stream has a source of its own, so that all policies get the same load.
-func (p *Play) nextArrival(domain, class int, rnd *rand.Rand) {
+func (p *Simulation) nextArrival(domain, class int, rnd *rand.Rand) {
 	c := &p.site.Classes[class]
 	region := p.regionOf[p.site.Domains[domain].Region]
 	rate := c.Rate * p.burst * p.swing(region)
@@ -216,21 +216,21 @@
 }
 
 // swing is the part of its mean rate that a region has now.
-func (p *Play) swing(region int) float64 {
-	if p.site.Wave == 0 {
+func (p *Simulation) swing(region int) float64 {
+	if p.site.WaveAmplitude == 0 {
 		return 1
 	}
-	phase := p.agenda.Now().Sub(epoch).Seconds()/p.site.Period.Seconds() + float64(region)/float64(len(p.entriesOf))
-	return 1 + p.site.Wave*math.Sin(2*math.Pi*phase)
+	phase := p.agenda.Now().Sub(epoch).Seconds()/p.site.WavePeriod.Seconds() + float64(region)/float64(len(p.entriesOf))
+	return 1 + p.site.WaveAmplitude*math.Sin(2*math.Pi*phase)
 }
 
-func (p *Play) arrive(c *Class, class, region int, rnd *rand.Rand) {
+func (p *Simulation) arrive(c *Class, class, region int, rnd *rand.Rand) {
 	object := drawObject(p.popularity[class], rnd.Float64())
-	spread := math.Max(-cutSpread, math.Min(cutSpread, rnd.NormFloat64())) * c.Spread
+	spread := math.Max(-cutSpread, math.Min(cutSpread, rnd.NormFloat64())) * c.ServiceTimeSigma
 	r := &Request{
 		Class: class, Region: region, first: p.agenda.Now(), deadline: p.agenda.Now().Add(c.Deadline),
 		Object: uint64(class)<<40 | uint64(region)<<32 | uint64(object),
-		cold:   time.Duration(float64(c.Work) * math.Exp(spread-c.Spread*c.Spread/2)),
+		cold:   time.Duration(float64(c.ServiceTime) * math.Exp(spread-c.ServiceTimeSigma*c.ServiceTimeSigma/2)),
 	}
 	p.result.asked(class, p.agenda.Now())
 	p.send(r, rnd)
@@ -246,16 +246,16 @@
 }
 
 // send brings a request to one of the entries of the caller's region.
-func (p *Play) send(r *Request, rnd *rand.Rand) {
+func (p *Simulation) send(r *Request, rnd *rand.Rand) {
 	near := p.entriesOf[r.Region]
 	r.entry = near[rnd.IntN(len(near))]
-	p.after(p.site.Client, func() {
+	p.after(p.site.ClientLatency, func() {
 		r.timeout = p.agenda.Now().Add(min(p.site.Classes[r.Class].Timeout, r.deadline.Sub(p.agenda.Now())))
 		p.decide(r)
 	})
 }
 
-func (p *Play) decide(r *Request) {
+func (p *Simulation) decide(r *Request) {
 	d := p.policy.Pick(p.agenda.Now(), r.entry, r)
 	if d.Upstream < 0 {
 		p.refuse(r, d.RetryAfter)
@@ -268,20 +268,20 @@
 }
 
 // way is the one-way latency of an attempt between entry and upstream.
-func (p *Play) way(a *attempt) time.Duration {
+func (p *Simulation) way(a *attempt) time.Duration {
 	from, to := p.entries[a.entry].domain, p.upstreams[a.upstream].domain
 	switch {
 	case from == to:
 		return 0
 	case p.site.Domains[from].Region == p.site.Domains[to].Region:
-		return p.site.Within
+		return p.site.IntraRegionLatency
 	}
-	return p.site.Between
+	return p.site.InterRegionLatency
 }
 
 // refuse sends a caller away, who comes back once.
-func (p *Play) refuse(r *Request, retryAfter time.Duration) {
-	p.after(p.site.Client, func() {
+func (p *Simulation) refuse(r *Request, retryAfter time.Duration) {
+	p.after(p.site.ClientLatency, func() {
 		left := r.deadline.Sub(p.agenda.Now())
 		if r.again || left <= 0 {
 			p.result.refused(r)
@@ -294,7 +294,7 @@
 }
 
 // reach brings an attempt to its upstream.
-func (p *Play) reach(a *attempt) {
+func (p *Simulation) reach(a *attempt) {
 	u := p.upstreams[a.upstream]
 	u.arrive(p.agenda.Now())
 	if u.sheds > 0 && p.rnd.Float64() < u.sheds || u.running >= u.slots && len(u.queue) >= u.limit {
@@ -308,20 +308,20 @@
 	p.start(u, a)
 }
 
-func (p *Play) start(u *upstream, a *attempt) {
+func (p *Simulation) start(u *upstream, a *attempt) {
 	c := &p.site.Classes[a.Class]
 	u.running++
 	p.after(u.work(c, a.Object, a.cold), func() {
 		u.running--
 		u.touch(a.Object)
-		end := End{Token: a.token, Load: u.load(), Waiting: len(u.queue), RoundTrip: 2 * p.way(a), PerSecond: u.perSecond}
+		end := AttemptResult{Token: a.token, Load: u.load(), Queued: len(u.queue), RoundTrip: 2 * p.way(a), RateLimit: u.perSecond}
 		p.after(p.way(a), func() { p.answer(a, end) })
 		p.startNext(u)
 	})
 }
 
 // startNext takes the next one from the queue that still has somebody waiting for it.
-func (p *Play) startNext(u *upstream) {
+func (p *Simulation) startNext(u *upstream) {
 	for len(u.queue) > 0 {
 		next := u.queue[0]
 		u.queue = u.queue[1:]
@@ -332,22 +332,22 @@
 	}
 }
 
-func (p *Play) answer(a *attempt, end End) {
+func (p *Simulation) answer(a *attempt, end AttemptResult) {
 	if a.ended {
 		return
 	}
 	a.ended, a.over = true, true
 	p.policy.Done(p.agenda.Now(), a.entry, a.Request, end)
-	p.after(p.site.Client, func() { p.result.served(a.Request, p.agenda.Now()) })
+	p.after(p.site.ClientLatency, func() { p.result.served(a.Request, p.agenda.Now()) })
 }
 
-func (p *Play) shed(a *attempt) {
+func (p *Simulation) shed(a *attempt) {
 	if a.ended {
 		return
 	}
 	a.ended = true
 	u := p.upstreams[a.upstream]
-	p.policy.Done(p.agenda.Now(), a.entry, a.Request, End{Token: a.token, Shed: true, Load: u.load(), Waiting: len(u.queue), PerSecond: u.perSecond})
+	p.policy.Done(p.agenda.Now(), a.entry, a.Request, AttemptResult{Token: a.token, Shed: true, Load: u.load(), Queued: len(u.queue), RateLimit: u.perSecond})
 	a.Tried = append(a.Tried, a.upstream)
 	if a.attempts >= maxAttempts {
 		a.over = true
@@ -358,17 +358,17 @@
 }
 
 // expire ends an attempt whose time has run out; what an upstream works on it is lost.
-func (p *Play) expire(a *attempt) {
+func (p *Simulation) expire(a *attempt) {
 	if a.ended {
 		return
 	}
 	a.ended, a.over = true, true
-	p.policy.Done(p.agenda.Now(), a.entry, a.Request, End{Token: a.token, TimedOut: true, Load: -1, Waiting: -1})
+	p.policy.Done(p.agenda.Now(), a.entry, a.Request, AttemptResult{Token: a.token, TimedOut: true, Load: -1, Queued: -1})
 	p.result.failed(a.Request)
 }
 
 // plan has an event begin and end.
-func (p *Play) plan(e Event) {
+func (p *Simulation) plan(e Event) {
 	set := func(on bool) {
 		switch e.Kind {
 		case Drain:
@@ -384,7 +384,7 @@
 		}
 	}
 	p.at(epoch.Add(e.At), func() { set(true) })
-	p.at(epoch.Add(e.At+e.For), func() { set(false) })
+	p.at(epoch.Add(e.At+e.Duration), func() { set(false) })
 }
 
 func choose(on bool, a, b float64) float64 {
@@ -395,14 +395,14 @@
 }
 
 // each visits the upstreams that an event concerns.
-func (p *Play) each(e Event, visit func(*upstream)) {
+func (p *Simulation) each(e Event, visit func(*upstream)) {
 	var of []*upstream
 	for _, u := range p.upstreams {
 		if u.service == e.Service {
 			of = append(of, u)
 		}
 	}
-	step := math.Max(1, 1/e.Share)
+	step := math.Max(1, 1/e.UpstreamShare)
 	for x := 0.0; int(x) < len(of); x += step {
 		visit(of[int(x)])
 	}
--- a/internal/sim/upstream.go
+++ b/internal/sim/upstream.go
@@ -43,7 +43,7 @@
 
 func newUpstream(id string, service, domain int, s Service) *upstream {
 	return &upstream{
-		id: id, service: service, domain: domain, slots: s.Slots, limit: s.Queue, memory: s.Memory,
+		id: id, service: service, domain: domain, slots: s.Slots, limit: s.QueueLimit, memory: s.CacheSize,
 		slow: 1, perSecond: ratelimit.Unlimited, warm: make(map[uint64]*list.Element), used: list.New(),
 	}
 }
@@ -72,7 +72,7 @@
 func (u *upstream) work(c *Class, object uint64, cold time.Duration) time.Duration {
 	t := float64(cold) * u.slow
 	if u.has(object) {
-		t *= 1 - c.Gain
+		t *= 1 - c.CacheGain
 	}
 	return time.Duration(t)
 }
--- a/test/play/main.go
+++ b/test/play/main.go
@@ -43,8 +43,8 @@
 const columns = "worth | in time | late | refused | failed"
 
 func row(t sim.Tally) string {
-	asked := float64(max(1, t.Asked))
-	return fmt.Sprintf("%.3f | %.3f | %.3f | %.3f | %.3f", t.Worth(),
+	asked := float64(max(1, t.Sent))
+	return fmt.Sprintf("%.3f | %.3f | %.3f | %.3f | %.3f", t.ValueRatio(),
 		float64(t.InTime)/asked, float64(t.Late)/asked, float64(t.Refused)/asked, float64(t.Failed)/asked)
 }
 
@@ -53,7 +53,7 @@
 	for _, load := range s.Loads {
 		fmt.Printf("\n### %s\n\n| policy | %s |\n| --- | --- | --- | --- | --- | --- |\n", load, columns)
 		for _, policy := range s.Policies {
-			sum := sim.New(sim.Named[load](), uint64(s.FirstSeed), sim.Policies[policy]).Run().Total()
+			sum := sim.New(sim.Scenarios[load](), uint64(s.FirstSeed), sim.Policies[policy]).Run().Total()
 			fmt.Printf("| %s | %s |\n", policy, row(sum))
 		}
 	}
@@ -73,7 +73,7 @@
 		for i := range tallies {
 			plays.Go(func() error {
 				seed := uint64(s.FirstSeed + i)
-				tallies[i] = sim.New(sim.Random(seed), seed, sim.Policies[policy]).Run().Total()
+				tallies[i] = sim.New(sim.RandomScenario(seed), seed, sim.Policies[policy]).Run().Total()
 				return nil
 			})
 		}
@@ -90,9 +90,9 @@
 func summary(tallies []sim.Tally) (mean, worst float64, all sim.Tally) {
 	worths := make([]float64, len(tallies))
 	for i, t := range tallies {
-		worths[i] = t.Worth()
+		worths[i] = t.ValueRatio()
 		mean += worths[i] / float64(len(tallies))
-		all = all.Plus(t)
+		all = all.Add(t)
 	}
 	slices.Sort(worths)
 	tenth := max(1, len(worths)/10)
--- a/test/play/settings.go
+++ b/test/play/settings.go
@@ -31,7 +31,7 @@
 // load reads a settings file; without one the defaults hold. Its error has all faults,
 // each with file, key, value and what is allowed.
 func load(path string) (settings, error) {
-	s := settings{Deployments: 40, FirstSeed: 1, Policies: names(sim.Policies), Loads: names(sim.Named)}
+	s := settings{Deployments: 40, FirstSeed: 1, Policies: names(sim.Policies), Loads: names(sim.Scenarios)}
 	if path == "" {
 		return s, nil
 	}
@@ -48,7 +48,7 @@
 	s.Deployments = r.number("deployments", s.Deployments, 0, maxDeployments)
 	s.FirstSeed = r.number("first_seed", s.FirstSeed, 0, maxSeed)
 	s.Policies = r.list("policies", s.Policies, names(sim.Policies))
-	s.Loads = r.list("loads", s.Loads, names(sim.Named))
+	s.Loads = r.list("loads", s.Loads, names(sim.Scenarios))
 	for _, key := range r.section.KeyStrings() {
 		if !slices.Contains(r.known, key) {
 			r.fault(key, r.section.Key(key).String(), "the keys "+strings.Join(r.known, ", "))
--- a/test/sessions/world_test.go
+++ b/test/sessions/world_test.go
@@ -63,7 +63,7 @@
 	committer *configlog.Committer
 	regions   []string
 	entries   map[string]*forward.Proxy
-	books     map[string]*share.Book
+	books     map[string]*share.Limiter
 	seed      uint64
 	changes   int
 }
@@ -76,7 +76,7 @@
 			t: t, began: time.Now(), latency: latency, regions: regions,
 			upstreams: make(map[string]*upstream), runs: make(map[string]int), cut: make(map[string]bool),
 			store: standin.NewStore(), log: configlog.NewLog(),
-			entries: make(map[string]*forward.Proxy), books: make(map[string]*share.Book),
+			entries: make(map[string]*forward.Proxy), books: make(map[string]*share.Limiter),
 		}
 		w.committer = configlog.NewCommitter(w.store, w.log, time.Now)
 		for _, r := range regions {
@@ -91,7 +91,7 @@
 }
 
 func (w *world) addEntry(region string) {
-	book := share.NewBook()
+	book := share.NewLimiter()
 	w.books[region] = book
 	w.entries[region] = forward.New(forward.Options{
 		Self:        "entry-" + region,
