--- a/internal/share/allocator.go
+++ b/internal/share/allocator.go
@@ -11,167 +11,179 @@
 )
 
 const (
-	// LeaseTTL is how long a lease lasts unless it is renewed.
+	// LeaseTTL is the time to live of a lease that is not renewed.
 	LeaseTTL = 10 * time.Second
-	// leaseMargin is by how much the holder stops before the lease lapses. It
-	// covers the difference in speed of the holder's clock and the platform's.
+	// leaseMargin is how long before the expiry of its lease a holder stops using its
+	// grants. It covers the difference in speed between the holder's clock and the
+	// store's.
 	leaseMargin = 2 * time.Second
-	// renewEvery is how often a lease is renewed.
-	renewEvery = 3 * time.Second
-	// holdMargin is added to the longest time that a request may take before a
-	// lapsed grant is struck out.
-	holdMargin = 2 * time.Second
-	// markCheckEvery is how often a holder looks for lapsed leases of others when
-	// it is not short itself.
-	markCheckEvery = 30 * time.Second
-	// swapTries bounds the races that one round may lose.
-	swapTries = 3
+	// leaseRenewPeriod is how often a lease is renewed.
+	leaseRenewPeriod = 3 * time.Second
+	// reclaimMargin is added to the longest time that a request may take; after both
+	// the grants of a lapsed lease are removed.
+	reclaimMargin = 2 * time.Second
+	// lapseCheckPeriod is how often a holder looks for lapsed leases of others while
+	// its own demand is met.
+	lapseCheckPeriod = 30 * time.Second
+	// maxSwapAttempts bounds how often one round retries after a conflicting swap.
+	maxSwapAttempts = 3
 )
 
-// Allocator takes part in the division of caps for one instance. It is safe for
-// concurrent use, but one Round must end before the next.
+// Allocator manages the seat and the grants of one instance in the ledgers of all
+// regions. It is safe for concurrent use, except that one call of Reconcile must return
+// before the next.
 type Allocator struct {
-	store platform.Store
-	id    string
-	home  string
-	// boot is the machine's clock since boot, now the wall clock.
-	boot func() int64
-	now  func() time.Time
+	store     platform.Store
+	id        string
+	ownRegion string
+	// bootClock returns the nanoseconds since the machine's boot, now the wall clock.
+	bootClock func() int64
+	now       func() time.Time
 
 	mu sync.Mutex
-	// lease is the own lease, renewed when it was last asked for, until when it
-	// may be used.
-	lease   platform.LeaseID
-	renewed int64
-	until   int64
-	regions map[string]*region
-	// absent is when a lease of another holder was first seen to have lapsed.
-	absent    map[uint64]int64
-	markCheck int64
+	// lease is the own lease, or 0. renewedAt is when the last successful renewal
+	// was requested, and usableUntil when the use of the lease must end, both by the
+	// boot clock.
+	lease       platform.LeaseID
+	renewedAt   int64
+	usableUntil int64
+	regions     map[string]*regionState
+	// lapsedSince holds when a lease of another holder was first seen as lapsed, by the
+	// boot clock.
+	lapsedSince    map[uint64]int64
+	lastLapseCheck int64
 }
 
-// region is the state of one region's ledger.
-type region struct {
-	terms  CapConfig
+// regionState is an Allocator's state of one region's caps.
+type regionState struct {
+	config CapConfig
 	ledger Ledger
 	usage  Demand
-	// pending is a ledger whose swap at pendingAt got no answer: it may still
-	// take effect as long as the store's ledger is at that version.
-	pending   *Ledger
-	pendingAt uint64
-	// sent are the limits last sent to the entry, by service.
-	sent map[string]int
+	// pending is a ledger whose swap against pendingVersion got no reply, or nil. The
+	// swap may still take effect while the stored ledger has that version.
+	pending        *Ledger
+	pendingVersion uint64
+	// sentLimits are the limits last returned to the entry, by service, in requests.
+	sentLimits map[string]int
 }
 
-// NewAllocator returns a Keeper for an instance of a region. The id must differ
-// between two machines that take themselves for the same instance.
-func NewAllocator(store platform.Store, id, home string, boot func() int64, now func() time.Time) *Allocator {
+// NewAllocator returns an Allocator for an instance in ownRegion. Two machines that
+// run under the same instance name must have different ids. bootClock returns the
+// nanoseconds since the machine's boot, now the wall clock time.
+func NewAllocator(store platform.Store, id, ownRegion string, bootClock func() int64, now func() time.Time) *Allocator {
 	return &Allocator{
-		store: store, id: id, home: home, boot: boot, now: now,
-		regions: make(map[string]*region), absent: make(map[uint64]int64),
+		store: store, id: id, ownRegion: ownRegion, bootClock: bootClock, now: now,
+		regions: make(map[string]*regionState), lapsedSince: make(map[uint64]int64),
 	}
 }
 
-// ledgerKey returns the key of a region's ledger.
+// ledgerKey returns the store key of a region's ledger.
 func ledgerKey(region string) string { return "share/" + region }
 
-// markKey returns the key that exists as long as a lease.
-func markKey(lease uint64) string { return fmt.Sprintf("lease/%d", lease) }
-
-// Reconcile renews the lease and brings the ledgers of all regions with caps up to
-// date. Hold is the longest time that a request may take.
-func (k *Allocator) Reconcile(ctx context.Context, all []CapConfig, hold time.Duration) error {
-	errs := []error{k.renew(ctx)}
-	k.mu.Lock()
-	k.setTerms(all)
-	k.mu.Unlock()
-	for _, t := range all {
-		if k.takesPart(t) {
-			errs = append(errs, k.settle(ctx, t, hold))
+// leaseMarkerKey returns the store key that exists as long as a lease does.
+func leaseMarkerKey(lease uint64) string { return fmt.Sprintf("lease/%d", lease) }
+
+// Reconcile renews the lease and updates the ledgers of the regions with caps that
+// concern this instance. maxRequestTime is the longest time that a request may take.
+// The error joins the errors of the renewal and of all regions.
+func (a *Allocator) Reconcile(ctx context.Context, configs []CapConfig, maxRequestTime time.Duration) error {
+	errs := []error{a.renew(ctx)}
+	a.mu.Lock()
+	a.setConfigs(configs)
+	a.mu.Unlock()
+	for _, cfg := range configs {
+		if a.isInvolved(cfg) {
+			errs = append(errs, a.reconcileRegion(ctx, cfg, maxRequestTime))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-func (k *Allocator) setTerms(all []CapConfig) {
-	known := make(map[string]bool, len(all))
-	for _, t := range all {
-		known[t.Region] = true
-		k.region(t.Region).terms = t
+// setConfigs replaces the cap configuration and drops the state of regions without
+// caps. The caller holds the lock.
+func (a *Allocator) setConfigs(configs []CapConfig) {
+	known := make(map[string]bool, len(configs))
+	for _, cfg := range configs {
+		known[cfg.Region] = true
+		a.region(cfg.Region).config = cfg
 	}
-	for name := range k.regions {
+	for name := range a.regions {
 		if !known[name] {
-			delete(k.regions, name)
+			delete(a.regions, name)
 		}
 	}
 }
 
-// region returns the state of a region. The caller holds the lock.
-func (k *Allocator) region(name string) *region {
-	r := k.regions[name]
+// region returns the state of a region, which it creates if necessary. The caller holds
+// the lock.
+func (a *Allocator) region(name string) *regionState {
+	r := a.regions[name]
 	if r == nil {
-		r = &region{usage: make(Demand), sent: make(map[string]int)}
-		k.regions[name] = r
+		r = &regionState{usage: make(Demand), sentLimits: make(map[string]int)}
+		a.regions[name] = r
 	}
 	return r
 }
 
-// takesPart reports whether the instance has to do with a region's caps.
-func (k *Allocator) takesPart(t CapConfig) bool {
-	if t.Region == k.home {
+// isInvolved reports whether the instance belongs to a region, uses its caps or has
+// grants of them.
+func (a *Allocator) isInvolved(cfg CapConfig) bool {
+	if cfg.Region == a.ownRegion {
 		return true
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	r := k.region(t.Region)
-	for _, c := range t.Caps {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	r := a.region(cfg.Region)
+	for _, c := range cfg.Caps {
 		u := r.usage[c.Service]
-		if u.InFlight+u.Refused+r.ledger.GrantAmount(k.id, uint64(k.lease), c.Service) > 0 {
+		if u.InFlight+u.Refused+r.ledger.GrantAmount(a.id, uint64(a.lease), c.Service) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// renew extends the own lease, or takes a new one. The time up to which it may
-// be used counts from before the call.
-func (k *Allocator) renew(ctx context.Context) error {
-	k.mu.Lock()
-	lease, due := k.lease, k.boot()-k.renewed >= int64(renewEvery) || k.lease == 0
-	k.mu.Unlock()
+// renew extends the own lease if that is due, or takes a new one. The lease's usable
+// time is counted from before the call to the store.
+func (a *Allocator) renew(ctx context.Context) error {
+	a.mu.Lock()
+	lease, due := a.lease, a.bootClock()-a.renewedAt >= int64(leaseRenewPeriod) || a.lease == 0
+	a.mu.Unlock()
 	if !due {
 		return nil
 	}
-	asked := k.boot()
+	requestedAt := a.bootClock()
 	var err error
 	if lease == 0 {
-		lease, err = k.takeLease(ctx)
-	} else if err = k.store.KeepAlive(ctx, lease); errors.Is(err, platform.ErrNoLease) {
-		lease, err = k.takeLease(ctx)
+		lease, err = a.newLease(ctx)
+	} else if err = a.store.KeepAlive(ctx, lease); errors.Is(err, platform.ErrNoLease) {
+		lease, err = a.newLease(ctx)
 	}
 	if err != nil {
 		return err
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.lease, k.renewed = lease, asked
-	k.until = asked + int64(LeaseTTL-leaseMargin)
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.lease, a.renewedAt = lease, requestedAt
+	a.usableUntil = requestedAt + int64(LeaseTTL-leaseMargin)
 	return nil
 }
 
-func (k *Allocator) takeLease(ctx context.Context) (platform.LeaseID, error) {
-	lease, err := k.store.Grant(ctx, LeaseTTL)
+// newLease takes a lease and writes its marker key, which lets other holders see when
+// the lease lapses.
+func (a *Allocator) newLease(ctx context.Context) (platform.LeaseID, error) {
+	lease, err := a.store.Grant(ctx, LeaseTTL)
 	if err != nil {
 		return 0, err
 	}
-	_, err = k.store.Swap(ctx, markKey(uint64(lease)), platform.Absent, []byte(k.id), lease)
+	_, err = a.store.Swap(ctx, leaseMarkerKey(uint64(lease)), platform.Absent, []byte(a.id), lease)
 	return lease, err
 }
 
-// settle reads a region's ledger, plans the next, and swaps it in.
-func (k *Allocator) settle(ctx context.Context, t CapConfig, hold time.Duration) error {
-	for range swapTries {
-		e, err := k.store.Get(ctx, ledgerKey(t.Region))
+// reconcileRegion reads a region's ledger, plans the next one and swaps it in.
+func (a *Allocator) reconcileRegion(ctx context.Context, cfg CapConfig, maxRequestTime time.Duration) error {
+	for range maxSwapAttempts {
+		e, err := a.store.Get(ctx, ledgerKey(cfg.Region))
 		if err != nil {
 			return err
 		}
@@ -179,211 +191,220 @@
 		if err != nil {
 			return err
 		}
-		k.confirm(t, ledger, e.Version)
-		if err := k.checkMarks(ctx, t, ledger); err != nil {
+		a.installLedger(cfg, ledger, e.Version)
+		if err := a.checkLeases(ctx, cfg, ledger); err != nil {
 			return err
 		}
-		next, changed := Plan(ledger, t, k.holder(t, hold), k.demand(t.Region))
+		next, changed := Plan(ledger, cfg, a.holder(cfg, maxRequestTime), a.demand(cfg.Region))
 		if !changed {
 			return nil
 		}
-		done, err := k.swap(ctx, t, ledger, next, e.Version)
-		if done || err != nil {
+		written, err := a.swap(ctx, cfg, ledger, next, e.Version)
+		if written || err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// swap writes the next ledger in the place of now, and reports whether it did.
-func (k *Allocator) swap(ctx context.Context, t CapConfig, now, next Ledger, version uint64) (bool, error) {
+// swap replaces the current ledger, stored at a version, by the next. It returns false
+// without an error on a version conflict.
+func (a *Allocator) swap(ctx context.Context, cfg CapConfig, current, next Ledger, version uint64) (bool, error) {
 	body, err := next.Encode()
 	if err != nil {
 		return false, err
 	}
-	written, err := k.store.Swap(ctx, ledgerKey(t.Region), version, body, 0)
+	newVersion, err := a.store.Swap(ctx, ledgerKey(cfg.Region), version, body, 0)
 	switch {
 	case err == nil:
-		k.confirm(t, next, written)
+		a.installLedger(cfg, next, newVersion)
 		return true, nil
 	case errors.Is(err, platform.ErrConflict):
 		return false, nil
 	}
-	k.mu.Lock()
-	r := k.region(t.Region)
-	r.pending, r.pendingAt = &next, version
-	k.mu.Unlock()
-	k.confirm(t, now, version)
+	a.mu.Lock()
+	r := a.region(cfg.Region)
+	r.pending, r.pendingVersion = &next, version
+	a.mu.Unlock()
+	a.installLedger(cfg, current, version)
 	return false, err
 }
 
-// confirm installs what the store holds at a version. While an earlier swap may
-// still take effect there, the holder relies on the smaller of the two.
-func (k *Allocator) confirm(t CapConfig, l Ledger, version uint64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	r := k.region(t.Region)
-	if r.pending != nil && version != r.pendingAt {
+// installLedger records the ledger that the store holds at a version. While an earlier
+// swap may still replace it there, the own grants are the smaller ones of both ledgers.
+func (a *Allocator) installLedger(cfg CapConfig, l Ledger, version uint64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	r := a.region(cfg.Region)
+	if r.pending != nil && version != r.pendingVersion {
 		r.pending = nil
 	}
 	if r.pending != nil {
-		l = k.smaller(l, *r.pending, t)
+		l = a.withSmallerGrants(l, *r.pending, cfg)
 	}
 	r.ledger = l
 }
 
-// smaller returns l with the smaller of the own grants in l and other. The
-// caller holds the lock.
-func (k *Allocator) smaller(l, other Ledger, t CapConfig) Ledger {
+// withSmallerGrants returns l with each own grant lowered to that in other, if that is
+// smaller. The caller holds the lock.
+func (a *Allocator) withSmallerGrants(l, other Ledger, cfg CapConfig) Ledger {
 	out := l.clone()
-	lease := uint64(k.lease)
-	for _, c := range t.Caps {
-		n := min(l.GrantAmount(k.id, lease, c.Service), other.GrantAmount(k.id, lease, c.Service))
-		out.setGrant(Grant{k.id, lease, c.Service, n})
+	lease := uint64(a.lease)
+	for _, c := range cfg.Caps {
+		n := min(l.GrantAmount(a.id, lease, c.Service), other.GrantAmount(a.id, lease, c.Service))
+		out.setGrant(Grant{a.id, lease, c.Service, n})
 	}
 	return out
 }
 
-// checkMarks looks which leases of other holders have lapsed, if the own demand
-// is not met or it is time to.
-func (k *Allocator) checkMarks(ctx context.Context, t CapConfig, l Ledger) error {
-	if !k.short(t, l) && k.boot()-k.markCheck < int64(markCheckEvery) {
+// checkLeases looks up which leases of other holders have lapsed, if the own demand is
+// not met or lapseCheckPeriod has passed.
+func (a *Allocator) checkLeases(ctx context.Context, cfg CapConfig, l Ledger) error {
+	if !a.needsMore(cfg, l) && a.bootClock()-a.lastLapseCheck < int64(lapseCheckPeriod) {
 		return nil
 	}
-	k.markCheck = k.boot()
-	checked := map[uint64]bool{uint64(k.lease): true}
+	a.lastLapseCheck = a.bootClock()
+	checked := map[uint64]bool{uint64(a.lease): true}
 	for _, g := range l.Grants {
 		if checked[g.Lease] {
 			continue
 		}
 		checked[g.Lease] = true
-		e, err := k.store.Get(ctx, markKey(g.Lease))
+		e, err := a.store.Get(ctx, leaseMarkerKey(g.Lease))
 		if err != nil {
 			return err
 		}
-		k.note(g.Lease, e.Version == platform.Absent)
+		a.recordLease(g.Lease, e.Version == platform.Absent)
 	}
 	return nil
 }
 
-func (k *Allocator) note(lease uint64, lapsed bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// recordLease records whether the lease of another holder was seen as lapsed.
+func (a *Allocator) recordLease(lease uint64, lapsed bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	if !lapsed {
-		delete(k.absent, lease)
+		delete(a.lapsedSince, lease)
 		return
 	}
-	if _, ok := k.absent[lease]; !ok {
-		k.absent[lease] = k.boot()
+	if _, ok := a.lapsedSince[lease]; !ok {
+		a.lapsedSince[lease] = a.bootClock()
 	}
 }
 
-// short reports whether a pool has less left than the holder could use.
-func (k *Allocator) short(t CapConfig, l Ledger) bool {
-	d := k.demand(t.Region)
-	for _, c := range t.Caps {
-		if d[c.Service].Refused > 0 && l.TotalGranted(c.Service) >= t.Pool(c) {
+// needsMore reports whether the entry had refusals at a cap whose pool is used up.
+func (a *Allocator) needsMore(cfg CapConfig, l Ledger) bool {
+	d := a.demand(cfg.Region)
+	for _, c := range cfg.Caps {
+		if d[c.Service].Refused > 0 && l.TotalGranted(c.Service) >= cfg.Pool(c) {
 			return true
 		}
 	}
 	return false
 }
 
-func (k *Allocator) holder(t CapConfig, hold time.Duration) Holder {
-	return Holder{ID: k.id, Local: t.Region == k.home, Lease: k.usableLease(), Reclaimable: func(g Grant) bool { return k.lapsed(g, hold) }, Now: k.now()}
+// holder returns the planning input that describes this instance.
+func (a *Allocator) holder(cfg CapConfig, maxRequestTime time.Duration) Holder {
+	return Holder{ID: a.id, Local: cfg.Region == a.ownRegion, Lease: a.usableLease(), Reclaimable: func(g Grant) bool { return a.isReclaimable(g, maxRequestTime) }, Now: a.now()}
 }
 
-// usableLease returns the own lease, or 0 if its time is up.
-func (k *Allocator) usableLease() uint64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.boot() >= k.until {
+// usableLease returns the own lease, or 0 once its usable time has ended.
+func (a *Allocator) usableLease() uint64 {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.bootClock() >= a.usableUntil {
 		return 0
 	}
-	return uint64(k.lease)
+	return uint64(a.lease)
 }
 
-func (k *Allocator) lapsed(g Grant, hold time.Duration) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	since, ok := k.absent[g.Lease]
-	return ok && k.boot()-since >= int64(hold+holdMargin)
+// isReclaimable reports whether a grant's lease lapsed so long ago that no request that
+// began under it can still run.
+func (a *Allocator) isReclaimable(g Grant, maxRequestTime time.Duration) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	since, ok := a.lapsedSince[g.Lease]
+	return ok && a.bootClock()-since >= int64(maxRequestTime+reclaimMargin)
 }
 
-// demand returns what the entry uses of a region's caps. Its limit counts as the
-// larger of the one that it reported and the one last sent to it.
-func (k *Allocator) demand(name string) Demand {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	r := k.region(name)
+// demand returns what the entry uses of a region's caps. The limit of each cap is the
+// larger of the reported one and the one last sent, since the entry may enforce either.
+func (a *Allocator) demand(name string) Demand {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	r := a.region(name)
 	out := make(Demand, len(r.usage))
 	for service, u := range r.usage {
-		u.Limit = max(u.Limit, r.sent[service])
+		u.Limit = max(u.Limit, r.sentLimits[service])
 		out[service] = u
 	}
 	return out
 }
 
-// ApplyUsage takes in what the entry uses, and returns the limits for it.
-func (k *Allocator) ApplyUsage(usage []CapUsage) []Limit {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// ApplyUsage records what the entry reports of its use, and returns the limits that the
+// entry must enforce, one per cap of each region.
+func (a *Allocator) ApplyUsage(usage []CapUsage) []Limit {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	for _, u := range usage {
-		if r := k.regions[u.Region]; r != nil {
+		if r := a.regions[u.Region]; r != nil {
 			r.usage[u.Service] = u.Usage
 		}
 	}
 	var out []Limit
-	for name, r := range k.regions {
-		for _, c := range r.terms.Caps {
-			out = append(out, k.limit(name, r, c))
+	for name, r := range a.regions {
+		for _, c := range r.config.Caps {
+			out = append(out, a.limit(name, r, c))
 		}
 	}
 	return out
 }
 
-// CapUsage is what an entry uses of one cap.
+// CapUsage is what an entry reports of its use of one cap.
 type CapUsage struct {
 	Service, Region string
 	Usage
 }
 
-func (k *Allocator) limit(name string, r *region, c Cap) Limit {
-	h := Holder{ID: k.id, Local: name == k.home, Lease: uint64(k.lease)}
-	floor, grant := TargetLimit(r.ledger, r.terms, c, h, r.usage[c.Service])
-	r.sent[c.Service] = floor + grant
+// limit returns the limit of one cap for the entry, and records it as sent. The caller
+// holds the lock.
+func (a *Allocator) limit(name string, r *regionState, c Cap) Limit {
+	h := Holder{ID: a.id, Local: name == a.ownRegion, Lease: uint64(a.lease)}
+	floor, grant := TargetLimit(r.ledger, r.config, c, h, r.usage[c.Service])
+	r.sentLimits[c.Service] = floor + grant
 	return Limit{
 		Service: c.Service, Region: name,
-		Floor: floor, FloorUntil: k.seatUntil(r.ledger),
-		Grant: grant, GrantUntil: k.until,
+		Floor: floor, FloorUntil: a.seatUsableUntil(r.ledger),
+		Grant: grant, GrantUntil: a.usableUntil,
 	}
 }
 
-// seatUntil returns until when the own seat may be used, by the clock since
-// boot.
-func (k *Allocator) seatUntil(l Ledger) int64 {
+// seatUsableUntil returns when the use of the own seat must end, in nanoseconds of the
+// boot clock, or 0 without a seat. The caller holds the lock.
+func (a *Allocator) seatUsableUntil(l Ledger) int64 {
 	for _, s := range l.Seats {
-		if s.Holder == k.id {
-			left := time.Unix(s.Renewed, 0).Add(seatUse).Sub(k.now())
-			return k.boot() + int64(left)
+		if s.Holder == a.id {
+			left := time.Unix(s.Renewed, 0).Add(seatUsePeriod).Sub(a.now())
+			return a.bootClock() + int64(left)
 		}
 	}
 	return 0
 }
 
-// RegionStatus is the state of one region's caps, for dumps.
+// RegionStatus is the configuration and the last known ledger of one region's caps, for
+// dumps.
 type RegionStatus struct {
 	Config CapConfig `json:"terms"`
 	Ledger Ledger    `json:"ledger"`
 }
 
-// Dump returns the state of all regions with caps.
-func (k *Allocator) Dump() map[string]RegionStatus {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	out := make(map[string]RegionStatus, len(k.regions))
-	for name, r := range k.regions {
-		out[name] = RegionStatus{r.terms, r.ledger}
+// Dump returns the status of all regions with caps, by region name.
+func (a *Allocator) Dump() map[string]RegionStatus {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	out := make(map[string]RegionStatus, len(a.regions))
+	for name, r := range a.regions {
+		out[name] = RegionStatus{r.config, r.ledger}
 	}
 	return out
 }
--- a/internal/share/limiter.go
+++ b/internal/share/limiter.go
@@ -2,9 +2,10 @@
 
 import "sync"
 
-// Limit is what an entry may use of a cap. The times are of the machine's clock
-// since boot, in nanoseconds, which goes on while the process or the machine is
-// paused.
+// Limit is the number of requests in flight that an entry may have under one cap.
+// It has two parts, Floor and Grant, that expire separately. Both expiry times are
+// in nanoseconds of the boot clock, which also advances while the process or the
+// machine is suspended.
 type Limit struct {
 	Service, Region string
 	Floor           int
@@ -13,7 +14,8 @@
 	GrantUntil      int64
 }
 
-// At returns how much may be used at a time.
+// At returns the sum of the parts that are valid at now, in nanoseconds of the boot
+// clock.
 func (l Limit) At(now int64) int {
 	n := 0
 	if now < l.FloorUntil {
@@ -25,75 +27,83 @@
 	return n
 }
 
-// key names a cap.
-type key struct{ service, region string }
+// capKey identifies a cap.
+type capKey struct{ service, region string }
 
-// Limiter holds an entry's limits. It is safe for concurrent use.
+// Limiter enforces an entry's limits and counts the requests that they refuse. It is
+// safe for concurrent use.
 type Limiter struct {
 	mu      sync.Mutex
-	limits  map[key]Limit
-	refused map[key]int
+	limits  map[capKey]Limit
+	refused map[capKey]int
 }
 
-// NewLimiter returns an empty Book, which allows nothing of any cap.
-func NewLimiter() *Limiter { return &Limiter{limits: make(map[key]Limit), refused: make(map[key]int)} }
+// NewLimiter returns a Limiter without limits. It refuses every request until Set is
+// called.
+func NewLimiter() *Limiter {
+	return &Limiter{limits: make(map[capKey]Limit), refused: make(map[capKey]int)}
+}
 
-// Set replaces all limits. A time that has been extended stays so, since an
-// older answer may come late.
-func (b *Limiter) Set(limits []Limit) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	next := make(map[key]Limit, len(limits))
-	for _, l := range limits {
-		next[key{l.Service, l.Region}] = l
+// Set replaces all limits, including their expiry times.
+func (l *Limiter) Set(limits []Limit) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	next := make(map[capKey]Limit, len(limits))
+	for _, limit := range limits {
+		next[capKey{limit.Service, limit.Region}] = limit
 	}
-	b.limits = next
+	l.limits = next
 }
 
-// Allow reports whether one more request may go to a region where inFlight are
-// now, and counts a refusal.
-func (b *Limiter) Allow(service, region string, inFlight int, now int64) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	k := key{service, region}
-	if inFlight < b.limits[k].At(now) {
+// Allow reports whether a request of a service may be sent to a region in which the
+// entry has inFlight requests already. It counts a refusal. now is in nanoseconds of
+// the boot clock.
+func (l *Limiter) Allow(service, region string, inFlight int, now int64) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	k := capKey{service, region}
+	if inFlight < l.limits[k].At(now) {
 		return true
 	}
-	b.refused[k]++
+	l.refused[k]++
 	return false
 }
 
-// StatusesAndReset returns what may be used at a time, with the refusals since the last
-// call.
-func (b *Limiter) StatusesAndReset(now int64) []LimitStatus {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	out := b.look(now)
-	clear(b.refused)
+// StatusesAndReset returns the limits that are valid at now, each with its refusals
+// since the previous call, and resets the counts of refusals.
+func (l *Limiter) StatusesAndReset(now int64) []LimitStatus {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	out := l.statuses(now)
+	clear(l.refused)
 	return out
 }
 
-// Statuses is Uses without an effect on the count of refusals, for dumps.
-func (b *Limiter) Statuses(now int64) []LimitStatus {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.look(now)
+// Statuses returns the same as StatusesAndReset, but keeps the counts of refusals. It
+// is for dumps.
+func (l *Limiter) Statuses(now int64) []LimitStatus {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.statuses(now)
 }
 
-func (b *Limiter) look(now int64) []LimitStatus {
+// statuses returns the status of each cap that has a limit or a refusal. The caller
+// holds the lock.
+func (l *Limiter) statuses(now int64) []LimitStatus {
 	var out []LimitStatus
-	for k, l := range b.limits {
-		out = append(out, LimitStatus{k.service, k.region, l.At(now), b.refused[k]})
+	for k, limit := range l.limits {
+		out = append(out, LimitStatus{k.service, k.region, limit.At(now), l.refused[k]})
 	}
-	for k, n := range b.refused {
-		if _, ok := b.limits[k]; !ok {
+	for k, n := range l.refused {
+		if _, ok := l.limits[k]; !ok {
 			out = append(out, LimitStatus{k.service, k.region, 0, n})
 		}
 	}
 	return out
 }
 
-// LimitStatus is a limit in force with the refusals that it caused.
+// LimitStatus is the valid limit of one cap and the number of requests it refused
+// since the counts were last reset.
 type LimitStatus struct {
 	Service, Region string
 	Limit           int
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -16,178 +16,187 @@
 	"github.com/loomkeel/loomkeel/internal/standin"
 )
 
-// hold is the longest time that a request of these tests takes.
-const hold = 15 * time.Second
+// maxRequestTime is the longest time that a request takes in these tests.
+const maxRequestTime = 15 * time.Second
 
-func terms(region string, total int) CapConfig {
+// config returns a region's configuration with one cap, for the service "stock", of which
+// half is divided among 5 seats.
+func config(region string, total int) CapConfig {
 	return CapConfig{Region: region, Caps: []Cap{{"stock", total}}, Floor: 0.5, Seats: 5}
 }
 
-// clock is the virtual time since boot.
-func clock() int64 { return time.Now().UnixNano() }
+// bootClock returns the virtual time in nanoseconds, in place of the time since boot.
+func bootClock() int64 { return time.Now().UnixNano() }
 
-// bench runs instances whose entries use one cap as much as they may.
-type bench struct {
+// requestCounter counts the requests in flight under one cap, over all entries.
+type requestCounter struct {
 	mu       sync.Mutex
 	inFlight int
 	total    int
 	peak     int
-	over     string
+	// violation describes the first time that the cap was exceeded, or is "".
+	violation string
 }
 
-// instance is an agent's keeper with the entry beside it.
+// instance is the allocator of an agent and the limiter of the entry on the same machine.
 type instance struct {
-	keeper *Allocator
-	book   *Limiter
-	rnd    *rand.Rand
-	mu     sync.Mutex
-	mine   int
-	wish   int
-	// agentUntil and entryUntil are until when the processes are frozen.
+	allocator *Allocator
+	limiter   *Limiter
+	rng       *rand.Rand
+	mu        sync.Mutex
+	inFlight  int
+	// wanted is how many requests callers want to have in flight at the entry.
+	wanted int
+	// agentUntil and entryUntil are the ends of the freezes of the two processes.
 	agentUntil, entryUntil time.Time
 }
 
-func (b *bench) add(n int, who string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.inFlight += n
-	b.peak = max(b.peak, b.inFlight)
-	if b.inFlight > b.total && b.over == "" {
-		b.over = fmt.Sprintf("%s: %d in flight, the cap is %d", who, b.inFlight, b.total)
+// add changes the requests in flight by n and records an exceeded cap under a name.
+func (c *requestCounter) add(n int, name string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.inFlight += n
+	c.peak = max(c.peak, c.inFlight)
+	if c.inFlight > c.total && c.violation == "" {
+		c.violation = fmt.Sprintf("%s: %d in flight, the cap is %d", name, c.inFlight, c.total)
 	}
 }
 
-// result returns the peak and the first breach of the cap, or "".
-func (b *bench) result() (peak int, over string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.peak, b.over
+// result returns the peak of the requests in flight and the first violation of the cap,
+// or "".
+func (c *requestCounter) result() (peak int, violation string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.peak, c.violation
 }
 
-// begin starts a request if the book allows it.
-func (x *instance) begin(b *bench, name string) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.mine >= x.wish || !x.book.Allow("stock", "muscat", x.mine, clock()) {
+// startRequest starts a request if one is wanted and the limiter allows it. Three of
+// four requests take maxRequestTime, the others a random time up to that.
+func (inst *instance) startRequest(counter *requestCounter, name string) {
+	inst.mu.Lock()
+	defer inst.mu.Unlock()
+	if inst.inFlight >= inst.wanted || !inst.limiter.Allow("stock", "muscat", inst.inFlight, bootClock()) {
 		return
 	}
-	x.mine++
-	b.add(1, name)
-	took := hold
-	if x.rnd.IntN(4) == 0 {
-		took = time.Duration(x.rnd.Int64N(int64(hold)))
+	inst.inFlight++
+	counter.add(1, name)
+	duration := maxRequestTime
+	if inst.rng.IntN(4) == 0 {
+		duration = time.Duration(inst.rng.Int64N(int64(maxRequestTime)))
 	}
-	time.AfterFunc(took, func() {
-		x.mu.Lock()
-		defer x.mu.Unlock()
-		x.mine--
-		b.add(-1, name)
+	time.AfterFunc(duration, func() {
+		inst.mu.Lock()
+		defer inst.mu.Unlock()
+		inst.inFlight--
+		counter.add(-1, name)
 	})
 }
 
-// exchange is the entry's report to the agent with its answer.
-func (x *instance) exchange() {
-	x.mu.Lock()
-	mine := x.mine
-	x.mu.Unlock()
+// exchange reports the entry's use to the agent and sets the limits of the reply.
+func (inst *instance) exchange() {
+	inst.mu.Lock()
+	inFlight := inst.inFlight
+	inst.mu.Unlock()
 	var usage []CapUsage
-	for _, u := range x.book.StatusesAndReset(clock()) {
-		usage = append(usage, CapUsage{u.Service, u.Region, Usage{InFlight: mine, Refused: u.Refused, Limit: u.Limit}})
+	for _, u := range inst.limiter.StatusesAndReset(bootClock()) {
+		usage = append(usage, CapUsage{u.Service, u.Region, Usage{InFlight: inFlight, Refused: u.Refused, Limit: u.Limit}})
 	}
-	x.book.Set(x.keeper.ApplyUsage(usage))
+	inst.limiter.Set(inst.allocator.ApplyUsage(usage))
 }
 
-// awake reports which of the processes are not frozen.
-func (x *instance) awake() (agent, entry bool) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+// unfrozen reports which of the two processes are not frozen.
+func (inst *instance) unfrozen() (agent, entry bool) {
+	inst.mu.Lock()
+	defer inst.mu.Unlock()
 	now := time.Now()
-	return now.After(x.agentUntil), now.After(x.entryUntil)
+	return now.After(inst.agentUntil), now.After(inst.entryUntil)
 }
 
-// freeze stops processes until a time.
-func (x *instance) freeze(agent, entry bool, until time.Time) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+// freeze suspends the agent, the entry or both until a time.
+func (inst *instance) freeze(agent, entry bool, until time.Time) {
+	inst.mu.Lock()
+	defer inst.mu.Unlock()
 	if agent {
-		x.agentUntil = until
+		inst.agentUntil = until
 	}
 	if entry {
-		x.entryUntil = until
+		inst.entryUntil = until
 	}
 }
 
-// run works until ctx ends. The processes do nothing while they are frozen, and
-// go on where they were.
-func (x *instance) run(ctx context.Context, b *bench, name string, home CapConfig) {
+// run operates the agent and the entry until ctx ends. A frozen process does nothing
+// and later continues with the state that it had.
+func (inst *instance) run(ctx context.Context, counter *requestCounter, name string, cfg CapConfig) {
 	for tick := 0; ctx.Err() == nil; tick++ {
-		agent, entry := x.awake()
+		agent, entry := inst.unfrozen()
 		if agent && tick%20 == 0 {
 			call, cancel := context.WithTimeout(ctx, time.Second)
-			_ = x.keeper.Reconcile(call, []CapConfig{home}, hold)
+			_ = inst.allocator.Reconcile(call, []CapConfig{cfg}, maxRequestTime)
 			cancel()
 		}
 		if agent && entry && tick%10 == 0 {
-			x.exchange()
+			inst.exchange()
 		}
-		x.mu.Lock()
-		if x.rnd.IntN(40) == 0 {
-			x.wish = [...]int{0, 3, 50, 50}[x.rnd.IntN(4)]
+		inst.mu.Lock()
+		if inst.rng.IntN(40) == 0 {
+			inst.wanted = [...]int{0, 3, 50, 50}[inst.rng.IntN(4)]
 		}
-		x.mu.Unlock()
+		inst.mu.Unlock()
 		if entry {
 			for range 10 {
-				x.begin(b, name)
+				inst.startRequest(counter, name)
 			}
 		}
-		time.Sleep(50*time.Millisecond + time.Duration(x.rnd.IntN(1000))*time.Microsecond)
+		time.Sleep(50*time.Millisecond + time.Duration(inst.rng.IntN(1000))*time.Microsecond)
 	}
 }
 
-// schedule is one generated run: instances in and out of the region, freezes,
-// a twin that takes itself for a replaced instance, store outages, lost and
-// delayed replies. It returns the bench and what the instances could use.
-func schedule(seed uint64, faulty bool, length time.Duration) *bench {
-	rnd := rand.New(rand.NewPCG(seed, 9))
+// runSchedule runs one generated schedule of the given length: four instances in the
+// cap's region and three outside of it. With faulty set, injectFault is called at random
+// times. It returns the counter of the requests.
+func runSchedule(seed uint64, faulty bool, length time.Duration) *requestCounter {
+	rng := rand.New(rand.NewPCG(seed, 9))
 	store := standin.NewStore()
-	b := &bench{total: 40}
+	counter := &requestCounter{total: 40}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	var all []*instance
-	start := func(id, home string) {
-		x := &instance{keeper: NewAllocator(store, id, home, clock, time.Now), book: NewLimiter(), rnd: rand.New(rand.NewPCG(rnd.Uint64(), 1)), wish: rnd.IntN(30)}
-		all = append(all, x)
-		wg.Go(func() { x.run(ctx, b, id, terms("muscat", b.total)) })
+	var instances []*instance
+	startInstance := func(id, region string) {
+		inst := &instance{allocator: NewAllocator(store, id, region, bootClock, time.Now), limiter: NewLimiter(), rng: rand.New(rand.NewPCG(rng.Uint64(), 1)), wanted: rng.IntN(30)}
+		instances = append(instances, inst)
+		wg.Go(func() { inst.run(ctx, counter, id, config("muscat", counter.total)) })
 	}
 	for i := range 4 {
-		start(fmt.Sprint("home-", i), "muscat")
+		startInstance(fmt.Sprint("home-", i), "muscat")
 	}
 	for i := range 3 {
-		start(fmt.Sprint("far-", i), "sohar")
+		startInstance(fmt.Sprint("far-", i), "sohar")
 	}
-	for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(time.Duration(rnd.IntN(4000)) * time.Millisecond) {
-		x := all[rnd.IntN(len(all))]
+	for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(time.Duration(rng.IntN(4000)) * time.Millisecond) {
+		inst := instances[rng.IntN(len(instances))]
 		if faulty {
-			disturb(rnd, store, x, len(all), start)
+			injectFault(rng, store, inst, len(instances), startInstance)
 		}
 	}
 	store.SetFault(nil)
 	cancel()
 	wg.Wait()
 	time.Sleep(time.Minute)
-	return b
+	return counter
 }
 
-// disturb does one random thing.
-func disturb(rnd *rand.Rand, store *standin.Store, x *instance, n int, start func(id, home string)) {
-	until := time.Now().Add(time.Duration(rnd.IntN(30)) * time.Second)
-	switch rnd.IntN(7) {
+// injectFault injects one random fault: a frozen agent, entry or both, a store that is
+// down, loses replies or delays them. Or it repairs the store and, up to 12 instances,
+// starts a replacement.
+func injectFault(rng *rand.Rand, store *standin.Store, inst *instance, n int, startInstance func(id, region string)) {
+	until := time.Now().Add(time.Duration(rng.IntN(30)) * time.Second)
+	switch rng.IntN(7) {
 	case 0:
-		x.freeze(true, false, until)
+		inst.freeze(true, false, until)
 	case 1:
-		x.freeze(false, true, until)
+		inst.freeze(false, true, until)
 	case 2:
-		x.freeze(true, true, until)
+		inst.freeze(true, true, until)
 	case 3:
 		store.SetFault(func(standin.Op, string) standin.Fault { return standin.Fault{Down: true} })
 	case 4:
@@ -195,37 +204,40 @@
 			return standin.Fault{LoseReply: op == standin.OpSwap || op == standin.OpLease}
 		})
 	case 5:
-		// Called with the store locked, so that its source needs no lock.
-		delays := rand.New(rand.NewPCG(rnd.Uint64(), 1))
+		// The store calls the fault function under its lock, so the random source needs
+		// no lock of its own.
+		delays := rand.New(rand.NewPCG(rng.Uint64(), 1))
 		store.SetFault(func(standin.Op, string) standin.Fault {
 			return standin.Fault{Delay: time.Duration(delays.IntN(1500)) * time.Millisecond}
 		})
 	case 6:
 		store.SetFault(nil)
 		if n < 12 {
-			start(fmt.Sprint("replacement-", n), "muscat")
+			startInstance(fmt.Sprint("replacement-", n), "muscat")
 		}
 	}
 }
 
-// TestCapHoldsUnderGeneratedSchedules checks at every request that the sum in
-// flight is within the cap, whoever is frozen, cut off or replaced.
+// TestCapHoldsUnderGeneratedSchedules checks at each request that the sum of the requests
+// in flight is within the cap, whichever processes are frozen, cut off from the store or
+// replaced.
 func TestCapHoldsUnderGeneratedSchedules(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(21)
 	params.MinSuccessfulTests = 40
 	props := gopter.NewProperties(params)
 	props.Property("the sum stays within the cap", prop.ForAll(func(seed uint64) string {
-		var b *bench
-		synctest.Test(t, func(*testing.T) { b = schedule(seed, true, 4*time.Minute) })
-		_, over := b.result()
-		return over
+		var counter *requestCounter
+		synctest.Test(t, func(*testing.T) { counter = runSchedule(seed, true, 4*time.Minute) })
+		_, violation := counter.result()
+		return violation
 	}, gen.UInt64()))
 	props.TestingRun(t)
 }
 
-// TestRacingKeepers lets all keepers read a slow store's ledger at once, each in
-// need of the whole pool.
-func TestRacingKeepers(t *testing.T) {
+// TestConcurrentAllocators lets all allocators read the ledger of a slow store at the same
+// time, each with a demand for the whole pool. Without compare-and-swap their grants
+// together would exceed the cap.
+func TestConcurrentAllocators(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
 		calls := 0
@@ -233,84 +245,86 @@
 			calls++
 			return standin.Fault{Delay: time.Duration(10+calls*137%400) * time.Millisecond}
 		})
-		want := terms("muscat", 40)
-		var keepers []*Allocator
+		cfg := config("muscat", 40)
+		var allocators []*Allocator
 		for i := range 5 {
-			keepers = append(keepers, NewAllocator(store, fmt.Sprint("home-", i), "muscat", clock, time.Now))
+			allocators = append(allocators, NewAllocator(store, fmt.Sprint("home-", i), "muscat", bootClock, time.Now))
 		}
 		for range 5 {
 			var wg sync.WaitGroup
-			for _, k := range keepers {
-				k.ApplyUsage([]CapUsage{{"stock", "muscat", Usage{InFlight: 40, Refused: 100}}})
-				wg.Go(func() { _ = k.Reconcile(t.Context(), []CapConfig{want}, hold) })
+			for _, a := range allocators {
+				a.ApplyUsage([]CapUsage{{"stock", "muscat", Usage{InFlight: 40, Refused: 100}}})
+				wg.Go(func() { _ = a.Reconcile(t.Context(), []CapConfig{cfg}, maxRequestTime) })
 			}
 			wg.Wait()
 			sum := 0
-			for _, k := range keepers {
-				for _, l := range k.ApplyUsage(nil) {
-					sum += l.At(clock())
+			for _, a := range allocators {
+				for _, l := range a.ApplyUsage(nil) {
+					sum += l.At(bootClock())
 				}
 			}
 			if sum > 40 {
-				t.Errorf("the keepers rely on %d of 40", sum)
+				t.Errorf("the limits of all allocators sum up to %d, the cap is 40", sum)
 			}
 		}
 	})
 }
 
-// TestCapIsUsed checks that without faults nearly all of the cap gets used.
-func TestCapIsUsed(t *testing.T) {
+// TestMostOfCapIsUsed checks that without faults at least three quarters of the cap are in
+// use at the peak.
+func TestMostOfCapIsUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := schedule(4, false, 2*time.Minute)
-		peak, over := b.result()
-		t.Logf("peak %d of %d", peak, b.total)
-		if over != "" {
-			t.Error(over)
+		counter := runSchedule(4, false, 2*time.Minute)
+		peak, violation := counter.result()
+		t.Logf("peak %d of %d", peak, counter.total)
+		if violation != "" {
+			t.Error(violation)
 		}
 		if peak < 30 {
-			t.Errorf("peak %d of %d", peak, b.total)
+			t.Errorf("peak of %d requests in flight, want at least 30 of the cap of %d", peak, counter.total)
 		}
 	})
 }
 
-// TestUsableInEachState logs how much of a cap can be used with all, some and
-// no shares, and checks what the settings promise.
-func TestUsableInEachState(t *testing.T) {
+// TestUsableCapDuringFailures logs how much of a cap is usable with all agents running,
+// with one of four frozen and with the store down, and checks the least values that the
+// settings guarantee. With the store down these are the floors of the four seats.
+func TestUsableCapDuringFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
-		b := &bench{total: 40}
+		counter := &requestCounter{total: 40}
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
-		var all []*instance
+		var instances []*instance
 		for i := range 4 {
-			x := &instance{keeper: NewAllocator(store, fmt.Sprint("home-", i), "muscat", clock, time.Now), book: NewLimiter(), rnd: rand.New(rand.NewPCG(uint64(i), 1)), wish: 100}
-			all = append(all, x)
-			wg.Go(func() { x.run(ctx, b, "x", terms("muscat", b.total)) })
+			inst := &instance{allocator: NewAllocator(store, fmt.Sprint("home-", i), "muscat", bootClock, time.Now), limiter: NewLimiter(), rng: rand.New(rand.NewPCG(uint64(i), 1)), wanted: 100}
+			instances = append(instances, inst)
+			wg.Go(func() { inst.run(ctx, counter, "x", config("muscat", counter.total)) })
 		}
 		usable := func() int {
 			n := 0
-			for _, x := range all {
-				for _, u := range x.book.StatusesAndReset(clock()) {
+			for _, inst := range instances {
+				for _, u := range inst.limiter.StatusesAndReset(bootClock()) {
 					n += u.Limit
 				}
 			}
 			return n
 		}
 		time.Sleep(time.Minute)
-		whole := usable()
-		all[3].freeze(true, false, time.Now().Add(time.Hour))
+		withAll := usable()
+		instances[3].freeze(true, false, time.Now().Add(time.Hour))
 		time.Sleep(LeaseTTL)
-		some := usable()
+		withoutOne := usable()
 		time.Sleep(time.Minute)
-		regained := usable()
+		afterReclaim := usable()
 		store.SetFault(func(standin.Op, string) standin.Fault { return standin.Fault{Down: true} })
 		time.Sleep(time.Minute)
-		none := usable()
+		withoutStore := usable()
 		store.SetFault(nil)
 		time.Sleep(time.Minute)
-		t.Logf("usable of %d: all shares %d, one of four agents frozen %d then %d, store away %d, back %d", b.total, whole, some, regained, none, usable())
-		if whole < 36 || regained < 32 || none != 4*4 {
-			t.Error("less is usable than the settings promise")
+		t.Logf("usable of %d: all agents running %d, one of four frozen %d, after reclaim %d, store down %d, store back %d", counter.total, withAll, withoutOne, afterReclaim, withoutStore, usable())
+		if withAll < 36 || afterReclaim < 32 || withoutStore != 4*4 {
+			t.Error("less of the cap is usable than the settings guarantee")
 		}
 		cancel()
 		wg.Wait()
@@ -323,7 +337,7 @@
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if l, err := DecodeLedger(b); err == nil {
-			Plan(l, terms("muscat", 10), Holder{ID: "a", Local: true, Lease: 2, Reclaimable: func(Grant) bool { return true }}, Demand{})
+			Plan(l, config("muscat", 10), Holder{ID: "a", Local: true, Lease: 2, Reclaimable: func(Grant) bool { return true }}, Demand{})
 		}
 	})
 }
