--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -1,9 +1,10 @@
-// Package shift carries out announced moves of traffic between regions.
+// Package shift selects the requests that scheduled moves of traffic send to another
+// region.
 //
-// A Meter belongs to one service at one entry. It spreads the moved requests
-// evenly, so that of any n requests in a row at most share*n+1 are moved. Each
-// entry keeps to the cap for its own requests, and so the sum over all entries
-// keeps to it without any talk between them.
+// A Splitter serves one service at one entry. It spreads the moved requests evenly, so
+// that at most share*n+1 of any n consecutive requests are moved. Each entry keeps the
+// cap on the moved share for its own requests; the sum over all entries therefore keeps
+// the cap without communication between them.
 package shift
 
 import (
@@ -14,124 +15,132 @@
 	"github.com/loomkeel/loomkeel/internal/tree"
 )
 
-// freshFor is how old the newest load report of the receiving region may be for
-// a move to advance.
-const freshFor = 5 * time.Second
+// maxReportAge is the greatest age of the receiving region's latest load report at which
+// a move may still advance.
+const maxReportAge = 5 * time.Second
 
-// lane is one move under way.
-type lane struct {
-	share  float64
+// moveState is the progress of one move.
+type moveState struct {
+	// share is the part of the requests that is moved now, from 0 to 1.
+	share float64
+	// credit grows by share with each request, up to 1. Moving a request costs 1.
 	credit float64
-	at     time.Time
+	// updatedAt is when share was last updated.
+	updatedAt time.Time
 }
 
 // Splitter decides which requests of one service are moved. It is safe for
 // concurrent use.
 type Splitter struct {
-	mu    sync.Mutex
-	lanes map[string]*lane
+	mu sync.Mutex
+	// states holds the progress of the current moves, by their paths.
+	states map[string]*moveState
 }
 
-// NewSplitter returns a Meter without moves under way.
-func NewSplitter() *Splitter { return &Splitter{lanes: make(map[string]*lane)} }
+// NewSplitter returns a Splitter without moves.
+func NewSplitter() *Splitter { return &Splitter{states: make(map[string]*moveState)} }
 
-// Input is what a decision is taken by.
+// Input is the input of one decision.
 type Input struct {
 	Now time.Time
-	// Moves are the moves of the service out of the own region.
+	// Moves are the service's announced moves out of the entry's region.
 	Moves []tree.Move
-	// MaxShare is the largest share that moves may shift together.
+	// MaxShare bounds the sum of the shares of all moves, from 0 to 1.
 	MaxShare float64
-	// MaxGainPerMinute is the largest share that one move may gain in a minute.
+	// MaxGainPerMinute is by how much the share of one move may grow in a minute, after
+	// its first step.
 	MaxGainPerMinute float64
-	// LastReport returns when a region's upstreams last reported their load.
+	// LastReport returns the time of the latest load report of a region's upstreams.
 	LastReport func(region string) time.Time
 }
 
-// Decide counts one request and returns the region it is moved to, or "" if it
-// stays.
-func (m *Splitter) Decide(in Input) string {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.drop(in.Moves)
+// Decide updates the shares of the moves, counts one request and returns the region that
+// the request is moved to, or "" if it stays.
+func (s *Splitter) Decide(in Input) string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.removeEnded(in.Moves)
 	total, target := 0.0, ""
 	for _, mv := range in.Moves {
-		l := m.lane(mv, in)
-		l.advance(mv, in)
-		share := math.Min(l.share, in.MaxShare-total)
+		state := s.state(mv, in)
+		state.advance(mv, in)
+		share := math.Min(state.share, in.MaxShare-total)
 		total += share
-		l.credit = math.Min(l.credit+share, 1)
-		if target == "" && l.credit >= 1 {
-			l.credit--
+		state.credit = math.Min(state.credit+share, 1)
+		if target == "" && state.credit >= 1 {
+			state.credit--
 			target = mv.To
 		}
 	}
 	return target
 }
 
-// lane returns a move's state. An entry that starts in the middle of a move
-// joins it at the share that the schedule gives.
-func (m *Splitter) lane(mv tree.Move, in Input) *lane {
-	l := m.lanes[mv.Path]
-	if l == nil {
-		l = &lane{share: mv.Share(in.Now), at: in.Now}
-		m.lanes[mv.Path] = l
+// state returns the progress of a move, which it creates if necessary. An entry that
+// starts in the middle of a move begins at the scheduled share.
+func (s *Splitter) state(mv tree.Move, in Input) *moveState {
+	state := s.states[mv.Path]
+	if state == nil {
+		state = &moveState{share: mv.Share(in.Now), updatedAt: in.Now}
+		s.states[mv.Path] = state
 	}
-	return l
+	return state
 }
 
-// advance follows the schedule as far as the rate allows, and holds while the
-// receiving region's load is not known. It falls at once.
-func (l *lane) advance(mv tree.Move, in Input) {
-	elapsed := in.Now.Sub(l.at)
-	l.at = in.Now
-	want := mv.Share(in.Now)
-	if want <= l.share {
-		l.share = want
+// advance raises the share to the scheduled one, starting with the move's first step and
+// then no faster than MaxGainPerMinute. After the first step the share stays where it is
+// while the receiving region has no recent load report. A lower scheduled share applies
+// at once.
+func (m *moveState) advance(mv tree.Move, in Input) {
+	elapsed := in.Now.Sub(m.updatedAt)
+	m.updatedAt = in.Now
+	scheduled := mv.Share(in.Now)
+	if scheduled <= m.share {
+		m.share = scheduled
 		return
 	}
-	first := l.share < mv.Step || l.share == 0
-	if !first && in.Now.Sub(in.LastReport(mv.To)) > freshFor {
+	belowFirstStep := m.share < mv.Step || m.share == 0
+	if !belowFirstStep && in.Now.Sub(in.LastReport(mv.To)) > maxReportAge {
 		return
 	}
-	next := l.share + in.MaxGainPerMinute*elapsed.Minutes()
-	if first {
+	next := m.share + in.MaxGainPerMinute*elapsed.Minutes()
+	if belowFirstStep {
 		next = math.Max(next, mv.Step)
 	}
-	l.share = math.Min(want, next)
+	m.share = math.Min(scheduled, next)
 }
 
-// drop forgets moves that are no longer announced.
-func (m *Splitter) drop(moves []tree.Move) {
-	if len(m.lanes) <= len(moves) && m.allKnown(moves) {
+// removeEnded removes the states of moves that are no longer announced.
+func (s *Splitter) removeEnded(moves []tree.Move) {
+	if len(s.states) <= len(moves) && s.allAnnounced(moves) {
 		return
 	}
-	keep := make(map[string]*lane, len(moves))
+	keep := make(map[string]*moveState, len(moves))
 	for _, mv := range moves {
-		if l := m.lanes[mv.Path]; l != nil {
-			keep[mv.Path] = l
+		if state := s.states[mv.Path]; state != nil {
+			keep[mv.Path] = state
 		}
 	}
-	m.lanes = keep
+	s.states = keep
 }
 
-func (m *Splitter) allKnown(moves []tree.Move) bool {
-	known := 0
+// allAnnounced reports whether every state belongs to one of the announced moves.
+func (s *Splitter) allAnnounced(moves []tree.Move) bool {
+	found := 0
 	for _, mv := range moves {
-		if m.lanes[mv.Path] != nil {
-			known++
+		if s.states[mv.Path] != nil {
+			found++
 		}
 	}
-	return known == len(m.lanes)
+	return found == len(s.states)
 }
 
-// Shares returns the share of each move under way, by its path.
-func (m *Splitter) Shares() map[string]float64 {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	out := make(map[string]float64, len(m.lanes))
-	for p, l := range m.lanes {
-		out[p] = l.share
+// Shares returns the present share of each move, from 0 to 1, by the path of the move.
+func (s *Splitter) Shares() map[string]float64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	out := make(map[string]float64, len(s.states))
+	for p, state := range s.states {
+		out[p] = state.share
 	}
 	return out
 }
