--- a/internal/sim/loomkeel.go
+++ b/internal/sim/loomkeel.go
@@ -12,98 +12,104 @@
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
-// loomkeel is the product's own policy: a balance.Group for each entry and service,
-// which hear of each other with a delay.
+// loomkeel is the product's own policy: one balance.Balancer for each entry and service.
+// The balancers of a service exchange loads and rate limits with the latency between their
+// entries.
 type loomkeel struct {
-	play   *Simulation
-	groups [][]*balance.Balancer
-	index  map[string]int
-	ticks  int
-	// drained are the failure domains as the groups last heard of them.
+	sim *Simulation
+	// balancers are indexed by entry and service.
+	balancers [][]*balance.Balancer
+	// index maps the id of an upstream to its index in the simulation.
+	index map[string]int
+	ticks int
+	// drained holds, for each failure domain, whether the balancers have it as drained.
 	drained  []bool
 	services []*model.Service
 	members  []model.Member
 }
 
-func newLoomkeel(p *Simulation) Policy {
-	l := &loomkeel{play: p, index: make(map[string]int), drained: slices.Clone(p.drained)}
-	for _, s := range p.site.Services {
-		l.services = append(l.services, &model.Service{Name: s.Name, Routed: true})
-	}
-	for i, u := range p.upstreams {
-		d := p.site.Domains[u.domain]
+// newLoomkeel returns the loomkeel policy for a simulation.
+func newLoomkeel(s *Simulation) Policy {
+	l := &loomkeel{sim: s, index: make(map[string]int), drained: slices.Clone(s.drained)}
+	for _, configured := range s.scenario.Services {
+		l.services = append(l.services, &model.Service{Name: configured.Name, Routed: true})
+	}
+	for i, u := range s.upstreams {
+		d := s.scenario.Domains[u.domain]
 		l.index[u.id] = i
 		svc := l.services[u.service]
 		svc.Upstreams = append(svc.Upstreams, model.Upstream{ID: u.id, Service: svc.Name, Region: d.Region, Domain: d.Name, Slots: u.slots})
 	}
-	for _, e := range p.entries {
-		d := p.site.Domains[e.domain]
+	for _, e := range s.entries {
+		d := s.scenario.Domains[e.domain]
 		l.members = append(l.members, model.Member{ID: e.id, Region: d.Region, Domain: d.Name, State: membership.Alive})
 	}
-	for e := range p.entries {
-		groups := make([]*balance.Balancer, len(l.services))
-		for i := range groups {
-			groups[i] = balance.NewBalancer()
-			l.tellOfLimits(e, i, groups[i])
+	for e := range s.entries {
+		balancers := make([]*balance.Balancer, len(l.services))
+		for i := range balancers {
+			balancers[i] = balance.NewBalancer()
+			l.publishLimitUpdates(e, i, balancers[i])
 		}
-		l.groups = append(l.groups, groups)
+		l.balancers = append(l.balancers, balancers)
 	}
-	l.update(p.agenda.Now())
+	l.update(s.scheduler.Now())
 	return l
 }
 
-// limitNewsAfter is after what time entries tell each other of limits and of requests to
-// upstreams that have one.
-const limitNewsAfter = 5 * time.Millisecond
+// limitUpdateDelay is how long an entry collects updates of rate limits, and of the requests
+// sent to rate-limited upstreams, before it sends them to the other entries.
+const limitUpdateDelay = 5 * time.Millisecond
 
-// tellOfLimits has a group tell the others of limits.
-func (l *loomkeel) tellOfLimits(from, service int, g *balance.Balancer) {
+// publishLimitUpdates makes a balancer send its limit updates to the other entries,
+// limitUpdateDelay after the first unsent one.
+func (l *loomkeel) publishLimitUpdates(from, service int, b *balance.Balancer) {
 	pending := false
-	g.OnLimitUpdate(func() {
+	b.OnLimitUpdate(func() {
 		if pending {
 			return
 		}
 		pending = true
-		l.play.after(limitNewsAfter, func() {
+		l.sim.after(limitUpdateDelay, func() {
 			pending = false
-			l.tellRates(from, service, balance.UnsentUpdates)
+			l.sendLimitUpdates(from, service, balance.UnsentUpdates)
 		})
 	})
 }
 
-func (l *loomkeel) tellRates(from, service int, scope balance.UpdateScope) {
-	var news []balance.LimitUpdate
-	l.groups[from][service].VisitLimitUpdates(l.play.agenda.Now(), scope, func(n balance.LimitUpdate) { news = append(news, n) })
-	if len(news) == 0 {
+// sendLimitUpdates sends the limit updates of a scope to all other entries.
+func (l *loomkeel) sendLimitUpdates(from, service int, scope balance.UpdateScope) {
+	var updates []balance.LimitUpdate
+	l.balancers[from][service].VisitLimitUpdates(l.sim.scheduler.Now(), scope, func(n balance.LimitUpdate) { updates = append(updates, n) })
+	if len(updates) == 0 {
 		return
 	}
-	for to := range l.groups {
+	for to := range l.balancers {
 		if to != from {
-			l.play.after(l.way(from, to), func() {
-				l.groups[to][service].ApplyPeerLimits(l.play.agenda.Now(), l.members[from].ID, 1, news)
+			l.sim.after(l.latency(from, to), func() {
+				l.balancers[to][service].ApplyPeerLimits(l.sim.scheduler.Now(), l.members[from].ID, 1, updates)
 			})
 		}
 	}
 }
 
-// way is the one-way latency between two entries.
-func (l *loomkeel) way(from, to int) time.Duration {
+// latency returns the one-way latency between two entries.
+func (l *loomkeel) latency(from, to int) time.Duration {
 	if l.members[to].Region == l.members[from].Region {
-		return l.play.site.IntraRegionLatency
+		return l.sim.scenario.IntraRegionLatency
 	}
-	return l.play.site.InterRegionLatency
+	return l.sim.scenario.InterRegionLatency
 }
 
-// update gives all groups what an operator's order changed.
+// update passes the drained failure domains to all balancers.
 func (l *loomkeel) update(now time.Time) {
 	drained := make(map[string]bool)
-	for i, d := range l.play.site.Domains {
+	for i, d := range l.sim.scenario.Domains {
 		drained[d.Name] = l.drained[i]
 	}
-	for i, groups := range l.groups {
+	for i, balancers := range l.balancers {
 		self := l.members[i]
-		for s, g := range groups {
-			g.Update(balance.ServiceState{
+		for s, b := range balancers {
+			b.Update(balance.ServiceState{
 				Service: l.services[s], Self: self.ID, Region: self.Region, Domain: self.Domain, Entries: l.members,
 				Draining: func(u *model.Upstream, _ time.Time) bool { return drained[u.Domain] },
 			}, now)
@@ -113,12 +119,12 @@
 
 // Pick implements Policy.
 func (l *loomkeel) Pick(now time.Time, entry int, r *Request) Decision {
-	c := &l.play.site.Classes[r.Class]
+	c := &l.sim.scenario.Classes[r.Class]
 	var tried []string
 	for _, u := range r.Tried {
-		tried = append(tried, l.play.upstreams[u].id)
+		tried = append(tried, l.sim.upstreams[u].id)
 	}
-	choice, err := l.groups[entry][c.Service].PickObject(now, balance.ObjectRequest{
+	choice, err := l.balancers[entry][c.Service].PickObject(now, balance.ObjectRequest{
 		Object: balance.HashObject(c.Name, fmt.Sprint(r.Object)), Class: c.Name, Objective: c.Objective, Tried: tried,
 	})
 	if err == nil {
@@ -137,45 +143,47 @@
 }
 
 // Done implements Policy.
-func (l *loomkeel) Done(now time.Time, entry int, r *Request, e AttemptResult) {
-	report := balance.DoneInfo{Result: balance.OK, Load: e.Load, Waiting: e.Queued, ConnectTime: e.RoundTrip}
+func (l *loomkeel) Done(now time.Time, entry int, r *Request, result AttemptResult) {
+	info := balance.DoneInfo{Result: balance.OK, Load: result.Load, Waiting: result.Queued, ConnectTime: result.RoundTrip}
 	switch {
-	case e.TimedOut:
-		report.Result = balance.Failed
-	case e.Shed:
-		report.Result = balance.Shed
+	case result.TimedOut:
+		info.Result = balance.Failed
+	case result.Shed:
+		info.Result = balance.Shed
 	}
-	g := l.groups[entry][l.play.site.Classes[r.Class].Service]
-	if !e.TimedOut {
-		g.ObserveLimit(now, e.Token.(balance.Choice), balance.RateLimit{Known: true, PerSecond: e.RateLimit})
+	b := l.balancers[entry][l.sim.scenario.Classes[r.Class].Service]
+	if !result.TimedOut {
+		b.ObserveLimit(now, result.Token.(balance.Choice), balance.RateLimit{Known: true, PerSecond: result.RateLimit})
 	}
-	g.Done(now, e.Token.(balance.Choice), report)
+	b.Done(now, result.Token.(balance.Choice), info)
 }
 
-// Tick implements Policy: entries of a region tell each other each time, others every
-// second time, and hear of it after the way.
+// Tick implements Policy. Each entry sends its loads to the entries of its region at each
+// tick and to others at every second tick, and its limit updates to all at each tick. They
+// arrive after the latency between the entries.
 func (l *loomkeel) Tick(now time.Time) {
 	l.ticks++
-	if !slices.Equal(l.drained, l.play.drained) {
-		copy(l.drained, l.play.drained)
+	if !slices.Equal(l.drained, l.sim.drained) {
+		copy(l.drained, l.sim.drained)
 		l.update(now)
 	}
-	for i, groups := range l.groups {
-		for s, g := range groups {
+	for i, balancers := range l.balancers {
+		for s, b := range balancers {
 			load := balance.PeerLoad{Peer: l.members[i].ID, Last: math.MaxUint32, Loads: make(map[uint32]balance.Load)}
-			g.VisitLoads(now, balance.EntryFilter{Own: true}, func(u uint32, n balance.Load) { load.Loads[u] = n })
-			l.tell(i, s, load)
-			l.tellRates(i, s, balance.AllUpdates)
+			b.VisitLoads(now, balance.EntryFilter{Own: true}, func(u uint32, n balance.Load) { load.Loads[u] = n })
+			l.sendLoads(i, s, load)
+			l.sendLimitUpdates(i, s, balance.AllUpdates)
 		}
 	}
 }
 
-func (l *loomkeel) tell(from, service int, load balance.PeerLoad) {
-	for to := range l.groups {
-		near := l.members[to].Region == l.members[from].Region
-		if to == from || !near && l.ticks%2 == 0 {
+// sendLoads sends the loads of one entry to the entries that are due at this tick.
+func (l *loomkeel) sendLoads(from, service int, load balance.PeerLoad) {
+	for to := range l.balancers {
+		sameRegion := l.members[to].Region == l.members[from].Region
+		if to == from || !sameRegion && l.ticks%2 == 0 {
 			continue
 		}
-		l.play.after(l.way(from, to), func() { l.groups[to][service].ApplyPeerLoad(l.play.agenda.Now(), load) })
+		l.sim.after(l.latency(from, to), func() { l.balancers[to][service].ApplyPeerLoad(l.sim.scheduler.Now(), load) })
 	}
 }
--- a/internal/sim/named_scenarios.go
+++ b/internal/sim/named_scenarios.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Scenarios are the loads by name that each answer one question.
+// Scenarios holds the constructors of the named scenarios, each of which tests one situation.
 var Scenarios = map[string]func() *Scenario{
-	"calm":           func() *Scenario { return regional(0.4) },
-	"heavy":          func() *Scenario { return regional(0.75) },
-	"emptied-domain": emptiedDomain,
-	"idle-sheds":     idleSheds,
-	"burst":          burst,
-	"limits-some":    func() *Scenario { return limits(0.5) },
-	"limits-all":     func() *Scenario { return limits(1) },
+	"calm":           func() *Scenario { return regionalScenario(0.4) },
+	"heavy":          func() *Scenario { return regionalScenario(0.75) },
+	"emptied-domain": emptiedDomainScenario,
+	"idle-sheds":     idleShedsScenario,
+	"burst":          burstScenario,
+	"limits-some":    func() *Scenario { return limitScenario(0.5) },
+	"limits-all":     func() *Scenario { return limitScenario(1) },
 }
 
-// regional is a deployment of three regions of two failure domains each, one of which
-// has only a fifth of the upstreams of the others. Load is a part of what all slots
-// could bear if all work were warm.
-func regional(load float64) *Scenario {
+// regionalScenario returns a deployment of three regions with two failure domains each. One
+// region has only about a fifth of the upstreams of each other. load is relative to what all
+// slots could serve if all objects were cached.
+func regionalScenario(load float64) *Scenario {
 	s := &Scenario{
 		Name: fmt.Sprint("regional-", load), InterRegionLatency: 20 * time.Millisecond, IntraRegionLatency: time.Millisecond, ClientLatency: 5 * time.Millisecond,
 		Duration: 20 * time.Second,
@@ -43,31 +43,33 @@
 	return s
 }
 
-// emptiedDomain empties a failure domain with a quarter of the upstreams, in a region
-// that has twice the capacity that it asks for.
-func emptiedDomain() *Scenario {
-	s := regional(0.6)
+// emptiedDomainScenario drains a failure domain with a quarter of the upstreams, in a region
+// with twice the capacity that its own callers need.
+func emptiedDomainScenario() *Scenario {
+	s := regionalScenario(0.6)
 	s.Events = []Event{{At: 6 * time.Second, Duration: 10 * time.Second, Kind: Drain, Domain: 4}}
 	return s
 }
 
-// idleSheds has every second upstream refuse half of its requests for no reason.
-func idleSheds() *Scenario {
-	s := regional(0.5)
+// idleShedsScenario makes every second upstream refuse half of its requests although it has
+// free slots.
+func idleShedsScenario() *Scenario {
+	s := regionalScenario(0.5)
 	s.Events = []Event{{At: 6 * time.Second, Duration: 10 * time.Second, Kind: ShedIdle, UpstreamShare: 0.5, Factor: 0.5}}
 	return s
 }
 
-// burst has half as many requests again for a while.
-func burst() *Scenario {
-	s := regional(0.6)
+// burstScenario raises the load to 1.5 times its rate for 6 s.
+func burstScenario() *Scenario {
+	s := regionalScenario(0.6)
 	s.Events = []Event{{At: 6 * time.Second, Duration: 6 * time.Second, Kind: Burst, Factor: 1.5}}
 	return s
 }
 
-// limits has a share of the upstreams take less than half of what they get. The others have
-// slots for the rest, but not for its objects as well.
-func limits(share float64) *Scenario {
+// limitScenario makes a share of the upstreams report rate limits below half of their load.
+// The other upstreams have slots for the remaining requests, but their caches can't hold the
+// objects of these as well.
+func limitScenario(share float64) *Scenario {
 	s := &Scenario{
 		Name: fmt.Sprint("limits-", share), InterRegionLatency: 50 * time.Millisecond, IntraRegionLatency: time.Millisecond, ClientLatency: time.Millisecond,
 		Duration: 30 * time.Second,
--- a/internal/sim/result.go
+++ b/internal/sim/result.go
@@ -2,30 +2,33 @@
 
 import "time"
 
-// Result is what callers got in a play.
+// Result holds the results of all requests of a simulation.
 type Result struct {
-	site    *Scenario
+	scenario *Scenario
+	// Classes are the tallies by class of request.
 	Classes []Tally
-	// Windows are the tallies of the requests by when they were first sent.
+	// Windows are the tallies by when the requests were first sent, one per windowLength.
 	Windows []Tally
 }
 
-// vainReturn is the part of its worth that a request costs which is refused again.
-const vainReturn = 0.3
+// refusedRetryCost is the part of its value that a request costs if its retry is refused as
+// well.
+const refusedRetryCost = 0.3
 
 // windowLength is the length of a window of a Result.
 const windowLength = 2 * time.Second
 
-// Tally counts requests by how they ended, each once however often it was tried.
+// Tally counts requests by how they ended. A request and its retry count as one.
 type Tally struct {
-	// Sent requests were sent; InTime of them were answered within their objective,
-	// Late after it, Refused at last, and Failed without an answer.
+	// Of the Sent requests, InTime were answered within their objective and Late after
+	// it. Refused were refused in the end, and Failed got no answer.
 	Sent, InTime, Late, Refused, Failed int
-	// TotalValue is the worth of all, EarnedValue that of the answers.
+	// TotalValue is the sum of the values of all requests, EarnedValue that of the answers
+	// less the costs of refused retries.
 	TotalValue, EarnedValue float64
 }
 
-// ValueRatio is the part of the worth that was earned.
+// ValueRatio returns the earned part of the total value, or 1 without any value.
 func (t Tally) ValueRatio() float64 {
 	if t.TotalValue == 0 {
 		return 1
@@ -41,11 +44,12 @@
 	}
 }
 
+// newResult returns a Result without requests.
 func newResult(s *Scenario) *Result {
-	return &Result{site: s, Classes: make([]Tally, len(s.Classes)), Windows: make([]Tally, 1+s.Duration/windowLength)}
+	return &Result{scenario: s, Classes: make([]Tally, len(s.Classes)), Windows: make([]Tally, 1+s.Duration/windowLength)}
 }
 
-// Total sums up all classes.
+// Total returns the sum of the tallies of all classes.
 func (r *Result) Total() Tally {
 	var sum Tally
 	for _, t := range r.Classes {
@@ -54,34 +58,37 @@
 	return sum
 }
 
-// count adds to the tallies of a request.
-func (r *Result) count(class int, first time.Time, add Tally) {
+// count adds to the tallies of a class and of the window of firstSent.
+func (r *Result) count(class int, firstSent time.Time, add Tally) {
 	r.Classes[class] = r.Classes[class].Add(add)
-	w := int(first.Sub(epoch) / windowLength)
+	w := int(firstSent.Sub(epoch) / windowLength)
 	r.Windows[w] = r.Windows[w].Add(add)
 }
 
-func (r *Result) asked(class int, now time.Time) {
-	r.count(class, now, Tally{Sent: 1, TotalValue: r.site.Classes[class].Value})
+// recordSent counts a new request.
+func (r *Result) recordSent(class int, now time.Time) {
+	r.count(class, now, Tally{Sent: 1, TotalValue: r.scenario.Classes[class].Value})
 }
 
-func (r *Result) served(q *Request, now time.Time) {
-	c := r.site.Classes[q.Class]
-	if now.Sub(q.first) <= c.Objective {
-		r.count(q.Class, q.first, Tally{InTime: 1, EarnedValue: c.Value})
+// recordAnswered counts a request whose answer reached the caller now.
+func (r *Result) recordAnswered(q *Request, now time.Time) {
+	c := r.scenario.Classes[q.Class]
+	if now.Sub(q.firstSent) <= c.Objective {
+		r.count(q.Class, q.firstSent, Tally{InTime: 1, EarnedValue: c.Value})
 		return
 	}
-	r.count(q.Class, q.first, Tally{Late: 1, EarnedValue: c.LateValue * c.Value})
+	r.count(q.Class, q.firstSent, Tally{Late: 1, EarnedValue: c.LateValue * c.Value})
 }
 
-// refused counts a request that was refused at last. One that came back as it was told
-// costs part of its worth: its caller waited for nothing.
-func (r *Result) refused(q *Request) {
+// recordRefused counts a request that was refused in the end. A refused retry costs part of
+// the value, since its caller waited in vain.
+func (r *Result) recordRefused(q *Request) {
 	t := Tally{Refused: 1}
-	if q.again {
-		t.EarnedValue = -vainReturn * r.site.Classes[q.Class].Value
+	if q.isRetry {
+		t.EarnedValue = -refusedRetryCost * r.scenario.Classes[q.Class].Value
 	}
-	r.count(q.Class, q.first, t)
+	r.count(q.Class, q.firstSent, t)
 }
 
-func (r *Result) failed(q *Request) { r.count(q.Class, q.first, Tally{Failed: 1}) }
+// recordFailed counts a request that got no answer.
+func (r *Result) recordFailed(q *Request) { r.count(q.Class, q.firstSent, Tally{Failed: 1}) }
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -6,72 +6,77 @@
 	"time"
 )
 
-func playOf(s *Scenario, policy string) *Result { return New(s, 1, Policies[policy]).Run() }
+// simulate returns the result of a scenario under a named policy, with seed 1.
+func simulate(s *Scenario, policy string) *Result { return New(s, 1, Policies[policy]).Run() }
 
-// between sums up the windows of a time.
-func (r *Result) between(from, to time.Duration) Tally {
-	var sum Tally
-	for _, w := range r.Windows[from/windowLength : to/windowLength] {
-		sum = sum.Add(w)
+// sumBetween returns the sum of the windows between two times since the start.
+func (r *Result) sumBetween(from, to time.Duration) Tally {
+	var tally Tally
+	for _, window := range r.Windows[from/windowLength : to/windowLength] {
+		tally = tally.Add(window)
 	}
-	return sum
+	return tally
 }
 
-func TestPlaysRepeat(t *testing.T) {
+// TestSimulationIsDeterministic checks that the same seed gives the same result.
+func TestSimulationIsDeterministic(t *testing.T) {
 	for seed := range uint64(2) {
 		a := New(RandomScenario(seed), seed, Policies["loomkeel"]).Run()
 		b := New(RandomScenario(seed), seed, Policies["loomkeel"]).Run()
 		if !reflect.DeepEqual(a, b) {
-			t.Errorf("seed %d: %+v and then %+v", seed, a.Total(), b.Total())
+			t.Errorf("seed %d: first result %+v, second result %+v", seed, a.Total(), b.Total())
 		}
 	}
 }
 
-// TestEveryRequestEnds checks that all requests are counted once, under all policies.
+// TestEveryRequestEnds checks that the end of each request is counted exactly once, under all
+// policies.
 func TestEveryRequestEnds(t *testing.T) {
 	for name := range Policies {
 		for seed := range uint64(2) {
-			sum := New(RandomScenario(seed), seed, Policies[name]).Run().Total()
-			if ended := sum.InTime + sum.Late + sum.Refused + sum.Failed; ended != sum.Sent || sum.Sent == 0 {
-				t.Errorf("%s, seed %d: %d of %d requests ended", name, seed, ended, sum.Sent)
+			tally := New(RandomScenario(seed), seed, Policies[name]).Run().Total()
+			if ended := tally.InTime + tally.Late + tally.Refused + tally.Failed; ended != tally.Sent || tally.Sent == 0 {
+				t.Errorf("%s, seed %d: %d of %d requests ended", name, seed, ended, tally.Sent)
 			}
 		}
 	}
 }
 
-// TestPoliciesGetTheSameLoad compares what was asked.
+// TestPoliciesGetTheSameLoad checks that the number of requests sent doesn't depend on the
+// policy.
 func TestPoliciesGetTheSameLoad(t *testing.T) {
-	want := playOf(RandomScenario(7), "loomkeel").Total().Sent
+	want := simulate(RandomScenario(7), "loomkeel").Total().Sent
 	for name := range Policies {
-		if got := playOf(RandomScenario(7), name).Total().Sent; got != want {
-			t.Errorf("%s was asked %d, loomkeel %d", name, got, want)
+		if got := simulate(RandomScenario(7), name).Total().Sent; got != want {
+			t.Errorf("%s: %d requests sent, with loomkeel %d", name, got, want)
 		}
 	}
 }
 
-func TestUpstreamForgetsWhatWasUsedLongestAgo(t *testing.T) {
+// TestUpstreamCacheEvictsLeastRecentlyUsed checks which object a full cache evicts.
+func TestUpstreamCacheEvictsLeastRecentlyUsed(t *testing.T) {
 	u := newUpstream("u", 0, 0, Service{CacheSize: 2})
 	for _, object := range []uint64{1, 2, 1, 3} {
 		u.touch(object)
 	}
-	if !u.has(1) || u.has(2) || !u.has(3) {
-		t.Errorf("at hand: 1 %v, 2 %v, 3 %v", u.has(1), u.has(2), u.has(3))
+	if !u.hasCached(1) || u.hasCached(2) || !u.hasCached(3) {
+		t.Errorf("cached: object 1 %v, 2 %v, 3 %v", u.hasCached(1), u.hasCached(2), u.hasCached(3))
 	}
 }
 
-// TestEmptiedDomain empties half of a region whose other half can hardly bear its load,
-// while another region has slots to spare. Before upstreams that leave were no
-// capacity, 0.877 of the requests of that time were answered within their objective,
-// now 0.934.
+// TestEmptiedDomain drains one of the two failure domains of a region. The other can hardly
+// serve the region's load, while another region has free slots. If draining upstreams count
+// as capacity, only 0.877 of the requests during the drain are answered within their
+// objective; if they don't, 0.934 are.
 func TestEmptiedDomain(t *testing.T) {
-	during := playOf(Scenarios["emptied-domain"](), "loomkeel").between(8*time.Second, 16*time.Second)
+	during := simulate(Scenarios["emptied-domain"](), "loomkeel").sumBetween(8*time.Second, 16*time.Second)
 	if share := float64(during.InTime) / float64(during.Sent); share < 0.91 {
-		t.Errorf("%.3f of the requests answered in time while a domain is empty: %+v", share, during)
+		t.Errorf("%.3f of the requests answered within their objective while a domain is drained: %+v", share, during)
 	}
 }
 
-// TestBetterThanSimplePolicies compares with the least loaded upstream and with hashing
-// alone, over random deployments.
+// TestBetterThanSimplePolicies checks that the mean value ratio over random scenarios exceeds
+// those of the least loaded upstream and of hashing alone by 0.1.
 func TestBetterThanSimplePolicies(t *testing.T) {
 	const deployments = 4
 	mean := make(map[string]float64)
@@ -82,20 +87,21 @@
 	}
 	for _, simple := range []string{"least-load", "hash"} {
 		if mean["loomkeel"] < mean[simple]+0.1 {
-			t.Errorf("mean worth %.3f, with %s %.3f", mean["loomkeel"], simple, mean[simple])
+			t.Errorf("mean value ratio %.3f, with %s %.3f", mean["loomkeel"], simple, mean[simple])
 		}
 	}
 }
 
-// TestLimitedUpstreamsKeepTheirObjects has all upstreams take less than half of their requests.
-// Callers of most of these get their answers in time, as each upstream's limit serves its own
-// objects: served wherever there is room for a request, few had their object at hand.
+// TestLimitedUpstreamsKeepTheirObjects limits the rate of all upstreams to less than half of
+// their requests. Most of the requests within the limits must be answered within their
+// objective, because each upstream uses its limit for its own objects. If a request went
+// wherever a limit has room, few would find their object in the cache.
 func TestLimitedUpstreamsKeepTheirObjects(t *testing.T) {
-	const taken, least = 0.45, 0.5
+	const limitFactor, minShare = 0.45, 0.5
 	for seed := range uint64(4) {
-		sum := New(Scenarios["limits-all"](), seed, Policies["loomkeel"]).Run().between(10*time.Second, 26*time.Second)
-		if inTime := float64(sum.InTime) / float64(sum.Sent); inTime < least*taken {
-			t.Errorf("seed %d: %.3f of the requests in time, where limits leave room for %v", seed, inTime, taken)
+		tally := New(Scenarios["limits-all"](), seed, Policies["loomkeel"]).Run().sumBetween(10*time.Second, 26*time.Second)
+		if inTime := float64(tally.InTime) / float64(tally.Sent); inTime < minShare*limitFactor {
+			t.Errorf("seed %d: %.3f of the requests answered within their objective, the limits allow %v", seed, inTime, limitFactor)
 		}
 	}
 }
--- a/internal/sim/simulation.go
+++ b/internal/sim/simulation.go
@@ -11,97 +11,107 @@
 )
 
 const (
-	// maxAttempts is how many upstreams a request may be sent to after refusals by
-	// others.
+	// maxAttempts is the number of upstreams that an entry sends a request to, if the
+	// earlier ones refuse it.
 	maxAttempts = 2
-	// waitPart is up to what part of the time that is left callers wait as told before
-	// they come back.
-	waitPart = 1.0 / 3
-	// cutSpread is at how many standard deviations the spread of work is cut.
-	cutSpread = 3.0
+	// maxWaitFraction is the part of the time left until its deadline that a caller waits
+	// at most before it retries, even if RetryAfter is longer.
+	maxWaitFraction = 1.0 / 3
+	// maxDeviations truncates the distribution of the logarithm of service times, in
+	// standard deviations.
+	maxDeviations = 3.0
 )
 
-// Policy decides for all entries. Its methods are called in the order of time.
+// Policy selects upstreams on behalf of all entries. Its methods are called in the order of
+// virtual time.
 type Policy interface {
-	// Pick returns the upstream for a request at an entry, or whether it is refused
-	// and when it should come back.
+	// Pick returns the upstream for a request at an entry, or a refusal with the time
+	// after which the caller should retry.
 	Pick(now time.Time, entry int, r *Request) Decision
-	// Done tells how the attempt ended.
-	Done(now time.Time, entry int, r *Request, e AttemptResult)
-	// Tick is called every tickEvery.
+	// Done reports the result of an attempt.
+	Done(now time.Time, entry int, r *Request, result AttemptResult)
+	// Tick is called every tickPeriod.
 	Tick(now time.Time)
 }
 
-// tickEvery is the time between ticks of a policy.
-const tickEvery = 100 * time.Millisecond
+// tickPeriod is the time between calls of Policy.Tick.
+const tickPeriod = 100 * time.Millisecond
 
-// Decision is what becomes of a request.
+// Decision is the result of Policy.Pick.
 type Decision struct {
-	// Upstream is an index, or -1 if the request is refused.
-	Upstream   int
+	// Upstream is the index of the upstream, or -1 if the request is refused.
+	Upstream int
+	// RetryAfter is set with a refusal.
 	RetryAfter time.Duration
-	// Token is the policy's own, given back to Done.
+	// Token is a value of the policy's own that is passed back to Done.
 	Token any
 }
 
-// AttemptResult is how an attempt ended.
+// AttemptResult describes how an attempt ended.
 type AttemptResult struct {
+	// Token is that of the Decision.
 	Token any
-	// Shed is set if the upstream refused it, TimedOut if no answer came in time.
+	// Shed is set if the upstream refused the request, TimedOut if no response came in
+	// time.
 	Shed, TimedOut bool
-	// Load and Queued are the requests at the upstream, and those that wait there.
+	// Load is the number of requests at the upstream, Queued the number of those that
+	// wait there. Both are -1 after a timeout.
 	Load, Queued int
-	// RoundTrip is the time to the upstream and back.
+	// RoundTrip is the network time to the upstream and back.
 	RoundTrip time.Duration
-	// RateLimit is the limit that the upstream names, or ratelimit.Unlimited.
+	// RateLimit is the limit that the upstream reports, in requests per second, or
+	// ratelimit.Unlimited.
 	RateLimit float64
 }
 
-// Request is one try of a caller.
+// Request is a request that a caller sends to an entry, the first time or as a retry.
 type Request struct {
+	// Class is an index of the scenario's classes.
 	Class  int
 	Object uint64
-	// Region is the caller's, as an index of the play's regions.
+	// Region is the index of the caller's region.
 	Region int
-	// Tried are the upstreams that refused it.
+	// Tried are the indexes of the upstreams that refused the request.
 	Tried []int
 
-	first    time.Time
-	cold     time.Duration
-	again    bool
-	deadline time.Time
-	timeout  time.Time
-	attempts int
-	// entry is the one that has the request.
+	firstSent    time.Time
+	uncachedTime time.Duration
+	isRetry      bool
+	deadline     time.Time
+	timeout      time.Time
+	attempts     int
+	// entry is the index of the entry that the request was sent to.
 	entry int
-	// over is set once nobody waits for the answer any more.
-	over bool
+	// finished is set once nothing waits for the response any more.
+	finished bool
 }
 
-// attempt is a request on its way to, or at, an upstream.
+// attempt is a request that was sent to an upstream and hasn't ended there.
 type attempt struct {
 	*Request
 	token    any
 	upstream int
-	// ended is set once the policy was told how the attempt ended.
-	ended bool
+	// reported is set once the result was passed to Policy.Done.
+	reported bool
 }
 
-// Simulation is one play of a site. It is not safe for concurrent use.
+// Simulation is one run of a scenario under a policy. It is not safe for concurrent use.
 type Simulation struct {
-	site      *Scenario
+	scenario  *Scenario
 	policy    Policy
-	rnd       *rand.Rand
-	agenda    *eventsim.Scheduler
+	rng       *rand.Rand
+	scheduler *eventsim.Scheduler
 	upstreams []*upstream
 	entries   []entry
-	// regionOf is the index of a region, entriesOf the indexes of its entries.
+	// regionOf maps the name of a region to its index, entriesOf holds the indexes of the
+	// entries of each region.
 	regionOf  map[string]int
 	entriesOf [][]int
-	// drained are the failure domains that are out of use, burst multiplies the load.
-	drained []bool
-	burst   float64
-	// popularity has the cumulative shares of the objects of each class.
+	// drained holds, for each failure domain, whether its upstreams are out of use.
+	// loadFactor multiplies the request rates.
+	drained    []bool
+	loadFactor float64
+	// popularity holds, for each class, the cumulative shares of its objects.
 	popularity [][]float64
 	result     *Result
 }
@@ -112,53 +122,56 @@
 	domain int
 }
 
-// epoch is when every play begins.
+// epoch is the virtual time at which every simulation starts.
 var epoch = time.Unix(1_700_000_000, 0)
 
-// New returns a play of a site under the policy that newPolicy returns.
-func New(site *Scenario, seed uint64, newPolicy func(*Simulation) Policy) *Simulation {
-	p := &Simulation{
-		site: site, rnd: rand.New(rand.NewPCG(seed, 1)), agenda: eventsim.New(epoch), burst: 1,
-		regionOf: make(map[string]int), result: newResult(site),
+// New returns a simulation of a scenario under the policy that newPolicy returns. The same
+// seed repeats the same run.
+func New(scenario *Scenario, seed uint64, newPolicy func(*Simulation) Policy) *Simulation {
+	s := &Simulation{
+		scenario: scenario, rng: rand.New(rand.NewPCG(seed, 1)), scheduler: eventsim.New(epoch), loadFactor: 1,
+		regionOf: make(map[string]int), result: newResult(scenario),
 	}
-	p.addEntries()
-	p.addUpstreams()
-	for _, c := range site.Classes {
-		p.popularity = append(p.popularity, popularity(c))
+	s.addEntries()
+	s.addUpstreams()
+	for _, c := range scenario.Classes {
+		s.popularity = append(s.popularity, popularity(c))
 	}
-	p.policy = newPolicy(p)
-	return p
+	s.policy = newPolicy(s)
+	return s
 }
 
-// addEntries sets up the failure domains with their entries.
-func (p *Simulation) addEntries() {
-	site := p.site
-	for i, d := range site.Domains {
-		if _, ok := p.regionOf[d.Region]; !ok {
-			p.regionOf[d.Region] = len(p.entriesOf)
-			p.entriesOf = append(p.entriesOf, nil)
+// addEntries sets up the regions, the failure domains and their entries.
+func (s *Simulation) addEntries() {
+	scenario := s.scenario
+	for i, d := range scenario.Domains {
+		if _, ok := s.regionOf[d.Region]; !ok {
+			s.regionOf[d.Region] = len(s.entriesOf)
+			s.entriesOf = append(s.entriesOf, nil)
 		}
-		region := p.regionOf[d.Region]
+		region := s.regionOf[d.Region]
 		for e := range d.Entries {
-			p.entriesOf[region] = append(p.entriesOf[region], len(p.entries))
-			p.entries = append(p.entries, entry{fmt.Sprintf("e-%s-%d", d.Name, e), i})
+			s.entriesOf[region] = append(s.entriesOf[region], len(s.entries))
+			s.entries = append(s.entries, entry{fmt.Sprintf("e-%s-%d", d.Name, e), i})
 		}
-		p.drained = append(p.drained, false)
+		s.drained = append(s.drained, false)
 	}
 }
 
-func (p *Simulation) addUpstreams() {
-	for i, s := range p.site.Services {
-		for d, n := range s.Upstreams {
+// addUpstreams sets up the upstreams of all services.
+func (s *Simulation) addUpstreams() {
+	for i, svc := range s.scenario.Services {
+		for d, n := range svc.Upstreams {
 			for k := range n {
-				id := fmt.Sprintf("u-%s-%s-%d", s.Name, p.site.Domains[d].Name, k)
-				p.upstreams = append(p.upstreams, newUpstream(id, i, d, s))
+				id := fmt.Sprintf("u-%s-%s-%d", svc.Name, s.scenario.Domains[d].Name, k)
+				s.upstreams = append(s.upstreams, newUpstream(id, i, d, svc))
 			}
 		}
 	}
 }
 
-// popularity returns the cumulative shares of a class's objects.
+// popularity returns the cumulative shares of a class's objects in its requests. The last
+// one is 1.
 func popularity(c Class) []float64 {
 	out := make([]float64, c.Objects)
 	sum := 0.0
@@ -172,71 +185,77 @@
 	return out
 }
 
-// Run plays to the end and returns what callers got.
-func (p *Simulation) Run() *Result {
-	for d := range p.site.Domains {
-		for c := range p.site.Classes {
-			p.nextArrival(d, c, rand.New(rand.NewPCG(uint64(d)<<16|uint64(c), p.rnd.Uint64())))
+// Run runs the simulation to its end and returns the results of all requests.
+func (s *Simulation) Run() *Result {
+	for d := range s.scenario.Domains {
+		for c := range s.scenario.Classes {
+			s.scheduleArrival(d, c, rand.New(rand.NewPCG(uint64(d)<<16|uint64(c), s.rng.Uint64())))
 		}
 	}
-	for _, e := range p.site.Events {
-		p.plan(e)
+	for _, e := range s.scenario.Events {
+		s.scheduleEvent(e)
 	}
-	p.tick()
-	p.agenda.Run()
-	return p.result
+	s.tick()
+	s.scheduler.Run()
+	return s.result
 }
 
-func (p *Simulation) at(t time.Time, do func()) { p.agenda.At(t, do) }
+// at runs fn at a virtual time.
+func (s *Simulation) at(t time.Time, fn func()) { s.scheduler.At(t, fn) }
 
-func (p *Simulation) after(d time.Duration, do func()) { p.agenda.After(d, do) }
+// after runs fn after a virtual delay.
+func (s *Simulation) after(d time.Duration, fn func()) { s.scheduler.After(d, fn) }
 
-func (p *Simulation) over() bool { return p.agenda.Now().Sub(epoch) >= p.site.Duration }
+// pastEnd reports whether callers send no new requests any more.
+func (s *Simulation) pastEnd() bool { return s.scheduler.Now().Sub(epoch) >= s.scenario.Duration }
 
-func (p *Simulation) tick() {
-	p.policy.Tick(p.agenda.Now())
-	if !p.over() {
-		p.after(tickEvery, p.tick)
+// tick calls Policy.Tick now and every tickPeriod until the end.
+func (s *Simulation) tick() {
+	s.policy.Tick(s.scheduler.Now())
+	if !s.pastEnd() {
+		s.after(tickPeriod, s.tick)
 	}
 }
 
-// nextArrival plans the next request of a class from a failure domain. Each such
-// stream has a source of its own, so that all policies get the same load.
-func (p *Simulation) nextArrival(domain, class int, rnd *rand.Rand) {
-	c := &p.site.Classes[class]
-	region := p.regionOf[p.site.Domains[domain].Region]
-	rate := c.Rate * p.burst * p.swing(region)
-	p.after(time.Duration(rnd.ExpFloat64()/rate*float64(time.Second)), func() {
-		if p.over() {
+// scheduleArrival schedules the next request of a class from a failure domain. Each stream
+// of requests has its own random source, so that all policies get the same load.
+func (s *Simulation) scheduleArrival(domain, class int, rng *rand.Rand) {
+	c := &s.scenario.Classes[class]
+	region := s.regionOf[s.scenario.Domains[domain].Region]
+	rate := c.Rate * s.loadFactor * s.rateFactor(region)
+	s.after(time.Duration(rng.ExpFloat64()/rate*float64(time.Second)), func() {
+		if s.pastEnd() {
 			return
 		}
-		p.arrive(c, class, region, rnd)
-		p.nextArrival(domain, class, rnd)
+		s.newRequest(c, class, region, rng)
+		s.scheduleArrival(domain, class, rng)
 	})
 }
 
-// swing is the part of its mean rate that a region has now.
-func (p *Simulation) swing(region int) float64 {
-	if p.site.WaveAmplitude == 0 {
+// rateFactor returns the present rate of a region relative to its mean.
+func (s *Simulation) rateFactor(region int) float64 {
+	if s.scenario.WaveAmplitude == 0 {
 		return 1
 	}
-	phase := p.agenda.Now().Sub(epoch).Seconds()/p.site.WavePeriod.Seconds() + float64(region)/float64(len(p.entriesOf))
-	return 1 + p.site.WaveAmplitude*math.Sin(2*math.Pi*phase)
+	phase := s.scheduler.Now().Sub(epoch).Seconds()/s.scenario.WavePeriod.Seconds() + float64(region)/float64(len(s.entriesOf))
+	return 1 + s.scenario.WaveAmplitude*math.Sin(2*math.Pi*phase)
 }
 
-func (p *Simulation) arrive(c *Class, class, region int, rnd *rand.Rand) {
-	object := drawObject(p.popularity[class], rnd.Float64())
-	spread := math.Max(-cutSpread, math.Min(cutSpread, rnd.NormFloat64())) * c.ServiceTimeSigma
+// newRequest sends a new request with a random object and service time.
+func (s *Simulation) newRequest(c *Class, class, region int, rng *rand.Rand) {
+	object := drawObject(s.popularity[class], rng.Float64())
+	spread := math.Max(-maxDeviations, math.Min(maxDeviations, rng.NormFloat64())) * c.ServiceTimeSigma
 	r := &Request{
-		Class: class, Region: region, first: p.agenda.Now(), deadline: p.agenda.Now().Add(c.Deadline),
-		Object: uint64(class)<<40 | uint64(region)<<32 | uint64(object),
-		cold:   time.Duration(float64(c.ServiceTime) * math.Exp(spread-c.ServiceTimeSigma*c.ServiceTimeSigma/2)),
+		Class: class, Region: region, firstSent: s.scheduler.Now(), deadline: s.scheduler.Now().Add(c.Deadline),
+		Object:       uint64(class)<<40 | uint64(region)<<32 | uint64(object),
+		uncachedTime: time.Duration(float64(c.ServiceTime) * math.Exp(spread-c.ServiceTimeSigma*c.ServiceTimeSigma/2)),
 	}
-	p.result.asked(class, p.agenda.Now())
-	p.send(r, rnd)
+	s.result.recordSent(class, s.scheduler.Now())
+	s.send(r, rng)
 }
 
-// drawObject returns the object at a point of the cumulative shares.
+// drawObject returns the object to which a number from 0 to 1 belongs by the cumulative
+// shares.
 func drawObject(shares []float64, at float64) int {
 	object := 0
 	for object < len(shares)-1 && shares[object] < at {
@@ -245,165 +264,175 @@
 	return object
 }
 
-// send brings a request to one of the entries of the caller's region.
-func (p *Simulation) send(r *Request, rnd *rand.Rand) {
-	near := p.entriesOf[r.Region]
-	r.entry = near[rnd.IntN(len(near))]
-	p.after(p.site.ClientLatency, func() {
-		r.timeout = p.agenda.Now().Add(min(p.site.Classes[r.Class].Timeout, r.deadline.Sub(p.agenda.Now())))
-		p.decide(r)
+// send sends a request to a random entry of the caller's region.
+func (s *Simulation) send(r *Request, rng *rand.Rand) {
+	local := s.entriesOf[r.Region]
+	r.entry = local[rng.IntN(len(local))]
+	s.after(s.scenario.ClientLatency, func() {
+		r.timeout = s.scheduler.Now().Add(min(s.scenario.Classes[r.Class].Timeout, r.deadline.Sub(s.scheduler.Now())))
+		s.dispatch(r)
 	})
 }
 
-func (p *Simulation) decide(r *Request) {
-	d := p.policy.Pick(p.agenda.Now(), r.entry, r)
+// dispatch asks the policy for an upstream and sends the request there, or refuses it.
+func (s *Simulation) dispatch(r *Request) {
+	d := s.policy.Pick(s.scheduler.Now(), r.entry, r)
 	if d.Upstream < 0 {
-		p.refuse(r, d.RetryAfter)
+		s.reject(r, d.RetryAfter)
 		return
 	}
 	r.attempts++
 	a := &attempt{Request: r, token: d.Token, upstream: d.Upstream}
-	p.after(p.way(a), func() { p.reach(a) })
-	p.at(r.timeout, func() { p.expire(a) })
+	s.after(s.latency(a), func() { s.deliver(a) })
+	s.at(r.timeout, func() { s.handleTimeout(a) })
 }
 
-// way is the one-way latency of an attempt between entry and upstream.
-func (p *Simulation) way(a *attempt) time.Duration {
-	from, to := p.entries[a.entry].domain, p.upstreams[a.upstream].domain
+// latency returns the one-way latency between the entry and the upstream of an attempt.
+func (s *Simulation) latency(a *attempt) time.Duration {
+	from, to := s.entries[a.entry].domain, s.upstreams[a.upstream].domain
 	switch {
 	case from == to:
 		return 0
-	case p.site.Domains[from].Region == p.site.Domains[to].Region:
-		return p.site.IntraRegionLatency
+	case s.scenario.Domains[from].Region == s.scenario.Domains[to].Region:
+		return s.scenario.IntraRegionLatency
 	}
-	return p.site.InterRegionLatency
+	return s.scenario.InterRegionLatency
 }
 
-// refuse sends a caller away, who comes back once.
-func (p *Simulation) refuse(r *Request, retryAfter time.Duration) {
-	p.after(p.site.ClientLatency, func() {
-		left := r.deadline.Sub(p.agenda.Now())
-		if r.again || left <= 0 {
-			p.result.refused(r)
+// reject refuses a request. The caller retries once.
+func (s *Simulation) reject(r *Request, retryAfter time.Duration) {
+	s.after(s.scenario.ClientLatency, func() {
+		left := r.deadline.Sub(s.scheduler.Now())
+		if r.isRetry || left <= 0 {
+			s.result.recordRefused(r)
 			return
 		}
-		next := &Request{Class: r.Class, Object: r.Object, Region: r.Region, first: r.first, cold: r.cold, again: true, deadline: r.deadline}
-		pause := min(retryAfter, time.Duration(waitPart*float64(left)))
-		p.after(pause, func() { p.send(next, p.rnd) })
+		next := &Request{Class: r.Class, Object: r.Object, Region: r.Region, firstSent: r.firstSent, uncachedTime: r.uncachedTime, isRetry: true, deadline: r.deadline}
+		pause := min(retryAfter, time.Duration(maxWaitFraction*float64(left)))
+		s.after(pause, func() { s.send(next, s.rng) })
 	})
 }
 
-// reach brings an attempt to its upstream.
-func (p *Simulation) reach(a *attempt) {
-	u := p.upstreams[a.upstream]
-	u.arrive(p.agenda.Now())
-	if u.sheds > 0 && p.rnd.Float64() < u.sheds || u.running >= u.slots && len(u.queue) >= u.limit {
-		p.after(p.way(a), func() { p.shed(a) })
+// deliver handles the arrival of an attempt at its upstream, which starts, queues or refuses
+// it.
+func (s *Simulation) deliver(a *attempt) {
+	u := s.upstreams[a.upstream]
+	u.recordArrival(s.scheduler.Now())
+	if u.shedProbability > 0 && s.rng.Float64() < u.shedProbability || u.running >= u.slots && len(u.queue) >= u.queueLimit {
+		s.after(s.latency(a), func() { s.handleShed(a) })
 		return
 	}
 	if u.running >= u.slots {
 		u.queue = append(u.queue, a)
 		return
 	}
-	p.start(u, a)
+	s.start(u, a)
 }
 
-func (p *Simulation) start(u *upstream, a *attempt) {
-	c := &p.site.Classes[a.Class]
+// start runs an attempt in a slot of its upstream, and schedules its response.
+func (s *Simulation) start(u *upstream, a *attempt) {
+	c := &s.scenario.Classes[a.Class]
 	u.running++
-	p.after(u.work(c, a.Object, a.cold), func() {
+	s.after(u.serviceTime(c, a.Object, a.uncachedTime), func() {
 		u.running--
 		u.touch(a.Object)
-		end := AttemptResult{Token: a.token, Load: u.load(), Queued: len(u.queue), RoundTrip: 2 * p.way(a), RateLimit: u.perSecond}
-		p.after(p.way(a), func() { p.answer(a, end) })
-		p.startNext(u)
+		result := AttemptResult{Token: a.token, Load: u.load(), Queued: len(u.queue), RoundTrip: 2 * s.latency(a), RateLimit: u.rateLimit}
+		s.after(s.latency(a), func() { s.handleAnswer(a, result) })
+		s.startNext(u)
 	})
 }
 
-// startNext takes the next one from the queue that still has somebody waiting for it.
-func (p *Simulation) startNext(u *upstream) {
+// startNext starts the first queued attempt that is not finished, and drops those before
+// it.
+func (s *Simulation) startNext(u *upstream) {
 	for len(u.queue) > 0 {
 		next := u.queue[0]
 		u.queue = u.queue[1:]
-		if !next.over {
-			p.start(u, next)
+		if !next.finished {
+			s.start(u, next)
 			return
 		}
 	}
 }
 
-func (p *Simulation) answer(a *attempt, end AttemptResult) {
-	if a.ended {
+// handleAnswer handles the arrival of a response at the entry.
+func (s *Simulation) handleAnswer(a *attempt, result AttemptResult) {
+	if a.reported {
 		return
 	}
-	a.ended, a.over = true, true
-	p.policy.Done(p.agenda.Now(), a.entry, a.Request, end)
-	p.after(p.site.ClientLatency, func() { p.result.served(a.Request, p.agenda.Now()) })
+	a.reported, a.finished = true, true
+	s.policy.Done(s.scheduler.Now(), a.entry, a.Request, result)
+	s.after(s.scenario.ClientLatency, func() { s.result.recordAnswered(a.Request, s.scheduler.Now()) })
 }
 
-func (p *Simulation) shed(a *attempt) {
-	if a.ended {
+// handleShed handles the arrival of an upstream's refusal at the entry, which tries another
+// upstream or refuses the request.
+func (s *Simulation) handleShed(a *attempt) {
+	if a.reported {
 		return
 	}
-	a.ended = true
-	u := p.upstreams[a.upstream]
-	p.policy.Done(p.agenda.Now(), a.entry, a.Request, AttemptResult{Token: a.token, Shed: true, Load: u.load(), Queued: len(u.queue), RateLimit: u.perSecond})
+	a.reported = true
+	u := s.upstreams[a.upstream]
+	s.policy.Done(s.scheduler.Now(), a.entry, a.Request, AttemptResult{Token: a.token, Shed: true, Load: u.load(), Queued: len(u.queue), RateLimit: u.rateLimit})
 	a.Tried = append(a.Tried, a.upstream)
 	if a.attempts >= maxAttempts {
-		a.over = true
-		p.refuse(a.Request, 0)
+		a.finished = true
+		s.reject(a.Request, 0)
 		return
 	}
-	p.decide(a.Request)
+	s.dispatch(a.Request)
 }
 
-// expire ends an attempt whose time has run out; what an upstream works on it is lost.
-func (p *Simulation) expire(a *attempt) {
-	if a.ended {
+// handleTimeout ends an attempt that has timed out. Work that an upstream has begun on it
+// continues, but its result is discarded.
+func (s *Simulation) handleTimeout(a *attempt) {
+	if a.reported {
 		return
 	}
-	a.ended, a.over = true, true
-	p.policy.Done(p.agenda.Now(), a.entry, a.Request, AttemptResult{Token: a.token, TimedOut: true, Load: -1, Queued: -1})
-	p.result.failed(a.Request)
+	a.reported, a.finished = true, true
+	s.policy.Done(s.scheduler.Now(), a.entry, a.Request, AttemptResult{Token: a.token, TimedOut: true, Load: -1, Queued: -1})
+	s.result.recordFailed(a.Request)
 }
 
-// plan has an event begin and end.
-func (p *Simulation) plan(e Event) {
+// scheduleEvent schedules the start and the end of an event.
+func (s *Simulation) scheduleEvent(e Event) {
 	set := func(on bool) {
 		switch e.Kind {
 		case Drain:
-			p.drained[e.Domain] = on
+			s.drained[e.Domain] = on
 		case Burst:
-			p.burst = choose(on, e.Factor, 1)
+			s.loadFactor = ifElse(on, e.Factor, 1)
 		case Slow:
-			p.each(e, func(u *upstream) { u.slow = choose(on, e.Factor, 1) })
+			s.visitUpstreams(e, func(u *upstream) { u.slowdown = ifElse(on, e.Factor, 1) })
 		case Limit:
-			p.each(e, func(u *upstream) { u.perSecond = choose(on, e.Factor*u.rate(), ratelimit.Unlimited) })
+			s.visitUpstreams(e, func(u *upstream) { u.rateLimit = ifElse(on, e.Factor*u.arrivalRate(), ratelimit.Unlimited) })
 		case ShedIdle:
-			p.each(e, func(u *upstream) { u.sheds = choose(on, e.Factor, 0) })
+			s.visitUpstreams(e, func(u *upstream) { u.shedProbability = ifElse(on, e.Factor, 0) })
 		}
 	}
-	p.at(epoch.Add(e.At), func() { set(true) })
-	p.at(epoch.Add(e.At+e.Duration), func() { set(false) })
+	s.at(epoch.Add(e.At), func() { set(true) })
+	s.at(epoch.Add(e.At+e.Duration), func() { set(false) })
 }
 
-func choose(on bool, a, b float64) float64 {
-	if on {
+// ifElse returns a if the condition holds, else b.
+func ifElse(condition bool, a, b float64) float64 {
+	if condition {
 		return a
 	}
 	return b
 }
 
-// each visits the upstreams that an event concerns.
-func (p *Simulation) each(e Event, visit func(*upstream)) {
-	var of []*upstream
-	for _, u := range p.upstreams {
+// visitUpstreams calls visit for the share of a service's upstreams that an event concerns,
+// evenly spaced.
+func (s *Simulation) visitUpstreams(e Event, visit func(*upstream)) {
+	var ofService []*upstream
+	for _, u := range s.upstreams {
 		if u.service == e.Service {
-			of = append(of, u)
+			ofService = append(ofService, u)
 		}
 	}
 	step := math.Max(1, 1/e.UpstreamShare)
-	for x := 0.0; int(x) < len(of); x += step {
-		visit(of[int(x)])
+	for x := 0.0; int(x) < len(ofService); x += step {
+		visit(ofService[int(x)])
 	}
 }
--- a/internal/sim/upstream.go
+++ b/internal/sim/upstream.go
@@ -7,71 +7,78 @@
 	"github.com/loomkeel/loomkeel/internal/ratelimit"
 )
 
-// arrivalsOver is the time over which an upstream counts what it gets.
-const arrivalsOver = 4 * time.Second
+// arrivalWindow is the time over which an upstream measures its rate of arrivals.
+const arrivalWindow = 4 * time.Second
 
-// arrive counts a request.
-func (u *upstream) arrive(now time.Time) {
-	u.arrived = append(u.arrived, now)
-	for now.Sub(u.arrived[0]) > arrivalsOver {
-		u.arrived = u.arrived[1:]
+// recordArrival records the arrival of a request and drops those before arrivalWindow.
+func (u *upstream) recordArrival(now time.Time) {
+	u.arrivals = append(u.arrivals, now)
+	for now.Sub(u.arrivals[0]) > arrivalWindow {
+		u.arrivals = u.arrivals[1:]
 	}
 }
 
-// rate is how many requests a second the upstream gets.
-func (u *upstream) rate() float64 { return float64(len(u.arrived)) / arrivalsOver.Seconds() }
+// arrivalRate returns the requests per second that arrived during arrivalWindow.
+func (u *upstream) arrivalRate() float64 { return float64(len(u.arrivals)) / arrivalWindow.Seconds() }
 
-// upstream is one upstream of a service.
+// upstream is one upstream of a service, with slots for requests, a queue and a cache of
+// objects.
 type upstream struct {
-	id      string
-	service int
-	domain  int
-	slots   int
-	limit   int
-	memory  int
-	running int
-	queue   []*attempt
-	// slow multiplies the work, sheds is the part of the requests that it refuses.
-	slow, sheds float64
-	// perSecond is the limit that it names, and arrived are when the last requests came.
-	perSecond float64
-	arrived   []time.Time
-	// warm holds the objects at hand, used those used last first.
-	warm map[uint64]*list.Element
-	used *list.List
+	id         string
+	service    int
+	domain     int
+	slots      int
+	queueLimit int
+	cacheSize  int
+	running    int
+	queue      []*attempt
+	// slowdown multiplies the service time, shedProbability is the part of the requests
+	// that the upstream refuses although it has free slots.
+	slowdown, shedProbability float64
+	// rateLimit is the limit that the upstream reports, in requests per second, and
+	// arrivals are the times of the arrivals during arrivalWindow.
+	rateLimit float64
+	arrivals  []time.Time
+	// cached holds the elements of the cached objects in recency, the list of these objects
+	// with the most recently used one first.
+	cached  map[uint64]*list.Element
+	recency *list.List
 }
 
+// newUpstream returns an idle upstream with an empty cache.
 func newUpstream(id string, service, domain int, s Service) *upstream {
 	return &upstream{
-		id: id, service: service, domain: domain, slots: s.Slots, limit: s.QueueLimit, memory: s.CacheSize,
-		slow: 1, perSecond: ratelimit.Unlimited, warm: make(map[uint64]*list.Element), used: list.New(),
+		id: id, service: service, domain: domain, slots: s.Slots, queueLimit: s.QueueLimit, cacheSize: s.CacheSize,
+		slowdown: 1, rateLimit: ratelimit.Unlimited, cached: make(map[uint64]*list.Element), recency: list.New(),
 	}
 }
 
-// has reports whether an object is at hand.
-func (u *upstream) has(object uint64) bool { return u.warm[object] != nil }
+// hasCached reports whether an object is in the cache.
+func (u *upstream) hasCached(object uint64) bool { return u.cached[object] != nil }
 
-// touch puts an object at hand, in the place of the one used longest ago.
+// touch marks an object as used, and adds it to the cache if necessary. A full cache evicts
+// the least recently used object.
 func (u *upstream) touch(object uint64) {
-	if e := u.warm[object]; e != nil {
-		u.used.MoveToFront(e)
+	if e := u.cached[object]; e != nil {
+		u.recency.MoveToFront(e)
 		return
 	}
-	u.warm[object] = u.used.PushFront(object)
-	if u.used.Len() > u.memory {
-		last := u.used.Back()
-		delete(u.warm, last.Value.(uint64))
-		u.used.Remove(last)
+	u.cached[object] = u.recency.PushFront(object)
+	if u.recency.Len() > u.cacheSize {
+		last := u.recency.Back()
+		delete(u.cached, last.Value.(uint64))
+		u.recency.Remove(last)
 	}
 }
 
-// load is the requests running and waiting.
+// load returns the number of requests that run or wait at the upstream.
 func (u *upstream) load() int { return u.running + len(u.queue) }
 
-// work is how long a request takes here that needs a time without its object at hand.
-func (u *upstream) work(c *Class, object uint64, cold time.Duration) time.Duration {
-	t := float64(cold) * u.slow
-	if u.has(object) {
+// serviceTime returns how long a request takes at this upstream that needs uncachedTime
+// without its object in the cache.
+func (u *upstream) serviceTime(c *Class, object uint64, uncachedTime time.Duration) time.Duration {
+	t := float64(uncachedTime) * u.slowdown
+	if u.hasCached(object) {
 		t *= 1 - c.CacheGain
 	}
 	return time.Duration(t)
