--- a/internal/agent/shares.go
+++ b/internal/agent/shares.go
@@ -16,42 +16,43 @@
 )
 
 const (
-	// shareEvery is the time between two rounds of dividing the caps.
-	shareEvery = time.Second
-	// shareTimeout bounds one round.
+	// shareInterval is the time between two rounds of dividing the caps, before
+	// jitter.
+	shareInterval = time.Second
+	// shareTimeout is the longest duration of one round.
 	shareTimeout = 5 * time.Second
 )
 
-// shareLoop takes part in the division of the caps.
+// shareLoop renews the instance's shares of the caps at intervals until ctx ends.
 func (a *Agent) shareLoop(ctx context.Context) {
-	for wait.For(ctx, a.jitter(shareEvery)) {
-		terms, hold := a.terms()
-		if len(terms) == 0 {
+	for wait.For(ctx, a.jitter(shareInterval)) {
+		configs, hold := a.capConfigs()
+		if len(configs) == 0 {
 			continue
 		}
 		call, cancel := context.WithTimeout(ctx, shareTimeout)
-		if err := a.keeper.Reconcile(call, terms, hold); err != nil && ctx.Err() == nil {
+		if err := a.allocator.Reconcile(call, configs, hold); err != nil && ctx.Err() == nil {
 			a.stats.StoreFailed.Add(1)
-			klog.V(1).InfoS("shares not renewed", "err", err)
+			klog.V(1).InfoS("renewal of shares failed", "err", err)
 		}
 		cancel()
 	}
 }
 
-// terms returns the caps that the operators have set, by region, and the longest
-// time that a request of those services may take.
-func (a *Agent) terms() ([]share.CapConfig, time.Duration) {
+// capConfigs returns the configured caps on requests in flight, by region, and the
+// longest deadline of a request to any listed service.
+func (a *Agent) capConfigs() ([]share.CapConfig, time.Duration) {
 	_, t, _ := a.log.View()
 	list, _ := a.directory.get()
 	byRegion := make(map[string]*share.CapConfig)
 	seen := make(map[[2]string]bool)
 	var hold time.Duration
 	for _, u := range list.Upstreams {
-		at := [2]string{u.Service, u.Region}
-		if seen[at] {
+		key := [2]string{u.Service, u.Region}
+		if seen[key] {
 			continue
 		}
-		seen[at] = true
+		seen[key] = true
 		path := tree.ServicePath(u.Service) + "/regions/" + u.Region
 		hold = max(hold, t.Duration(path, tree.KeyDeadline))
 		if total := t.Int(path, tree.KeyMaxInFlight); total > 0 {
@@ -59,26 +60,28 @@
 		}
 	}
 	var out []share.CapConfig
-	for _, terms := range byRegion {
-		slices.SortFunc(terms.Caps, func(a, b share.Cap) int { return cmp.Compare(a.Service, b.Service) })
-		out = append(out, *terms)
+	for _, config := range byRegion {
+		slices.SortFunc(config.Caps, func(a, b share.Cap) int { return cmp.Compare(a.Service, b.Service) })
+		out = append(out, *config)
 	}
 	slices.SortFunc(out, func(a, b share.CapConfig) int { return cmp.Compare(a.Region, b.Region) })
 	return out, hold
 }
 
+// addCap adds the cap total for the upstream's service to its region's configuration.
 func addCap(byRegion map[string]*share.CapConfig, t *tree.Tree, u model.Upstream, total int) {
-	terms := byRegion[u.Region]
-	if terms == nil {
+	config := byRegion[u.Region]
+	if config == nil {
 		path := tree.RegionPath(u.Region)
-		terms = &share.CapConfig{Region: u.Region, Floor: t.Float(path, tree.KeyCapFloor), Seats: t.Int(path, tree.KeyCapSeats)}
-		byRegion[u.Region] = terms
+		config = &share.CapConfig{Region: u.Region, Floor: t.Float(path, tree.KeyCapFloor), Seats: t.Int(path, tree.KeyCapSeats)}
+		byRegion[u.Region] = config
 	}
-	terms.Caps = append(terms.Caps, share.Cap{Service: u.Service, Total: total})
+	config.Caps = append(config.Caps, share.Cap{Service: u.Service, Total: total})
 }
 
-// limits takes in what the entry uses of the caps and returns what it may use.
-func (a *Agent) limits(usage []*pb.CapUsage) []*pb.CapLimit {
+// capLimits reports the entry's usage of the caps to the allocator and returns the
+// entry's limits.
+func (a *Agent) capLimits(usage []*pb.CapUsage) []*pb.CapLimit {
 	reported := make([]share.CapUsage, len(usage))
 	for i, u := range usage {
 		reported[i] = share.CapUsage{Service: u.GetService(), Region: u.GetRegion(), Usage: share.Usage{
@@ -86,7 +89,7 @@
 		}}
 	}
 	var out []*pb.CapLimit
-	for _, l := range a.keeper.ApplyUsage(reported) {
+	for _, l := range a.allocator.ApplyUsage(reported) {
 		out = append(out, &pb.CapLimit{
 			Service: l.Service, Region: l.Region,
 			Floor: uint32(l.Floor), FloorUntil: l.FloorUntil, Grant: uint32(l.Grant), GrantUntil: l.GrantUntil,
