--- a/internal/share/allocator.go
+++ b/internal/share/allocator.go
@@ -391,7 +391,7 @@
 	return 0
 }
 
-// RegionStatus is the configuration and the last known ledger of one region's caps, for
+// RegionStatus is the configuration and the last installed ledger of one region's caps, for
 // dumps.
 type RegionStatus struct {
 	Config CapConfig `json:"terms"`
--- a/internal/sim/simulation.go
+++ b/internal/sim/simulation.go
@@ -86,7 +86,7 @@
 	finished bool
 }
 
-// attempt is a request that was sent to an upstream and hasn't ended there.
+// attempt is one transmission of a request to an upstream.
 type attempt struct {
 	*Request
 	token    any
