--- a/cmd/loomkeel-agent/main.go
+++ b/cmd/loomkeel-agent/main.go
@@ -1,4 +1,5 @@
-// Command loomkeel-agent is the control process of an instance.
+// Command loomkeel-agent is the control process of an instance: it follows the configuration
+// and the other instances, and serves operators.
 package main
 
 import (
@@ -16,9 +17,9 @@
 	"github.com/loomkeel/loomkeel/internal/bootclock"
 	"github.com/loomkeel/loomkeel/internal/cli"
 	"github.com/loomkeel/loomkeel/internal/command"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 	"github.com/loomkeel/loomkeel/internal/membership"
 	"github.com/loomkeel/loomkeel/internal/metrics"
-	"github.com/loomkeel/loomkeel/internal/platform"
 	"github.com/loomkeel/loomkeel/internal/process"
 	"github.com/loomkeel/loomkeel/internal/query"
 	"github.com/loomkeel/loomkeel/internal/rpc"
@@ -27,28 +28,29 @@
 )
 
 func main() {
-	cli.Main(cli.Daemon{Name: "loomkeel-agent", Usage: "follow the configuration and the other instances", Ballast: process.BallastControl, Run: run})
+	cli.Main(cli.Daemon{Name: "loomkeel-agent", Usage: "follow the configuration and the other instances", Ballast: process.BallastAgent, Run: run})
 }
 
+// run runs the agent until ctx ends.
 func run(ctx context.Context, s *settings.Settings) error {
-	serverTLS, clientTLS, err := tlsconf.Peers(s.TLS)
+	serverTLS, clientTLS, err := tlsconf.PeerConfigs(s.TLS)
 	if err != nil {
-		return eris.Wrap(err, "peer certificates")
+		return eris.Wrap(err, "load peer certificates")
 	}
-	token, err := command.LoadToken(s.Agent.Token)
+	token, err := command.LoadToken(s.Agent.TokenFile)
 	if err != nil {
-		return eris.Wrap(err, "operators' token")
+		return eris.Wrap(err, "load operators' token")
 	}
-	traffic := new(rpc.Traffic)
-	dialer := rpc.NewDialer(clientTLS, traffic)
+	byteCounts := new(rpc.ByteCounts)
+	dialer := rpc.NewDialer(clientTLS, byteCounts)
 	defer dialer.Close()
-	client := platform.NewClient(s.Platform.Address, s.Platform.Timeout)
+	client := coordination.NewClient(s.Platform.Address, s.Platform.Timeout)
 	a := agent.New(agent.Options{
 		Self:        self(s),
 		Seeds:       s.Agent.Seeds,
 		Store:       client,
 		List:        client,
-		Peers:       rpc.NewPeers(dialer),
+		Peers:       rpc.NewPeerClient(dialer),
 		Rand:        rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		ProbePeriod: agent.DefaultProbePeriod,
 		BootID:      bootclock.BootID(),
@@ -57,30 +59,32 @@
 	})
 	mux, err := rpc.NewMux(a)
 	if err != nil {
-		return eris.Wrap(err, "services")
+		return eris.Wrap(err, "set up services for peers")
 	}
-	lis, err := net.Listen("tcp", s.Agent.Peer)
+	lis, err := net.Listen("tcp", s.Agent.PeerAddress)
 	if err != nil {
-		return eris.Wrap(err, "peer address")
+		return eris.Wrap(err, "listen on peer address")
 	}
 	go func() {
-		if err := rpc.Serve(ctx, rpc.WrapTLS(lis, serverTLS), mux, traffic); err != nil && ctx.Err() == nil {
-			klog.ErrorS(err, "peer server ended")
+		if err := rpc.Serve(ctx, rpc.WrapTLS(lis, serverTLS), mux, byteCounts); err != nil && ctx.Err() == nil {
+			klog.ErrorS(err, "peer server stopped")
 		}
 	}()
-	srv, err := process.Listen(s.Agent.Operator, operator(a, s, token, traffic))
+	srv, err := process.Listen(s.Agent.OperatorAddress, operatorHandler(a, s, token, byteCounts))
 	if err != nil {
-		return eris.Wrap(err, "operator address")
+		return eris.Wrap(err, "listen on operator address")
 	}
 	go srv.Serve()
-	klog.InfoS("agent started", "id", s.Instance.ID, "peer", s.Agent.Peer, "operator", s.Agent.Operator)
+	klog.InfoS("agent started", "id", s.Instance.ID, "peer", s.Agent.PeerAddress, "operator", s.Agent.OperatorAddress)
 	a.Run(ctx)
 	return stop(a, srv)
 }
 
-// stopTimeout bounds the farewell of a stopping agent.
+// stopTimeout limits the time in which a stopping agent announces its departure and ends the
+// operators' requests in flight.
 const stopTimeout = 2 * time.Second
 
+// stop announces to the other agents that this one is leaving, and shuts srv down.
 func stop(a *agent.Agent, srv *process.Server) error {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
@@ -88,29 +92,30 @@
 	return srv.Shutdown(ctx)
 }
 
+// self returns the local instance as a member.
 func self(s *settings.Settings) membership.Member {
 	return membership.Member{
 		ID:       s.Instance.ID,
 		Region:   s.Instance.Region,
 		Domain:   s.Instance.Domain,
-		Agent:    s.Agent.Peer,
-		Entry:    s.Entry.Listen,
-		Director: s.Director.Listen,
+		Agent:    s.Agent.PeerAddress,
+		Entry:    s.Entry.ListenAddress,
+		Director: s.Director.ListenAddress,
 	}
 }
 
-// operator returns the interface to operators.
-func operator(a *agent.Agent, s *settings.Settings, token command.Token, traffic *rpc.Traffic) http.Handler {
+// operatorHandler publishes the agent's metrics and returns the handler for operators.
+func operatorHandler(a *agent.Agent, s *settings.Settings, token command.Token, byteCounts *rpc.ByteCounts) http.Handler {
 	r := chi.NewRouter()
 	metrics.Publish("agent", func() any { return a.Counters() })
-	metrics.Publish("peer_bytes_sent", func() any { return traffic.Sent.Load() })
-	metrics.Publish("peer_bytes_received", func() any { return traffic.Received.Load() })
-	process.Debug(r, func() bool { return a.Log().Revision() > 0 }, func() any { return a.Dump() })
+	metrics.Publish("peer_bytes_sent", func() any { return byteCounts.Sent.Load() })
+	metrics.Publish("peer_bytes_received", func() any { return byteCounts.Received.Load() })
+	process.AddDebugRoutes(r, func() bool { return a.Log().Revision() > 0 }, func() any { return a.Dump() })
 	r.Group(func(r chi.Router) {
 		r.Use(token.Require)
-		query.Routes(r, a)
-		query.DumpRoutes(r, map[string]string{"director": s.Director.Debug, "entry": s.Entry.Debug}, func() any { return a.Dump() })
-		command.Routes(r, a, s.Agent.Commit)
+		query.AddRoutes(r, a)
+		query.AddDumpRoute(r, map[string]string{"director": s.Director.DebugAddress, "entry": s.Entry.DebugAddress}, func() any { return a.Dump() })
+		command.AddRoutes(r, a, s.Agent.CommitTimeout)
 	})
 	return r
 }
--- a/cmd/loomkeel-entry/main.go
+++ b/cmd/loomkeel-entry/main.go
@@ -1,4 +1,4 @@
-// Command loomkeel-entry carries callers' requests to upstreams.
+// Command loomkeel-entry forwards callers' requests to upstreams.
 package main
 
 import (
@@ -23,52 +23,53 @@
 )
 
 func main() {
-	cli.Main(cli.Daemon{Name: "loomkeel-entry", Usage: "carry requests to upstreams", Ballast: process.BallastCarrier, Run: run})
+	cli.Main(cli.Daemon{Name: "loomkeel-entry", Usage: "forward requests to upstreams", Ballast: process.BallastEntry, Run: run})
 }
 
+// run runs the entry until ctx ends, and then performs the planned stop.
 func run(ctx context.Context, s *settings.Settings) error {
-	_, clientTLS, err := tlsconf.Peers(s.TLS)
+	_, clientTLS, err := tlsconf.PeerConfigs(s.TLS)
 	if err != nil {
-		return eris.Wrap(err, "peer certificates")
+		return eris.Wrap(err, "load peer certificates")
 	}
-	upstreamTLS, err := tlsconf.Upstreams(s.TLS)
+	upstreamTLS, err := tlsconf.UpstreamConfig(s.TLS)
 	if err != nil {
-		return eris.Wrap(err, "upstream certificates")
+		return eris.Wrap(err, "load upstream certificates")
 	}
-	serverTLS, err := tlsconf.Server(s.TLS)
+	serverTLS, err := tlsconf.ServerConfig(s.TLS)
 	if err != nil {
-		return eris.Wrap(err, "certificate")
+		return eris.Wrap(err, "load server certificate")
 	}
 	dialer := rpc.NewDialer(clientTLS, nil)
 	defer dialer.Close()
-	e := entry.New(forward.Options{Self: s.Instance.ID, MaxInFlight: s.Entry.Room, MaxBody: int64(s.Entry.MaxBody), TLS: upstreamTLS, Now: time.Now})
+	e := entry.New(forward.Options{Self: s.Instance.ID, MaxInFlight: s.Entry.MaxInFlight, MaxBody: int64(s.Entry.MaxBody), TLS: upstreamTLS, Now: time.Now})
 	f := follow.New(follow.Options{
-		Dialer: dialer, Agent: s.Agent.Peer, Process: agent.ProcessEntry, Region: s.Instance.Region,
-		OnUpdate: e.Carrier.Update, SkipPath: tree.IsBlocks,
+		Dialer: dialer, Agent: s.Agent.PeerAddress, Process: agent.ProcessEntry, Region: s.Instance.Region,
+		OnUpdate: e.Proxy.Update, SkipPath: tree.IsBlocksPath,
 	})
 	metrics.Publish("entry", func() any { return e.Metrics() })
 	debug := chi.NewRouter()
-	ready := func() bool { return e.Carrier.Snapshot() != nil && ctx.Err() == nil }
-	process.Debug(debug, ready, func() any { return e.Dump(f.Status()) })
-	debugServer, err := process.Listen(s.Entry.Debug, debug)
+	ready := func() bool { return e.Proxy.Snapshot() != nil && ctx.Err() == nil }
+	process.AddDebugRoutes(debug, ready, func() any { return e.Dump(f.Status()) })
+	debugServer, err := process.Listen(s.Entry.DebugAddress, debug)
 	if err != nil {
-		return eris.Wrap(err, "debug address")
+		return eris.Wrap(err, "listen on debug address")
 	}
 	go debugServer.Serve()
-	srv, err := process.ListenTLS(s.Entry.Listen, e.Carrier, serverTLS)
+	srv, err := process.ListenTLS(s.Entry.ListenAddress, e.Proxy, serverTLS)
 	if err != nil {
-		return eris.Wrap(err, "listen address")
+		return eris.Wrap(err, "listen for requests")
 	}
 	go srv.Serve()
-	klog.InfoS("entry started", "listen", s.Entry.Listen)
-	following, end := context.WithCancel(context.Background())
-	defer end()
-	go f.Run(following)
-	go e.Report(following, f)
+	klog.InfoS("entry started", "listen", s.Entry.ListenAddress)
+	followCtx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	go f.Run(followCtx)
+	go e.RunReports(followCtx, f)
 	<-ctx.Done()
 	return e.Stop(context.Background(), srv, entry.StopOptions{
 		Linger:  s.Entry.Linger,
-		Timeout: s.Entry.StopTime,
+		Timeout: s.Entry.StopTimeout,
 		Agent:   f,
 	})
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -45,7 +45,7 @@
 				}
 				accepted := false
 				n.store.SetFault(func(op standin.Op, key string) standin.Fault {
-					if op == standin.OpSwap && strings.HasPrefix(key, "log/") && !accepted {
+					if op == standin.OpCompareAndSwap && strings.HasPrefix(key, "log/") && !accepted {
 						accepted = true
 						return standin.Fault{}
 					}
@@ -216,7 +216,7 @@
 		if _, whole := fresh.log.Since(0, 1); whole {
 			t.Error("the new instance has the records since revision 0, so it did not load a snapshot")
 		}
-		_, tr, _ := fresh.log.View()
+		_, tr, _ := fresh.log.Current()
 		if got := len(tr.BlockPaths()); got != 30 {
 			t.Errorf("the new instance has %d paths of blocks, want 30", got)
 		}
--- a/internal/agent/directory.go
+++ b/internal/agent/directory.go
@@ -3,8 +3,8 @@
 import (
 	"sync"
 
+	"github.com/loomkeel/loomkeel/internal/coordination"
 	"github.com/loomkeel/loomkeel/internal/model"
-	"github.com/loomkeel/loomkeel/internal/platform"
 )
 
 // directory holds the newest known list of upstreams. It is safe for concurrent use.
@@ -49,10 +49,10 @@
 
 // applyPlatformList stores the agent addresses of the platform's list, and its
 // upstreams if the list is newer.
-func (d *directory) applyPlatformList(l platform.List) {
+func (d *directory) applyPlatformList(l coordination.InstanceList) {
 	var addrs []string
 	for _, i := range l.Instances {
-		if i.Kind == platform.KindNode && !i.Leaving {
+		if i.Kind == coordination.KindNode && !i.Leaving {
 			addrs = append(addrs, i.Address)
 		}
 	}
@@ -71,10 +71,10 @@
 
 // directoryFromPlatform returns the upstreams in the platform's list, with the
 // list's version.
-func directoryFromPlatform(l platform.List) model.Directory {
+func directoryFromPlatform(l coordination.InstanceList) model.Directory {
 	d := model.Directory{Version: l.Version}
 	for _, i := range l.Instances {
-		if i.Kind != platform.KindUpstream {
+		if i.Kind != coordination.KindUpstream {
 			continue
 		}
 		d.Upstreams = append(d.Upstreams, model.Upstream{
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -177,7 +177,7 @@
 
 // publish compiles the current state into a snapshot and passes it to onUpdate.
 func (f *Follower) publish() {
-	revision, t, _ := f.log.View()
+	revision, t, _ := f.log.Current()
 	f.onUpdate(model.Compile(model.Input{
 		Region:    f.region,
 		Revision:  revision,
--- a/internal/settings/markdown.go
+++ b/internal/settings/markdown.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// Markdown describes every key of the settings file, for docs/SETTINGS.md.
+// Markdown returns one Markdown table per section of the settings file, with each key's
+// default, allowed values and meaning. The settings page in docs is generated from it.
 func Markdown() string {
 	var b strings.Builder
 	t := reflect.TypeFor[Settings]()
@@ -19,7 +20,7 @@
 			if f.Tag.Get("required") == "true" {
 				def = "*required*"
 			}
-			fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", f.Tag.Get("ini"), def, Allowed(f), f.Tag.Get("doc"))
+			fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", f.Tag.Get("ini"), def, AllowedValues(f), f.Tag.Get("doc"))
 		}
 		b.WriteString("\n")
 	}
--- a/internal/share/allocator.go
+++ b/internal/share/allocator.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"github.com/loomkeel/loomkeel/internal/platform"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 )
 
 const (
@@ -33,7 +33,7 @@
 // regions. It is safe for concurrent use, except that one call of Reconcile must return
 // before the next.
 type Allocator struct {
-	store     platform.Store
+	store     coordination.Store
 	id        string
 	ownRegion string
 	// bootClock returns the nanoseconds since the machine's boot, now the wall clock.
@@ -44,7 +44,7 @@
 	// lease is the own lease, or 0. renewedAt is when the last successful renewal
 	// was requested, and usableUntil when the use of the lease must end, both by the
 	// boot clock.
-	lease       platform.LeaseID
+	lease       coordination.LeaseID
 	renewedAt   int64
 	usableUntil int64
 	regions     map[string]*regionState
@@ -70,7 +70,7 @@
 // NewAllocator returns an Allocator for an instance in ownRegion. Two machines that
 // run under the same instance name must have different ids. bootClock returns the
 // nanoseconds since the machine's boot, now the wall clock time.
-func NewAllocator(store platform.Store, id, ownRegion string, bootClock func() int64, now func() time.Time) *Allocator {
+func NewAllocator(store coordination.Store, id, ownRegion string, bootClock func() int64, now func() time.Time) *Allocator {
 	return &Allocator{
 		store: store, id: id, ownRegion: ownRegion, bootClock: bootClock, now: now,
 		regions: make(map[string]*regionState), lapsedSince: make(map[uint64]int64),
@@ -156,7 +156,7 @@
 	var err error
 	if lease == 0 {
 		lease, err = a.newLease(ctx)
-	} else if err = a.store.KeepAlive(ctx, lease); errors.Is(err, platform.ErrNoLease) {
+	} else if err = a.store.KeepAlive(ctx, lease); errors.Is(err, coordination.ErrLeaseNotFound) {
 		lease, err = a.newLease(ctx)
 	}
 	if err != nil {
@@ -171,12 +171,12 @@
 
 // newLease takes a lease and writes its marker key, which lets other holders see when
 // the lease lapses.
-func (a *Allocator) newLease(ctx context.Context) (platform.LeaseID, error) {
+func (a *Allocator) newLease(ctx context.Context) (coordination.LeaseID, error) {
 	lease, err := a.store.Grant(ctx, LeaseTTL)
 	if err != nil {
 		return 0, err
 	}
-	_, err = a.store.Swap(ctx, leaseMarkerKey(uint64(lease)), platform.Absent, []byte(a.id), lease)
+	_, err = a.store.CompareAndSwap(ctx, leaseMarkerKey(uint64(lease)), coordination.Absent, []byte(a.id), lease)
 	return lease, err
 }
 
@@ -214,12 +214,12 @@
 	if err != nil {
 		return false, err
 	}
-	newVersion, err := a.store.Swap(ctx, ledgerKey(cfg.Region), version, body, 0)
+	newVersion, err := a.store.CompareAndSwap(ctx, ledgerKey(cfg.Region), version, body, 0)
 	switch {
 	case err == nil:
 		a.installLedger(cfg, next, newVersion)
 		return true, nil
-	case errors.Is(err, platform.ErrConflict):
+	case errors.Is(err, coordination.ErrConflict):
 		return false, nil
 	}
 	a.mu.Lock()
@@ -274,7 +274,7 @@
 		if err != nil {
 			return err
 		}
-		a.recordLease(g.Lease, e.Version == platform.Absent)
+		a.recordLease(g.Lease, e.Version == coordination.Absent)
 	}
 	return nil
 }
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -201,7 +201,7 @@
 		store.SetFault(func(standin.Op, string) standin.Fault { return standin.Fault{Down: true} })
 	case 4:
 		store.SetFault(func(op standin.Op, _ string) standin.Fault {
-			return standin.Fault{LoseReply: op == standin.OpSwap || op == standin.OpLease}
+			return standin.Fault{LoseReply: op == standin.OpCompareAndSwap || op == standin.OpLease}
 		})
 	case 5:
 		// The store calls the fault function under its lock, so the random source needs
--- a/test/slopes/fleet.go
+++ b/test/slopes/fleet.go
@@ -15,8 +15,8 @@
 
 	"github.com/loomkeel/loomkeel/internal/agent"
 	"github.com/loomkeel/loomkeel/internal/configlog"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 	"github.com/loomkeel/loomkeel/internal/membership"
-	"github.com/loomkeel/loomkeel/internal/platform"
 	"github.com/loomkeel/loomkeel/internal/rpc"
 	"github.com/loomkeel/loomkeel/internal/standin"
 	"github.com/loomkeel/loomkeel/internal/tree"
@@ -25,7 +25,7 @@
 // member is one agent of the measured fleet.
 type member struct {
 	*agent.Agent
-	traffic *rpc.Traffic
+	traffic *rpc.ByteCounts
 	dialer  *rpc.Dialer
 }
 
@@ -63,8 +63,8 @@
 	for _, m := range c.members {
 		u.bytes["all"] = append(u.bytes["all"], m.traffic.Sent.Load()+m.traffic.Received.Load())
 	}
-	for _, op := range []standin.Op{standin.OpGet, standin.OpSwap, standin.OpWatch} {
-		u.calls += c.store.Calls(op)
+	for _, op := range []standin.Op{standin.OpGet, standin.OpCompareAndSwap, standin.OpWatch} {
+		u.calls += c.store.CallCount(op)
 	}
 	return u
 }
@@ -165,7 +165,7 @@
 func start(ctx context.Context, n, perDomain int) (*cluster, error) {
 	ctx, stop := context.WithCancel(ctx)
 	c := &cluster{store: standin.NewStore(), stop: stop}
-	list := standin.NewList(nil)
+	list := standin.NewInstanceList(nil)
 	var seed string
 	for i := range n {
 		m, err := c.startAgent(ctx, i, perDomain, seed, list)
@@ -181,12 +181,12 @@
 	return c, nil
 }
 
-func (c *cluster) startAgent(ctx context.Context, i, perDomain int, seed string, list platform.Lister) (*member, error) {
+func (c *cluster) startAgent(ctx context.Context, i, perDomain int, seed string, list coordination.InstanceLister) (*member, error) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	traffic := new(rpc.Traffic)
+	traffic := new(rpc.ByteCounts)
 	dialer := rpc.NewDialer(nil, traffic)
 	domain := fmt.Sprintf("domain-%d", i/perDomain)
 	a := agent.New(agent.Options{
@@ -197,7 +197,7 @@
 		Seeds:       []string{seed},
 		Store:       c.store,
 		List:        list,
-		Peers:       rpc.NewPeers(dialer),
+		Peers:       rpc.NewPeerClient(dialer),
 		Rand:        rand.New(rand.NewPCG(uint64(i), 7)),
 		ProbePeriod: agent.DefaultProbePeriod,
 		BootClock:   func() int64 { return time.Now().UnixNano() },
