--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -64,7 +64,7 @@
 		dec := json.NewDecoder(http.MaxBytesReader(w, req.Body, maxBodyBytes))
 		dec.DisallowUnknownFields()
 		if err := dec.Decode(&body); err != nil {
-			fault := fmt.Sprintf("decode request body: %v", err)
+			fault := fmt.Sprintf("body: %v", err)
 			process.WriteJSON(w, http.StatusBadRequest, Result{Outcome: configlog.Refused, Kind: configlog.RefusedInvalid, Faults: []string{fault}})
 			return
 		}
--- a/internal/configlog/committer.go
+++ b/internal/configlog/committer.go
@@ -80,7 +80,7 @@
 			return r
 		}
 	}
-	return a.giveUp(errors.New("configlog: commit attempts used up by concurrent changes and store errors"))
+	return a.giveUp(errors.New("configlog: too many racing changes"))
 }
 
 // attempt is the state of one running commit.
--- a/internal/configlog/log.go
+++ b/internal/configlog/log.go
@@ -268,7 +268,7 @@
 func (l *Log) describeConflict(e tree.Edit, at, base uint64) string {
 	s := fmt.Sprintf("%s was written at revision %d%s, after revision %d", e.Path, at, l.authorSuffix(at), base)
 	now, _ := l.tree.SettingAt(e.Path, e.Key)
-	return s + fmt.Sprintf("; %s is %q now, the change sets %q", e.Key, now.Value, e.Value)
+	return s + fmt.Sprintf("; %s is %q there, wanted %q", e.Key, now.Value, e.Value)
 }
 
 // authorSuffix returns " by AUTHOR" for a revision whose record the log still
--- a/internal/configlog/reader.go
+++ b/internal/configlog/reader.go
@@ -21,7 +21,7 @@
 
 // ErrStoreBehind reports a store whose log ends before an accepted revision, as
 // after a restore from an old backup.
-var ErrStoreBehind = errors.New("configlog: the stored log ends before an accepted revision")
+var ErrStoreBehind = errors.New("configlog: the store's log is behind")
 
 // Reader follows the log in the store. It is not safe for concurrent use.
 type Reader struct {
@@ -101,7 +101,7 @@
 	if stored == 0 && next <= RingSize || stored+RingSize == next {
 		return nil
 	}
-	return fmt.Errorf("%w: slot of revision %d holds revision %d", ErrStoreBehind, next, stored)
+	return fmt.Errorf("%w: slot of revision %d holds %d", ErrStoreBehind, next, stored)
 }
 
 // restoreSnapshot loads the newest snapshot into log. It is called when the next
@@ -112,7 +112,7 @@
 		return err
 	}
 	if s == nil || !log.Restore(s) {
-		return fmt.Errorf("configlog: slot was overwritten by revision %d, and no snapshot is newer than revision %d", seen, log.Revision())
+		return fmt.Errorf("configlog: slot holds revision %d, no newer snapshot than %d", seen, log.Revision())
 	}
 	return nil
 }
--- a/internal/configlog/record.go
+++ b/internal/configlog/record.go
@@ -113,7 +113,7 @@
 // FromProto checks a message and returns its record. The error is a DecodeError.
 func FromProto(m *pb.Record) (Record, error) {
 	if m.GetFormat() != RecordFormat {
-		return Record{}, &DecodeError{"record", fmt.Sprintf("format %d is not supported, only %d", m.GetFormat(), RecordFormat)}
+		return Record{}, &DecodeError{"record", fmt.Sprintf("format %d, this program reads %d", m.GetFormat(), RecordFormat)}
 	}
 	r := Record{Revision: m.GetRevision(), Time: time.UnixMilli(m.GetUnixMilli()).UTC()}
 	r.Change = Change{ID: m.GetChangeId(), Author: m.GetAuthor(), Note: m.GetNote(), Base: m.GetBase()}
@@ -121,7 +121,7 @@
 		r.Edits = append(r.Edits, tree.Edit{Path: e.GetPath(), Key: e.GetKey(), Value: e.GetValue(), Unset: e.GetUnset()})
 	}
 	if r.Revision == 0 {
-		return Record{}, &DecodeError{"record", "revision is 0"}
+		return Record{}, &DecodeError{"record", "no revision"}
 	}
 	if err := r.checkSizes(); err != nil {
 		return Record{}, &DecodeError{"record", err.Error()}
@@ -132,17 +132,17 @@
 // checkSizes checks the sizes of a change, not its edits' paths, keys and values.
 func (c *Change) checkSizes() error {
 	if c.ID == "" || len(c.ID) > MaxChangeIDBytes {
-		return fmt.Errorf("change id has %d bytes; allowed: 1 to %d", len(c.ID), MaxChangeIDBytes)
+		return fmt.Errorf("change id of %d bytes, allowed are 1 to %d", len(c.ID), MaxChangeIDBytes)
 	}
 	if len(c.Edits) == 0 || len(c.Edits) > MaxEdits {
-		return fmt.Errorf("change has %d edits; allowed: 1 to %d", len(c.Edits), MaxEdits)
+		return fmt.Errorf("%d edits, allowed are 1 to %d", len(c.Edits), MaxEdits)
 	}
 	if len(c.Author) > MaxTextBytes || len(c.Note) > MaxTextBytes {
-		return fmt.Errorf("author or note is longer than %d bytes", MaxTextBytes)
+		return fmt.Errorf("author or note longer than %d bytes", MaxTextBytes)
 	}
 	for _, e := range c.Edits {
 		if len(e.Path) > MaxTextBytes || len(e.Key) > MaxTextBytes || len(e.Value) > MaxTextBytes {
-			return fmt.Errorf("path, key or value of an edit is longer than %d bytes", MaxTextBytes)
+			return fmt.Errorf("edit with a part longer than %d bytes", MaxTextBytes)
 		}
 	}
 	return nil
--- a/internal/configlog/snapshot.go
+++ b/internal/configlog/snapshot.go
@@ -106,7 +106,7 @@
 	}
 	a.parts++
 	if p.GetRevision() != a.snapshot.Revision {
-		return &DecodeError{"snapshot", "parts are of different revisions"}
+		return &DecodeError{"snapshot", "parts of several revisions"}
 	}
 	for _, m := range p.GetSettings() {
 		a.builder.Put(m.GetPath(), m.GetKey(), tree.Setting{Value: m.GetValue(), Revision: m.GetRevision(), Unset: m.GetUnset()})
--- a/internal/coordination/client.go
+++ b/internal/coordination/client.go
@@ -150,5 +150,5 @@
 	case http.StatusTooManyRequests, http.StatusRequestEntityTooLarge:
 		return Entry{}, fmt.Errorf("%w: %s", ErrRefused, resp.Status)
 	}
-	return Entry{}, fmt.Errorf("coordination: unexpected response status %s", resp.Status)
+	return Entry{}, fmt.Errorf("platform: %s", resp.Status)
 }
--- a/internal/coordination/coordination.go
+++ b/internal/coordination/coordination.go
@@ -12,13 +12,14 @@
 )
 
 // Errors of a Store. After any other error it is unknown whether a write took effect.
+// The texts, with their prefix, are sent to operators when a change fails.
 var (
 	// ErrConflict means that the key was not at the expected version and the write had no effect.
-	ErrConflict = errors.New("coordination: key is not at the expected version")
+	ErrConflict = errors.New("platform: version conflict")
 	// ErrRefused means that the service rejected the call without any effect.
-	ErrRefused = errors.New("coordination: service refused the call")
+	ErrRefused = errors.New("platform: call refused")
 	// ErrLeaseNotFound means that the lease has expired or never existed.
-	ErrLeaseNotFound = errors.New("coordination: lease not found")
+	ErrLeaseNotFound = errors.New("platform: no such lease")
 )
 
 // MaxValueBytes is the largest size of a value in bytes.
--- a/internal/standin/http.go
+++ b/internal/standin/http.go
@@ -102,7 +102,7 @@
 	}
 	f, ok := faults[mode]
 	if !ok {
-		http.Error(w, "unknown fault mode; allowed: none, down, lose-replies, slow", http.StatusBadRequest)
+		http.Error(w, "fault: one of none, down, lose-replies, slow", http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -14,7 +14,7 @@
 )
 
 // ErrUnavailable is the error of calls to a Store or an InstanceList that is down.
-var ErrUnavailable = errors.New("standin: service unavailable")
+var ErrUnavailable = errors.New("standin: store unavailable")
 
 // ErrReplyLost is the error of calls that took effect but whose reply was lost.
 var ErrReplyLost = errors.New("standin: reply lost")
--- a/internal/tree/check.go
+++ b/internal/tree/check.go
@@ -63,10 +63,10 @@
 func (d Drain) check() []error {
 	var faults []error
 	if d.Upstream == "" && d.Region == "" {
-		faults = append(faults, &RuleError{[]string{d.Path}, "a drain needs an upstream or a region"})
+		faults = append(faults, &RuleError{[]string{d.Path}, "a drain names an upstream, or a region with or without a failure domain"})
 	}
 	if d.Domain != "" && d.Region == "" {
-		faults = append(faults, &RuleError{[]string{d.Path}, "a drain of a failure domain needs its region"})
+		faults = append(faults, &RuleError{[]string{d.Path}, "a failure domain needs its region"})
 	}
 	if !d.End.IsZero() && !d.End.After(d.Start) {
 		faults = append(faults, &RuleError{[]string{d.Path}, "end is not after start"})
@@ -105,7 +105,7 @@
 			paths = append(paths, other.Path)
 		}
 		if len(domains) > limit {
-			faults = append(faults, &RuleError{paths, fmt.Sprintf("%d failure domains of region %s are drained at the same time; allowed: at most %d", len(domains), d.Region, limit)})
+			faults = append(faults, &RuleError{paths, fmt.Sprintf("%d failure domains of region %s drained at one time, at most %d may be", len(domains), d.Region, limit)})
 		}
 	}
 	return faults
@@ -138,10 +138,10 @@
 			paths = append(paths, m.Path)
 		}
 		if sum > limit+epsilon {
-			faults = append(faults, &RuleError{paths, fmt.Sprintf("moves of service %s out of region %s shift %.3g of its traffic, shift_cap is %.3g", s.service, s.from, sum, limit)})
+			faults = append(faults, &RuleError{paths, fmt.Sprintf("moves of service %s out of %s shift %.3g of its traffic, shift_cap is %.3g", s.service, s.from, sum, limit)})
 		}
 		if fastest > rate+epsilon {
-			faults = append(faults, &RuleError{paths, fmt.Sprintf("moves of service %s out of region %s shift %.3g of its traffic in a minute, shift_rate is %.3g", s.service, s.from, fastest, rate)})
+			faults = append(faults, &RuleError{paths, fmt.Sprintf("moves of service %s out of %s shift %.3g of its traffic in a minute, shift_rate is %.3g", s.service, s.from, fastest, rate)})
 		}
 	}
 	return faults
--- a/internal/tree/key.go
+++ b/internal/tree/key.go
@@ -188,7 +188,7 @@
 	}
 	reason := "unknown key"
 	if k != nil {
-		reason = "key is not allowed at this path"
+		reason = "the key cannot stand at this path"
 	}
 	return nil, &ValueError{Path: path, Key: key, Reason: reason, Allowed: strings.Join(keyNamesFor(kind), ", ")}
 }
@@ -210,10 +210,10 @@
 func checkBlock(path, key, value string) error {
 	p, err := netip.ParsePrefix(key)
 	if err != nil || p.Masked().String() != key {
-		return &ValueError{path, key, value, "not a masked IP prefix in canonical form", "IP prefixes such as 10.1.0.0/16"}
+		return &ValueError{path, key, value, "not a masked prefix in its usual form", "prefixes such as 10.1.0.0/16"}
 	}
 	if value == "" {
-		return &ValueError{path, key, value, "no region given", "regions in order, separated by commas"}
+		return &ValueError{path, key, value, "no region", "regions in order, separated by commas"}
 	}
 	return checkEach(value, checkName)
 }
@@ -277,7 +277,7 @@
 func enumKey(name, def string, words []string, at []Kind, doc string) Key {
 	return Key{name, def, "one of " + strings.Join(words, ", "), doc, at, func(s string) error {
 		if !slices.Contains(words, s) {
-			return fmt.Errorf("not one of the allowed words")
+			return fmt.Errorf("not one of the words")
 		}
 		return nil
 	}}
@@ -333,7 +333,7 @@
 func checkStatus(s string) error {
 	n, err := strconv.Atoi(s)
 	if err != nil || n < 400 || n > 599 {
-		return fmt.Errorf("not an HTTP status from 400 to 599")
+		return fmt.Errorf("not a status from 400 to 599")
 	}
 	return nil
 }
--- a/internal/tree/path.go
+++ b/internal/tree/path.go
@@ -67,7 +67,7 @@
 
 // Error implements error.
 func (e *PathError) Error() string {
-	return fmt.Sprintf("path %q: %s; allowed: %s", e.Path, e.Reason, strings.Join(PathPatterns(), ", "))
+	return fmt.Sprintf("path %q: %s; allowed are %s", e.Path, e.Reason, strings.Join(PathPatterns(), ", "))
 }
 
 // ParsePath returns the kind of a path and the names in it, in order. The error is
@@ -92,7 +92,7 @@
 		}
 		return k, names, nil
 	}
-	return 0, nil, &PathError{path, "matches no path pattern"}
+	return 0, nil, &PathError{path, "no such place"}
 }
 
 // matchPattern compares the parts of a path with those of a pattern. It returns
--- a/internal/tree/tree_test.go
+++ b/internal/tree/tree_test.go
@@ -52,18 +52,18 @@
 		edit Edit
 		want string
 	}{
-		{Edit{Path: "/service/stock", Key: KeyDeadline, Value: "2s"}, "matches no path pattern"},
+		{Edit{Path: "/service/stock", Key: KeyDeadline, Value: "2s"}, "no such place"},
 		{Edit{Path: "/services/st ock", Key: KeyDeadline, Value: "2s"}, "must match"},
 		{Edit{Path: "/services/stock", Key: "deadlin", Value: "2s"}, "unknown key"},
-		{Edit{Path: "/services/stock", Key: KeyLatency, Value: "2s"}, "key is not allowed at this path"},
+		{Edit{Path: "/services/stock", Key: KeyLatency, Value: "2s"}, "cannot stand"},
 		{Edit{Path: "/services/stock", Key: KeyDeadline, Value: "soon"}, "not a duration"},
 		{Edit{Path: "/services/stock", Key: KeyDeadline, Value: "1h"}, "from 10ms to 10m0s"},
 		{Edit{Path: "/services/stock", Key: KeyAttempts, Value: "0"}, "out of bounds"},
 		{Edit{Path: "/services/stock", Key: KeyRepeat, Value: "often"}, "safe, unsafe"},
 		{Edit{Path: "/services/stock", Key: KeyShiftCap, Value: "NaN"}, "out of bounds"},
 		{Edit{Path: "/services/stock", Key: KeyNotRunStatuses, Value: "200"}, "from 400 to 599"},
-		{Edit{Path: "/blocks/b", Key: "10.0.0.1/8", Value: "muscat"}, "masked IP prefix"},
-		{Edit{Path: "/blocks/b", Key: "2001:db8:0:0::/64", Value: "muscat"}, "canonical form"},
+		{Edit{Path: "/blocks/b", Key: "10.0.0.1/8", Value: "muscat"}, "masked prefix"},
+		{Edit{Path: "/blocks/b", Key: "2001:db8:0:0::/64", Value: "muscat"}, "usual form"},
 		{Edit{Path: "/blocks/b", Key: "10.0.0.0/8", Value: ""}, "no region"},
 		{Edit{Path: "/drains/d", Key: KeyStart, Value: "tonight"}, "not a time"},
 	}
