--- a/internal/agent/shares.go
+++ b/internal/agent/shares.go
@@ -31,7 +31,7 @@
 			continue
 		}
 		call, cancel := context.WithTimeout(ctx, shareTimeout)
-		if err := a.allocator.Round(call, configs, hold); err != nil && ctx.Err() == nil {
+		if err := a.allocator.Reconcile(call, configs, hold); err != nil && ctx.Err() == nil {
 			a.stats.StoreFailed.Add(1)
 			klog.V(1).InfoS("renewal of shares failed", "err", err)
 		}
@@ -41,10 +41,10 @@
 
 // capConfigs returns the configured caps on requests in flight, by region, and the
 // longest deadline of a request to any listed service.
-func (a *Agent) capConfigs() ([]share.Terms, time.Duration) {
+func (a *Agent) capConfigs() ([]share.CapConfig, time.Duration) {
 	_, t, _ := a.log.Current()
 	list, _ := a.directory.get()
-	byRegion := make(map[string]*share.Terms)
+	byRegion := make(map[string]*share.CapConfig)
 	seen := make(map[[2]string]bool)
 	var hold time.Duration
 	for _, u := range list.Upstreams {
@@ -59,21 +59,21 @@
 			addCap(byRegion, t, u, total)
 		}
 	}
-	var out []share.Terms
+	var out []share.CapConfig
 	for _, config := range byRegion {
 		slices.SortFunc(config.Caps, func(a, b share.Cap) int { return cmp.Compare(a.Service, b.Service) })
 		out = append(out, *config)
 	}
-	slices.SortFunc(out, func(a, b share.Terms) int { return cmp.Compare(a.Region, b.Region) })
+	slices.SortFunc(out, func(a, b share.CapConfig) int { return cmp.Compare(a.Region, b.Region) })
 	return out, hold
 }
 
 // addCap adds the cap total for the upstream's service to its region's configuration.
-func addCap(byRegion map[string]*share.Terms, t *tree.Tree, u model.Upstream, total int) {
+func addCap(byRegion map[string]*share.CapConfig, t *tree.Tree, u model.Upstream, total int) {
 	config := byRegion[u.Region]
 	if config == nil {
 		path := tree.RegionPath(u.Region)
-		config = &share.Terms{Region: u.Region, Floor: t.Float(path, tree.KeyCapFloor), Seats: t.Int(path, tree.KeyCapSeats)}
+		config = &share.CapConfig{Region: u.Region, Floor: t.Float(path, tree.KeyCapFloor), Seats: t.Int(path, tree.KeyCapSeats)}
 		byRegion[u.Region] = config
 	}
 	config.Caps = append(config.Caps, share.Cap{Service: u.Service, Total: total})
@@ -82,14 +82,14 @@
 // capLimits reports the entry's usage of the caps to the allocator and returns the
 // entry's limits.
 func (a *Agent) capLimits(usage []*pb.CapUsage) []*pb.CapLimit {
-	reported := make([]share.Reported, len(usage))
+	reported := make([]share.CapUsage, len(usage))
 	for i, u := range usage {
-		reported[i] = share.Reported{Service: u.GetService(), Region: u.GetRegion(), Usage: share.Usage{
+		reported[i] = share.CapUsage{Service: u.GetService(), Region: u.GetRegion(), Usage: share.Usage{
 			InFlight: int(u.GetInFlight()), Refused: int(u.GetRefused()), Limit: int(u.GetLimit()),
 		}}
 	}
 	var out []*pb.CapLimit
-	for _, l := range a.allocator.Report(reported) {
+	for _, l := range a.allocator.ApplyUsage(reported) {
 		out = append(out, &pb.CapLimit{
 			Service: l.Service, Region: l.Region,
 			Floor: uint32(l.Floor), FloorUntil: l.FloorUntil, Grant: uint32(l.Grant), GrantUntil: l.GrantUntil,
--- a/internal/coordination/coordination.go
+++ b/internal/coordination/coordination.go
@@ -12,6 +12,7 @@
 )
 
 // Errors of a Store. After any other error it is unknown whether a write took effect.
+// The texts, with their prefix, are sent to operators when a change fails.
 var (
 	// ErrConflict means that the key was not at the expected version and the write had no effect.
 	ErrConflict = errors.New("platform: version conflict")
