--- a/internal/forward/rates.go
+++ b/internal/forward/rates.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// Rates returns the state of the rate limits of upstreams, at most n for each service.
-func (p *Proxy) Rates(n int) []balance.LimitStatus {
+// UpstreamLimits returns the state of the rate limits of upstreams, at most n for each service.
+func (p *Proxy) UpstreamLimits(n int) []balance.LimitStatus {
 	now := p.now()
 	var out []balance.LimitStatus
 	for _, state := range p.allServices() {
--- a/internal/inflight/report.go
+++ b/internal/inflight/report.go
@@ -75,8 +75,8 @@
 	HasUsages   bool
 	UsagesScope Scope
 	Usages      []quota.Usage
-	// Covered is the sum of the weights of the entries whose use is reported; see weights.
-	Covered int
+	// CoveredWeight is the sum of the weights of the entries whose use is reported; see weights.
+	CoveredWeight int
 	// Relayed is set if the sender has the usages from another hub.
 	Relayed bool
 	// HasRates is set if the report has limits of upstreams, Rates.
@@ -200,7 +200,7 @@
 		b = protowire.AppendTag(b, fieldUsagesScope, protowire.VarintType)
 		b = protowire.AppendVarint(b, uint64(r.UsagesScope))
 		b = protowire.AppendTag(b, fieldCovered, protowire.VarintType)
-		b = protowire.AppendVarint(b, uint64(r.Covered))
+		b = protowire.AppendVarint(b, uint64(r.CoveredWeight))
 		if r.Relayed {
 			b = protowire.AppendTag(b, fieldRelayed, protowire.VarintType)
 			b = protowire.AppendVarint(b, 1)
@@ -329,7 +329,7 @@
 	if err := r.decodeCounts(upstreams, requests); err != nil {
 		return nil, err
 	}
-	r.UsagesScope, r.Covered, r.Relayed = Scope(usagesScope), int(covered), relayed != 0
+	r.UsagesScope, r.CoveredWeight, r.Relayed = Scope(usagesScope), int(covered), relayed != 0
 	if r.Usages, err = decodeUsages(usages); err != nil {
 		return nil, err
 	}
--- a/internal/inflight/usages.go
+++ b/internal/inflight/usages.go
@@ -91,11 +91,11 @@
 	template := Report{
 		Entry: x.opt.Entry, Incarnation: x.opt.Incarnation, Sequence: x.seq,
 		Scope: ScopeNone, HasUsages: true, UsagesScope: scope,
-		Covered: x.opt.Limits.CoveredWeight(fromReporter, now), Idle: x.idle(now),
+		CoveredWeight: x.opt.Limits.CoveredWeight(fromReporter, now), Idle: x.idle(now),
 		Relayed: scope == ScopeOthers && x.hasHub,
 	}
 	if own {
-		template.Covered += x.weight
+		template.CoveredWeight += x.weight
 	}
 	for _, r := range splitUsages(template, x.opt.Limits.Usages(own, fromReporter, now)) {
 		x.buf = r.Append(x.buf[:0])
@@ -293,7 +293,7 @@
 	for _, p := range fleet.HubCandidates {
 		own[p.ID] = true
 	}
-	t := quota.Report{CoveredWeight: r.Covered, Idle: r.Idle, First: r.First, Last: r.Last, Usages: r.Usages}
+	t := quota.Report{CoveredWeight: r.CoveredWeight, Idle: r.Idle, First: r.First, Last: r.Last, Usages: r.Usages}
 	t.Source, t.Reporter = x.sourceOf(r, from, own)
 	x.opt.Limits.ApplyReport(t, now)
 }
--- a/internal/inflight/usages_test.go
+++ b/internal/inflight/usages_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestUsagesRoundTrip(t *testing.T) {
-	want := Report{Entry: "edge-sohar-hall-12", Scope: ScopeNone, HasUsages: true, UsagesScope: ScopeDomain, Covered: 3, Last: allUpstreams}
+	want := Report{Entry: "edge-sohar-hall-12", Scope: ScopeNone, HasUsages: true, UsagesScope: ScopeDomain, CoveredWeight: 3, Last: allUpstreams}
 	var usages []quota.Usage
 	for i := range 2*maxUsages + 7 {
 		usages = append(usages, quota.Usage{Organisation: uint32(i) << 20, Admitted: 100_000, Requested: 200_000.5})
@@ -25,7 +25,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !back.HasUsages || back.UsagesScope != ScopeDomain || back.Covered != 3 || back.First != next {
+		if !back.HasUsages || back.UsagesScope != ScopeDomain || back.CoveredWeight != 3 || back.First != next {
 			t.Errorf("%+v", back)
 		}
 		next = back.Last + 1
@@ -37,11 +37,11 @@
 }
 
 func TestMalformedUsagesAreRefused(t *testing.T) {
-	r := Report{Entry: "e", Scope: ScopeNone, HasUsages: true, Covered: maxCovered + 1, Last: allUpstreams}
+	r := Report{Entry: "e", Scope: ScopeNone, HasUsages: true, CoveredWeight: maxCovered + 1, Last: allUpstreams}
 	if _, err := Decode(r.Append(nil)); err == nil {
 		t.Error("a report that covers too large a weight is accepted")
 	}
-	r.Covered, r.Usages = 1, []quota.Usage{{Organisation: 1, Admitted: maxUsageUnits}}
+	r.CoveredWeight, r.Usages = 1, []quota.Usage{{Organisation: 1, Admitted: maxUsageUnits}}
 	if _, err := Decode(r.Append(nil)); err == nil {
 		t.Error("a usage above maxUsageUnits is accepted")
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -298,7 +298,9 @@
 
 // UpstreamLimits returns the rate limits that upstreams announce, at most
 // maxUpstreamLimits for each service.
-func (n *Node) UpstreamLimits() []balance.LimitStatus { return n.Entry.Proxy.Rates(maxUpstreamLimits) }
+func (n *Node) UpstreamLimits() []balance.LimitStatus {
+	return n.Entry.Proxy.UpstreamLimits(maxUpstreamLimits)
+}
 
 // ReportOptions returns the options for the exchange of reports between this node, self,
 // and the other nodes.
