--- a/internal/balance/affinity.go
+++ b/internal/balance/affinity.go
@@ -48,9 +48,9 @@
 }
 
 // PickObject chooses the replica of an object with the least expected latency and takes one of its
-// slots. All entries compute the same order of upstreams for an object, so that requests for it
-// reach the same few upstreams. The error is ErrNoUpstream, or ErrNoSlot or one that wraps it
-// (LateError, LimitError).
+// slots. All entries of a region compute the same order of upstreams for an object, so that
+// requests for it reach the same few upstreams. The error is ErrNoUpstream, ErrNoSlot, or one that
+// wraps ErrNoSlot (LateError, LimitError).
 func (b *Balancer) PickObject(now time.Time, req ObjectRequest) (Choice, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -126,9 +126,10 @@
 	return 1
 }
 
-// withLocalDomain returns the first upstream and the first one in this entry's own failure domain,
-// if there is one in the object's region. An object then has as many replicas as there are failure
-// domains that request it.
+// withLocalDomain returns the first upstream and the first one in this entry's own failure domain
+// of the object's region, which is the region of the first upstream. If these are the same, or the
+// domain has none there, it returns the result of perDomain. An object thus has as many replicas as
+// there are failure domains that request it.
 func (b *Balancer) withLocalDomain(usable []candidate) []candidate {
 	if len(usable) <= replicas {
 		return usable
@@ -173,7 +174,7 @@
 //
 // Each further replica costs its upstream the full work on a cold object, for which no upstream has
 // room under load. The first candidate and warm ones are therefore preferred; if none of them can
-// take the request, another idle one may. Large requests start a replica in this entry's own
+// take the request, another one with a free slot may. Large requests start a replica in this entry's own
 // failure domain as soon as an upstream there has enough free slots.
 func (b *Balancer) fastest(now time.Time, req ObjectRequest, ranked []candidate) (*upstreamState, int) {
 	large := b.classStats(req.Class).large()
--- a/internal/balance/affinity_test.go
+++ b/internal/balance/affinity_test.go
@@ -34,6 +34,7 @@
 	return s, entries
 }
 
+// balancerAt returns the Balancer of an entry after its first update.
 func balancerAt(s *model.Service, entries []model.Member, e model.Member) *Balancer {
 	lb := NewBalancer()
 	lb.Update(ServiceState{Service: s, Draining: notDraining, Self: e.ID, Region: e.Region, Domain: e.Domain, Entries: entries}, t0)
@@ -125,8 +126,8 @@
 }
 
 // TestSecondReplicaOnlyWhenFirstIsFull checks that an object stays at its first upstream until that
-// is full. The second one is used only while it is idle or warm for the object; after that,
-// requests are refused with a LateError.
+// is full. The second one is used only while it has a free slot or is warm for the object; after
+// that, requests are refused with a LateError.
 func TestSecondReplicaOnlyWhenFirstIsFull(t *testing.T) {
 	s, entries := twoRegionService(2, 2)
 	lb := balancerAt(s, entries, entries[0])
--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -69,8 +69,10 @@
 	// at reportedAt.
 	otherLoad  float64
 	reportedAt time.Time
-	latency    time.Duration
-	failures   int
+	// latency is the moving average of the latency, 0 before the first answer. failures counts the
+	// consecutive failures.
+	latency  time.Duration
+	failures int
 	// ejections counts the ejections since the last success.
 	ejections    int
 	ejectedUntil time.Time
@@ -386,7 +388,7 @@
 	// Shed means that the upstream refused the request because of load. It is healthy, but full.
 	Shed
 	// ShedIdle means that the upstream refused the request as if because of load, although it had
-	// free slots. Done determines this result; the request may be sent to the upstream again.
+	// free slots. Done returns it in place of Shed; the request may be sent to the upstream again.
 	ShedIdle
 	// Failed means that no answer arrived, or an incomplete one.
 	Failed
@@ -400,9 +402,10 @@
 // DoneInfo is what one request has shown about its upstream.
 type DoneInfo struct {
 	Result Result
-	// Load is the number of requests in flight that the upstream reported, or -1.
+	// Load is the number of requests in flight that the upstream reported, or -1 if it reported none.
 	Load int
-	// Waiting is the number of requests that wait for a slot at the upstream, or -1.
+	// Waiting is the number of requests waiting for a slot that the upstream reported, or -1 if it
+	// reported none.
 	Waiting int
 	// Draining is set if the upstream announced that it drains.
 	Draining bool
--- a/internal/balance/health.go
+++ b/internal/balance/health.go
@@ -60,7 +60,7 @@
 // shedWithSpareSlots reports whether an upstream that refused a request as if because of load had
 // free slots, by its own report or else by the entries' counts. Such a refusal is no sign of load.
 // Skipping the upstream would move its objects to upstreams that are cold for them, so it is asked
-// again.
+// again. The result is false for a Choice of Pick.
 func (b *Balancer) shedWithSpareSlots(u *upstreamState, now time.Time, c Choice, r DoneInfo) bool {
 	if c.class == "" {
 		return false
--- a/internal/balance/load.go
+++ b/internal/balance/load.go
@@ -6,9 +6,8 @@
 )
 
 // outstanding returns the estimated number of requests at an upstream: those of this entry and
-// those of other entries. The latter are exact as of the peers' reports if there are any. Otherwise
-// they are taken from the upstream's last load report, which is weighted against the mean load as
-// it ages.
+// those of other entries. The latter are the sum of the peers' reports if there are any. Otherwise
+// they are taken from the upstream's last load report, which gives way to the mean load as it ages.
 func (b *Balancer) outstanding(u *upstreamState, now time.Time) float64 {
 	if len(b.lastPeerReport) > 0 {
 		return float64(u.inFlight + u.peerTotal)
--- a/internal/balance/outlier.go
+++ b/internal/balance/outlier.go
@@ -21,8 +21,8 @@
 // incomplete answers do not count: they may be lost on the way from a healthy upstream, and
 // skipping it would move its objects to upstreams that are cold for them.
 type Outcomes struct {
-	// Failed counts answers with a failure of the upstream itself and failed connections, Total all
-	// outcomes.
+	// Failed counts answers with a failure of the upstream itself and failed connections, Total
+	// these and all other answers.
 	Failed, Total float64
 }
 
@@ -69,7 +69,8 @@
 // isOutlier reports whether the upstream is skipped for its failures.
 func (u *upstreamState) isOutlier(now time.Time) bool { return now.Before(u.outlierUntil) }
 
-// setPeerOutcomes applies the outcomes that a peer reported.
+// setPeerOutcomes replaces the outcomes that a peer reported; if it reports no failure any more, they
+// are removed.
 func (u *upstreamState) setPeerOutcomes(now time.Time, peer string, o Outcomes) {
 	if o.Failed == 0 {
 		delete(u.peerOutcomes, peer)
--- a/internal/balance/ratelimit.go
+++ b/internal/balance/ratelimit.go
@@ -12,7 +12,8 @@
 	// maxLimitSenders is the largest number of entries that share the limit of an upstream. Each of
 	// these sends an update to every other one for each of its requests.
 	maxLimitSenders = 16
-	// announcePeriod is how long a change is sent repeatedly.
+	// announcePeriod is how long a changed limit, or a request counted against a limit, is sent
+	// repeatedly.
 	announcePeriod = time.Second
 )
 
@@ -172,9 +173,9 @@
 // markSpillover marks the candidates for which a request is spillover: all but the first one in the
 // object's order, and all in other regions than this entry's. A request without affinity is
 // spillover only in other regions.
-func (b *Balancer) markSpillover(cs []candidate, spread bool) []candidate {
+func (b *Balancer) markSpillover(cs []candidate, noAffinity bool) []candidate {
 	for i := range cs {
-		cs[i].spills = i > 0 && !spread || cs[i].state.Region != b.region
+		cs[i].spills = i > 0 && !noAffinity || cs[i].state.Region != b.region
 	}
 	return cs
 }
@@ -278,8 +279,8 @@
 	}
 }
 
-// ApplyPeerLimits applies the updates that a peer has sent. incarnation identifies the peer's
-// process.
+// ApplyPeerLimits applies the updates that a peer has sent. Limits that are missing from updates
+// are unchanged; the peer counts as reachable for them. incarnation identifies the peer's process.
 func (b *Balancer) ApplyPeerLimits(now time.Time, peer string, incarnation uint64, updates []LimitUpdate) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/balance/ratelimit_fleet_test.go
+++ b/internal/balance/ratelimit_fleet_test.go
@@ -18,12 +18,19 @@
 const (
 	delayWithinRegion   = time.Millisecond
 	delayBetweenRegions = 35 * time.Millisecond
-	messageLoss         = 0.01
-	unsentUpdateDelay   = 5 * time.Millisecond
-	minChangeInterval   = 50 * time.Millisecond
-	firstContactWithin  = 100 * time.Millisecond
-	updateInterval      = 200 * time.Millisecond
-	allUpdatesEvery     = 5
+	// messageLoss is the share of messages that are lost.
+	messageLoss = 0.01
+	// unsentUpdateDelay is the time for which an entry collects updates before it sends them.
+	unsentUpdateDelay = 5 * time.Millisecond
+	// minChangeInterval is the shortest time between an entry's messages about changed limits to all
+	// its listeners, outside of its periodic updates.
+	minChangeInterval = 50 * time.Millisecond
+	// firstContactWithin is the longest time until a started entry exchanges limits with others.
+	firstContactWithin = 100 * time.Millisecond
+	// updateInterval is the time between periodic updates; every allUpdatesEvery-th of them holds
+	// all limits.
+	updateInterval  = 200 * time.Millisecond
+	allUpdatesEvery = 5
 	// registrationTTL is the time after which the registration of a crashed entry expires.
 	// maxMembersDelay is the longest time until an entry receives a change of the members.
 	registrationTTL = 4 * time.Second
@@ -38,7 +45,7 @@
 	model.Member
 	balancer    *Balancer
 	incarnation uint64
-	dead        bool
+	crashed     bool
 	// frozenUntil is the end of a pause of the entry; messages that arrive during the pause are
 	// processed after it.
 	frozenUntil time.Time
@@ -70,7 +77,7 @@
 	serviceTime time.Duration
 	objects     int
 	messages    int
-	// lastLimited is when an entry was last seen to keep a limit.
+	// lastLimited is when an entry was last observed to keep a limit.
 	lastLimited time.Duration
 }
 
@@ -81,16 +88,16 @@
 		rnd: rand.New(rand.NewPCG(seed, 3)), agenda: eventsim.New(t0), arrivals: make(map[string][]time.Duration),
 		service: &model.Service{Name: "s", Routed: true}, serviceTime: 150 * time.Millisecond, objects: 40 * upstreams,
 	}
-	place := func(i int) (region, domain string) {
+	location := func(i int) (region, domain string) {
 		region = fmt.Sprint("r", i%3)
 		return region, fmt.Sprint(region, "-", i/3%2)
 	}
 	for i := range upstreams {
-		region, domain := place(i)
+		region, domain := location(i)
 		f.service.Upstreams = append(f.service.Upstreams, model.Upstream{ID: fmt.Sprint("u", i), Service: "s", Region: region, Domain: domain, Slots: 8})
 	}
 	for i := range entries {
-		region, domain := place(i)
+		region, domain := location(i)
 		e := &simEntry{Member: model.Member{ID: fmt.Sprint("e", i), Region: region, Domain: domain}, registered: true}
 		f.entries = append(f.entries, e)
 	}
@@ -115,7 +122,7 @@
 // start begins a new incarnation of an entry, which has no information about limits.
 func (f *simFleet) start(e *simEntry) {
 	e.incarnation = uint64(f.agenda.Now().UnixMilli())
-	e.dead, e.frozenUntil, e.updateScheduled = false, time.Time{}, false
+	e.crashed, e.frozenUntil, e.updateScheduled = false, time.Time{}, false
 	e.balancer = NewBalancer()
 	incarnation := e.incarnation
 	e.balancer.OnLimitUpdate(func() {
@@ -175,10 +182,10 @@
 }
 
 // whenRunning calls do unless the given incarnation of an entry has ended; if the entry is frozen,
-// after that.
+// it calls do at the end of the pause.
 func (f *simFleet) whenRunning(e *simEntry, incarnation uint64, do func()) {
 	switch {
-	case e.dead || e.incarnation != incarnation:
+	case e.crashed || e.incarnation != incarnation:
 	case f.agenda.Now().Before(e.frozenUntil):
 		f.after(e.frozenUntil.Sub(f.agenda.Now()), func() { f.whenRunning(e, incarnation, do) })
 	default:
@@ -186,11 +193,12 @@
 	}
 }
 
-func (f *simFleet) kill(e *simEntry) {
-	e.dead = true
+// crash stops an entry without notice; its registration expires after registrationTTL.
+func (f *simFleet) crash(e *simEntry) {
+	e.crashed = true
 	incarnation := e.incarnation
 	f.after(registrationTTL, func() {
-		if e.dead && e.incarnation == incarnation {
+		if e.crashed && e.incarnation == incarnation {
 			e.registered = false
 			f.propagateMembers()
 		}
@@ -215,7 +223,7 @@
 
 func (f *simFleet) send(from, to *simEntry, updates []LimitUpdate) {
 	f.messages++
-	if f.rnd.Float64() < messageLoss || from.partition != to.partition || to.dead {
+	if f.rnd.Float64() < messageLoss || from.partition != to.partition || to.crashed {
 		return
 	}
 	incarnation, fromIncarnation := to.incarnation, from.incarnation
@@ -224,6 +232,8 @@
 	})
 }
 
+// sendUnsent sends an entry's unsent updates to the senders that share the limits, and changed limits
+// also to the entry's listeners.
 func (f *simFleet) sendUnsent(e *simEntry) {
 	e.updateScheduled = false
 	updates := f.updates(e, UnsentUpdates)
@@ -240,6 +250,8 @@
 	return out
 }
 
+// sendToSenders sends each update to the senders that share its limit. Entries in always get a
+// message even if there is no update for them.
 func (f *simFleet) sendToSenders(e *simEntry, updates []LimitUpdate, always map[string]bool) {
 	for _, to := range f.entries {
 		var shared []LimitUpdate
@@ -256,10 +268,10 @@
 	}
 }
 
-// sendPeriodically repeats updates, since messages may be lost. In a large fleet the first live
-// entry of each failure domain is its hub.
+// sendPeriodically repeats updates, since messages may be lost. In a large fleet the first
+// running entry of each failure domain is its hub.
 func (f *simFleet) sendPeriodically(e *simEntry, incarnation uint64) {
-	if e.dead || e.incarnation != incarnation {
+	if e.crashed || e.incarnation != incarnation {
 		return
 	}
 	f.after(updateInterval, func() { f.sendPeriodically(e, incarnation) })
@@ -279,6 +291,7 @@
 	}
 }
 
+// sendToListeners sends updates to all entries to which an entry sends limits; see sendsTo.
 func (f *simFleet) sendToListeners(e *simEntry, updates []LimitUpdate) {
 	for _, to := range f.entries {
 		if to != e && f.sendsTo(e, to) {
@@ -299,9 +312,10 @@
 	return fromHub && toHub
 }
 
+// hub returns the first running entry in the failure domain and network partition of an entry.
 func (f *simFleet) hub(of *simEntry) *simEntry {
 	for _, e := range f.entries {
-		if e.Domain == of.Domain && !e.dead && e.partition == of.partition {
+		if e.Domain == of.Domain && !e.crashed && e.partition == of.partition {
 			return e
 		}
 	}
@@ -318,13 +332,13 @@
 	f.after(time.Duration(f.rnd.ExpFloat64()/rate*float64(time.Second)), f.generateRequests)
 	total := 0.0
 	for _, e := range f.entries {
-		if !e.dead && !f.agenda.Now().Before(e.frozenUntil) {
+		if !e.crashed && !f.agenda.Now().Before(e.frozenUntil) {
 			total += f.weight(e)
 		}
 	}
 	x := f.rnd.Float64() * total
 	for _, e := range f.entries {
-		if e.dead || f.agenda.Now().Before(e.frozenUntil) {
+		if e.crashed || f.agenda.Now().Before(e.frozenUntil) {
 			continue
 		}
 		if x -= f.weight(e); x < 0 {
@@ -334,6 +348,7 @@
 	}
 }
 
+// request sends one request from an entry and simulates its way, service and answer.
 func (f *simFleet) request(e *simEntry) {
 	f.requests++
 	lb, incarnation := e.balancer, e.incarnation
--- a/internal/balance/ratelimit_test.go
+++ b/internal/balance/ratelimit_test.go
@@ -53,7 +53,8 @@
 	return func(time.Duration) float64 { return rate }
 }
 
-// checkWithinLimit checks that the first upstream got no more requests than its limit allows.
+// checkWithinLimit checks that the first upstream got no more requests in any limitWindow than its
+// limit allows, within overshoot and slackRequests.
 func checkWithinLimit(t *testing.T, f *simFleet, seed uint64, perSecond float64) {
 	t.Helper()
 	got, at := f.maxInWindow("u0", limitWindow, limitStart+settleTime, limitStop)
@@ -63,8 +64,9 @@
 }
 
 // forEachLimit simulates fleets of several sizes with several limits, each of which is a fraction
-// of the demand at the upstream.
-func forEachLimit(t *testing.T, play func(f *simFleet), check func(t *testing.T, f *simFleet, u *utilisation, seed uint64, perSecond float64)) {
+// of the demand at the upstream. prepare schedules events of a simulation before its start, check
+// runs after its end.
+func forEachLimit(t *testing.T, prepare func(f *simFleet), check func(t *testing.T, f *simFleet, u *utilisation, seed uint64, perSecond float64)) {
 	rates := []float64{12}
 	if *limitSeeds > 1 {
 		rates = []float64{4, 12, 60}
@@ -80,7 +82,7 @@
 						f := newSimFleet(seed, size.entries, size.upstreams)
 						f.demand = constantDemand(perUpstream * float64(size.upstreams))
 						f.limitOf = limitOnFirst(perSecond)
-						play(f)
+						prepare(f)
 						f.run(runEnd)
 						check(t, f, u, seed, perSecond)
 					}
@@ -137,19 +139,19 @@
 var faults = map[string]func(f *simFleet){
 	"entries crash": func(f *simFleet) {
 		for i := range len(f.entries) / 3 {
-			f.at(limitStart+time.Duration(3+i)*time.Second/2, func() { f.kill(f.entries[3*i]) })
+			f.at(limitStart+time.Duration(3+i)*time.Second/2, func() { f.crash(f.entries[3*i]) })
 		}
 	},
 	"rolling restart of the entries": func(f *simFleet) {
 		for i, e := range f.entries {
 			at := limitStart + 2*time.Second + time.Duration(i)*17*time.Second/time.Duration(len(f.entries))
-			f.at(at, func() { f.kill(e) })
+			f.at(at, func() { f.crash(e) })
 			f.at(at+400*time.Millisecond, func() { f.restart(e) })
 		}
 	},
 	"half of the entries restart at once": func(f *simFleet) {
 		for _, e := range f.entries[:len(f.entries)/2] {
-			f.at(limitStart+5*time.Second, func() { f.kill(e) })
+			f.at(limitStart+5*time.Second, func() { f.crash(e) })
 			f.at(limitStart+6*time.Second, func() { f.restart(e) })
 		}
 	},
@@ -171,7 +173,7 @@
 		for i, e := range f.entries {
 			switch f.rnd.IntN(5) {
 			case 0:
-				f.at(limitStart+time.Duration(i%7)*time.Second, func() { f.kill(e) })
+				f.at(limitStart+time.Duration(i%7)*time.Second, func() { f.crash(e) })
 				f.at(limitStart+time.Duration(i%7)*time.Second+time.Duration(f.rnd.IntN(6000))*time.Millisecond, func() { f.restart(e) })
 			case 1:
 				f.at(limitStart+time.Duration(2+i%9)*time.Second, func() { f.freeze(e, time.Duration(100+f.rnd.IntN(2000))*time.Millisecond) })
@@ -283,8 +285,8 @@
 	}
 	for name, pick := range map[string]func(*Balancer, time.Time, int) (Choice, error){
 		"by object":       object(func(*ObjectRequest) {}),
-		"spread":          object(func(r *ObjectRequest) { r.NoAffinity = true }),
-		"after the other": object(func(r *ObjectRequest) { r.Tried = []string{"muscat-b-0"} }),
+		"no affinity":     object(func(r *ObjectRequest) { r.NoAffinity = true }),
+		"other one tried": object(func(r *ObjectRequest) { r.Tried = []string{"muscat-b-0"} }),
 		"by service": func(lb *Balancer, now time.Time, _ int) (Choice, error) {
 			return lb.Pick(now, rand.New(rand.NewPCG(1, 2)), Request{Regions: []string{"muscat"}})
 		},
@@ -368,9 +370,9 @@
 	}
 }
 
-// TestLimitThatEndsAndReturnsIsShared has one of two senders observe the end of a limit and its
-// return, of which the other one is informed only together. Later requests must still reach the
-// other sender's count.
+// TestLimitThatEndsAndReturnsIsShared has one of two senders observe the end of a limit and then a
+// new limit, while the other one gets a single update after both. Later requests must still count
+// at the other sender.
 func TestLimitThatEndsAndReturnsIsShared(t *testing.T) {
 	s, _ := twoRegionService(1, 8)
 	s.Upstreams = s.Upstreams[:1]
@@ -379,7 +381,7 @@
 	id := s.Upstreams[0].ID
 	now := t0
 	// Each entry receives empty messages from the other one throughout, so that neither counts as
-	// silent.
+	// unreachable.
 	tick := func(d time.Duration) {
 		for end := now.Add(d); now.Before(end); now = now.Add(100 * time.Millisecond) {
 			a.ApplyPeerLimits(now, "b", 1, nil)
--- a/internal/balance/regions.go
+++ b/internal/balance/regions.go
@@ -16,17 +16,17 @@
 // regionShares holds the share of the own region's requests that goes to each region.
 type regionShares map[string]float64
 
-// spreadDemand returns the shares that load all regions equally. demand holds the share of all
-// requests that originates in each region, capacity the usable slots of each region. A region with
-// enough capacity for its demand keeps all its requests; the others send their excess to regions
-// with spare capacity, in proportion to that.
-func spreadDemand(home string, capacity, demand map[string]float64) regionShares {
+// spreadDemand returns the shares of the requests from ownRegion with which all regions together
+// spread the load evenly. demand holds the share of all requests that originates in each region,
+// capacity the usable slots of each region. A region with enough capacity for its demand keeps all
+// its requests; the others send their excess to regions with spare capacity, in proportion to that.
+func spreadDemand(ownRegion string, capacity, demand map[string]float64) regionShares {
 	total := 0.0
 	for _, c := range capacity {
 		total += c
 	}
 	if total <= 0 {
-		return regionShares{home: 1}
+		return regionShares{ownRegion: 1}
 	}
 	spare := make(map[string]float64)
 	spareTotal := 0.0
@@ -35,23 +35,23 @@
 		spareTotal += spare[region]
 	}
 	kept := 1.0
-	if demand[home] > 0 {
-		kept = math.Min(1, capacity[home]/total/demand[home])
+	if demand[ownRegion] > 0 {
+		kept = math.Min(1, capacity[ownRegion]/total/demand[ownRegion])
 	}
-	out := regionShares{home: kept}
+	out := regionShares{ownRegion: kept}
 	for region, s := range spare {
-		if region != home && spareTotal > 0 {
+		if region != ownRegion && spareTotal > 0 {
 			out[region] = (1 - kept) * s / spareTotal
 		}
 	}
 	return out
 }
 
-// updateWeights sets the weights of the upstreams for requests from the region home: by the shares
-// of the regions, and within a region by slots.
-func (b *Balancer) updateWeights(now time.Time, home string, demand map[string]float64) {
+// updateWeights sets the weights of the upstreams for requests from ownRegion: by the shares of the
+// regions, and within a region by slots.
+func (b *Balancer) updateWeights(now time.Time, ownRegion string, demand map[string]float64) {
 	capacity := b.capacityByRegion(now)
-	share := spreadDemand(home, capacity, demand)
+	share := spreadDemand(ownRegion, capacity, demand)
 	for _, u := range b.upstreams {
 		weight := math.Max(minRegionWeight, share[u.Region])
 		u.weight = weight * float64(max(u.Slots, 1)) / math.Max(1, capacity[u.Region])
--- a/internal/balance/restart_test.go
+++ b/internal/balance/restart_test.go
@@ -34,7 +34,7 @@
 		t.Fatal("an upstream that announced that it drains was picked")
 	}
 	earlier := lb.byID["u1"]
-	under := Choice{Upstream: earlier.Upstream, state: earlier, class: "c", object: 7, PickedAt: now}
+	pending := Choice{Upstream: earlier.Upstream, state: earlier, class: "c", object: 7, PickedAt: now}
 	earlier.inFlight, lb.inFlight["m"] = 1, 1
 	for range 5 {
 		earlier.recordOutcome(now, true)
@@ -54,7 +54,7 @@
 	}
 	// The request to the earlier incarnation fails, and a peer still reports failures of that
 	// incarnation.
-	lb.Done(now, under, DoneInfo{Result: Unreachable, Load: -1})
+	lb.Done(now, pending, DoneInfo{Result: Unreachable, Load: -1})
 	lb.ApplyPeerLoad(now, PeerLoad{Peer: "e2", Last: ^uint32(0), Loads: map[uint32]Load{
 		earlier.incarnationKey: {Requests: 9, Outcomes: Outcomes{Failed: 9, Total: 9}},
 	}})
--- a/internal/balance/service_time.go
+++ b/internal/balance/service_time.go
@@ -73,7 +73,8 @@
 	return ok && now.Sub(at) < warmTTL
 }
 
-// markServed records that the upstream has served an object.
+// markServed records that the upstream has served an object, unless maxWarmObjects others are
+// still warm.
 func (u *upstreamState) markServed(object uint64, now time.Time) {
 	if u.lastServed == nil {
 		u.lastServed = make(map[uint64]time.Time)
@@ -90,7 +91,7 @@
 	}
 }
 
-// recordServiceTime updates the statistics of a class with a successful answer. Samples that
+// recordServiceTime updates the statistics of a class with a successful answer. Durations that
 // include waiting, or that come from cold upstreams, do not count as service times.
 func (b *Balancer) recordServiceTime(u *upstreamState, now time.Time, c Choice, r DoneInfo) {
 	if c.class == "" || r.Result != OK || r.ServerError {
--- a/internal/balance/status.go
+++ b/internal/balance/status.go
@@ -62,6 +62,8 @@
 // Status is the state of one upstream, for dumps.
 type Status struct {
 	model.Upstream
+	// InFlight and Sent count this entry's requests. Estimate is the estimated number of requests
+	// of all entries at the upstream.
 	InFlight int           `json:"in_flight"`
 	Sent     int64         `json:"sent"`
 	Estimate float64       `json:"estimate"`
