--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -89,6 +89,7 @@
 	return int(float64(capacity) * (1 - reserved))
 }
 
+// refuse returns the Decision to refuse a request for a reason.
 func refuse(in Input, r Reason) Decision {
 	return Decision{Reason: r, RetryAfter: RetryAfter(in.Queued, in.ExpectedLatency)}
 }
