--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -52,19 +52,34 @@
 
 // Service holds the settings and upstreams of a service as seen from the own region.
 type Service struct {
-	Name           string
-	Repeat         string
-	Deadline       time.Duration
-	Priority       int
-	Attempts       int
-	RetryBudget    float64
-	Queue          int
-	QueueWait      time.Duration
+	Name string
+	// Repeat says whether a request that may have been executed can be sent again: one of the
+	// values of tree.KeyRepeat.
+	Repeat string
+	// Deadline is the default deadline of requests and the longest one that a caller may set.
+	Deadline time.Duration
+	// Priority is the priority of the requests under overload, from 0 to 9 (highest).
+	Priority int
+	// Attempts is the largest number of upstreams to which a request is sent.
+	Attempts int
+	// RetryBudget is the number of retries that a request adds to the retry budget: each
+	// request if Routed is set, else each successful one.
+	RetryBudget float64
+	// Queue is the largest number of requests that wait for a slot at one entry, QueueWait
+	// the longest time that each of them waits.
+	Queue     int
+	QueueWait time.Duration
+	// NotRunStatuses are the HTTP statuses with which an upstream reports that it did not
+	// execute the request.
 	NotRunStatuses []int
-	Warmup         time.Duration
-	Lifetime       time.Duration
-	ShiftCap       float64
-	ShiftRate      float64
+	// Warmup is the time for which a new upstream is cold.
+	Warmup time.Duration
+	// Lifetime is the longest time that a caller may cache a look-up answer.
+	Lifetime time.Duration
+	// ShiftCap and ShiftRate limit the moves of the service's traffic between regions; see
+	// the settings shift_cap and shift_rate.
+	ShiftCap  float64
+	ShiftRate float64
 	// Overflow lists the other regions that may take requests, in order of preference.
 	Overflow []string
 	// MaxInFlight is the largest number of requests in flight by region; 0 means
@@ -82,7 +97,7 @@
 	// ColdRate is the largest number of requests per second from all entries
 	// together to an upstream that is warming up; 0 means no limit.
 	ColdRate float64
-	// RetryBurst is the initial number of retries in an entry's retry budget.
+	// RetryBurst is the largest number of retries that an entry's retry budget holds.
 	RetryBurst float64
 }
 
@@ -95,11 +110,14 @@
 // Snapshot is the compiled state from which the data path routes and balances
 // requests. It is immutable.
 type Snapshot struct {
+	// Revision is the revision of the configuration, Directory the version of the upstream
+	// directory.
 	Revision  uint64
 	Directory uint64
-	Region    string
-	Tree      *tree.Tree
-	Services  map[string]*Service
+	// Region is the own region.
+	Region   string
+	Tree     *tree.Tree
+	Services map[string]*Service
 	// Hosts maps host names to services.
 	Hosts map[string]string
 	// Routes select the service of a request by host and path; nil if requests
--- a/internal/model/organisation.go
+++ b/internal/model/organisation.go
@@ -63,8 +63,8 @@
 	byKey map[Key]*Organisation
 }
 
-// NewOrganisations returns the table of a list of organisations and their keys, which
-// are given by the organisation's name. The error joins all faults and contains no key.
+// NewOrganisations returns the table of a list of organisations. keys holds the keys of
+// each organisation by its name. The error joins all faults and contains no key.
 func NewOrganisations(list []*Organisation, keys map[string][]Key) (*Organisations, error) {
 	t := &Organisations{list: list, byKey: make(map[Key]*Organisation)}
 	var faults []error
--- a/internal/model/reachable.go
+++ b/internal/model/reachable.go
@@ -9,8 +9,8 @@
 )
 
 // maxOverflow is the number of nearest other regions to which an entry may send
-// requests, beside the regions of overflow lists and moves. It bounds the number of
-// upstreams that an entry holds where there are many regions.
+// requests, in addition to the regions of overflow lists and moves. With many regions it
+// bounds the number of upstreams that an entry holds; with few, all are reachable.
 const maxOverflow = 8
 
 // OnePerServiceRegion returns the directory reduced to the first upstream of each
