--- a/internal/route/lookup.go
+++ b/internal/route/lookup.go
@@ -37,6 +37,7 @@
 	N       int
 	// Lifetime is the time for which a caller may cache the answer.
 	Lifetime time.Duration
+	// Revision is the revision of the configuration from which the answer was computed.
 	Revision uint64
 }
 
@@ -233,8 +234,8 @@
 	return xxhash.Sum64(b[:])
 }
 
-// lifetime returns the lifetime of an answer at the given time. Callers cache answers, so
-// that it shrinks ahead of a scheduled change.
+// lifetime returns the lifetime of an answer at the given time. It shrinks ahead of a
+// scheduled change, so that callers do not use cached answers long after the change.
 func (t *Table) lifetime(service string, now time.Time) time.Duration {
 	usual := t.services[service]
 	for _, at := range t.changes {
