--- a/test/fleet/use.go
+++ b/test/fleet/client.go
@@ -46,15 +46,15 @@
 	Status int
 	Body   string
 	// Verdict is empty on an upstream's own answer.
-	Verdict string
-	ID      string
-	Took    time.Duration
+	Verdict  string
+	ID       string
+	Duration time.Duration
 	// Err is set if no whole answer came.
 	Err error
 }
 
-// Told returns what the caller knows of the request's execution.
-func (r Reply) Told() verdict.Verdict {
+// CallerVerdict returns what the caller knows of the request's execution.
+func (r Reply) CallerVerdict() verdict.Verdict {
 	var dial *net.OpError
 	if errors.As(r.Err, &dial) && dial.Op == "dial" {
 		return verdict.NotRun
@@ -102,7 +102,7 @@
 	}
 	resp, err := callerClient.Do(req)
 	if err != nil {
-		return Reply{Err: err, ID: r.ID, Took: time.Since(start)}
+		return Reply{Err: err, ID: r.ID, Duration: time.Since(start)}
 	}
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
@@ -144,9 +144,9 @@
 	return out
 }
 
-// Peak returns the largest number of requests that ran at once at a service's
+// PeakInFlight returns the largest number of requests that ran at once at a service's
 // upstreams in a region.
-func (f *Fleet) Peak(service, region string) (int, error) {
+func (f *Fleet) PeakInFlight(service, region string) (int, error) {
 	for _, u := range f.Upstreams {
 		if u.Service != service || u.Region != region {
 			continue
@@ -207,8 +207,8 @@
 	return d.Revision, err
 }
 
-// InForce waits until a revision is in force at the entries of nodes.
-func (f *Fleet) InForce(revision uint64, nodes ...string) error {
+// WaitRevision waits until a revision is in force at the entries of nodes.
+func (f *Fleet) WaitRevision(revision uint64, nodes ...string) error {
 	return Eventually(func() error {
 		for _, id := range nodes {
 			if rev, err := f.EntryRevision(id); err != nil || rev < revision {
--- a/test/fleet/use_test.go
+++ b/test/fleet/client_test.go
@@ -32,10 +32,10 @@
 		lis.Close()
 	}()
 	req := Request{Entry: lis.Addr().String(), Method: "GET", Path: "/", Service: "stock", ID: "a"}
-	if first := Do(t.Context(), req); first.Told() != verdict.Ran {
+	if first := Do(t.Context(), req); first.CallerVerdict() != verdict.Ran {
 		t.Fatalf("first request: %+v", first)
 	}
-	if second := Do(t.Context(), req); second.Told() != verdict.MayHaveRun {
-		t.Errorf("told %v: %v", second.Told(), second.Err)
+	if second := Do(t.Context(), req); second.CallerVerdict() != verdict.MayHaveRun {
+		t.Errorf("told %v: %v", second.CallerVerdict(), second.Err)
 	}
 }
--- a/test/fleet/fleet.go
+++ b/test/fleet/fleet.go
@@ -20,15 +20,15 @@
 type Spec struct {
 	// Nodes are loomkeel's instances.
 	Nodes []Node
-	// Groups are the upstreams.
-	Groups []Group
-	// Phantoms are further upstreams that only the platform's list names.
-	Phantoms []platform.Instance
-	// Work is how long a request takes at an upstream.
-	Work time.Duration
-	// Relays puts a relay between each node and the platform, and between the
+	// UpstreamGroups are the upstreams.
+	UpstreamGroups []UpstreamGroup
+	// PlaceholderUpstreams are further upstreams that only the platform's list names.
+	PlaceholderUpstreams []platform.Instance
+	// ServiceTime is how long a request takes at an upstream.
+	ServiceTime time.Duration
+	// UseProxies puts a relay between each node and the platform, and between the
 	// entries and each upstream.
-	Relays bool
+	UseProxies bool
 	// Linger is how long a stopping entry still takes requests.
 	Linger time.Duration
 }
@@ -36,8 +36,8 @@
 // Node is one instance of loomkeel.
 type Node struct{ ID, Region, Domain string }
 
-// Group is a number of upstreams of one service in one failure domain.
-type Group struct {
+// UpstreamGroup is a number of upstreams of one service in one failure domain.
+type UpstreamGroup struct {
 	Service, Region, Domain string
 	Count, Slots            int
 }
@@ -53,9 +53,9 @@
 	Platform  string
 	Nodes     map[string]Addresses
 	Upstreams []platform.Instance
-	// PlatformRelays are those of the nodes, UpstreamRelays those of the
+	// PlatformProxies are those of the nodes, UpstreamProxies those of the
 	// upstreams, by id; empty without Spec.Relays.
-	PlatformRelays, UpstreamRelays map[string]*Relay
+	PlatformProxies, UpstreamProxies map[string]*TCPProxy
 
 	bin, dir string
 	procs    map[string]*Proc
@@ -65,7 +65,7 @@
 // the directory of the binaries, dir one for settings and logs.
 func New(bin, dir string, spec Spec) (*Fleet, error) {
 	f := &Fleet{Spec: spec, bin: bin, dir: dir, Nodes: make(map[string]Addresses), procs: make(map[string]*Proc)}
-	f.PlatformRelays, f.UpstreamRelays = make(map[string]*Relay), make(map[string]*Relay)
+	f.PlatformProxies, f.UpstreamProxies = make(map[string]*TCPProxy), make(map[string]*TCPProxy)
 	ports, err := freePorts(1 + 6*len(spec.Nodes) + countUpstreams(spec))
 	if err != nil {
 		return nil, err
@@ -80,10 +80,10 @@
 	if err := f.writeList("upstreams.json", instances); err != nil {
 		return nil, err
 	}
-	if err := f.addRelays(instances); err != nil {
+	if err := f.addProxies(instances); err != nil {
 		return nil, err
 	}
-	if err := f.writeList("instances.json", append(instances, spec.Phantoms...)); err != nil {
+	if err := f.writeList("instances.json", append(instances, spec.PlaceholderUpstreams...)); err != nil {
 		return nil, err
 	}
 	for _, n := range spec.Nodes {
@@ -102,27 +102,27 @@
 	return os.WriteFile(f.path(name), body, 0o600)
 }
 
-// addRelays puts the relays' addresses into the instance list.
-func (f *Fleet) addRelays(instances []platform.Instance) error {
-	if !f.Spec.Relays {
+// addProxies puts the relays' addresses into the instance list.
+func (f *Fleet) addProxies(instances []platform.Instance) error {
+	if !f.Spec.UseProxies {
 		return nil
 	}
 	for _, n := range f.Spec.Nodes {
-		r, err := NewRelay(f.Platform)
+		r, err := NewTCPProxy(f.Platform)
 		if err != nil {
 			return err
 		}
-		f.PlatformRelays[n.ID] = r
+		f.PlatformProxies[n.ID] = r
 	}
 	for i := range instances {
 		if instances[i].Kind != platform.KindUpstream {
 			continue
 		}
-		r, err := NewRelay(instances[i].Address)
+		r, err := NewTCPProxy(instances[i].Address)
 		if err != nil {
 			return err
 		}
-		f.UpstreamRelays[instances[i].ID] = r
+		f.UpstreamProxies[instances[i].ID] = r
 		instances[i].Address = r.Addr()
 	}
 	return nil
@@ -130,7 +130,7 @@
 
 // platformFor returns the platform's address as a node reaches it.
 func (f *Fleet) platformFor(node string) string {
-	if r := f.PlatformRelays[node]; r != nil {
+	if r := f.PlatformProxies[node]; r != nil {
 		return r.Addr()
 	}
 	return f.Platform
@@ -138,7 +138,7 @@
 
 func countUpstreams(s Spec) int {
 	n := 0
-	for _, g := range s.Groups {
+	for _, g := range s.UpstreamGroups {
 		n += g.Count
 	}
 	return n
@@ -151,7 +151,7 @@
 		f.Nodes[n.ID] = a
 		list = append(list, platform.Instance{ID: n.ID, Kind: platform.KindNode, Region: n.Region, Domain: n.Domain, Address: a.Peer})
 	}
-	for _, g := range f.Spec.Groups {
+	for _, g := range f.Spec.UpstreamGroups {
 		for i := range g.Count {
 			u := platform.Instance{
 				ID:      fmt.Sprintf("%s-%s-%d", g.Service, g.Domain, i+1),
--- a/test/fleet/load.go
+++ b/test/fleet/load.go
@@ -12,18 +12,18 @@
 
 // Outcome is what a caller knows of one of its requests in the end.
 type Outcome struct {
-	ID   string
-	Told verdict.Verdict
-	// Tries is how many entries the request was sent to; it goes on to the next
+	ID      string
+	Verdict verdict.Verdict
+	// Attempts is how many entries the request was sent to; it goes on to the next
 	// only after being told that it was not run.
-	Tries int
-	Last  Reply
-	// Sent is when the first try began.
-	Sent time.Time
+	Attempts  int
+	LastReply Reply
+	// SentAt is when the first try began.
+	SentAt time.Time
 }
 
-// Load is a number of callers that send requests one after the other.
-type Load struct {
+// LoadGenerator is a number of callers that send requests one after the other.
+type LoadGenerator struct {
 	Name    string
 	Service string
 	Method  string
@@ -43,11 +43,11 @@
 }
 
 // Start lets the callers work until ctx ends.
-func (l *Load) Start(ctx context.Context) {
+func (l *LoadGenerator) Start(ctx context.Context) {
 	for c := range l.Callers {
 		l.wg.Go(func() {
 			for i := 0; ctx.Err() == nil; i++ {
-				l.add(l.one(c, fmt.Sprintf("%s-%d-%d", l.Name, c, i)))
+				l.add(l.sendRequest(c, fmt.Sprintf("%s-%d-%d", l.Name, c, i)))
 				select {
 				case <-ctx.Done():
 				case <-time.After(l.Pause):
@@ -58,66 +58,66 @@
 }
 
 // Wait waits until the callers have ended, and returns what they were told.
-func (l *Load) Wait() []Outcome {
+func (l *LoadGenerator) Wait() []Outcome {
 	l.wg.Wait()
 	return l.Outcomes()
 }
 
 // Outcomes returns what the callers were told so far.
-func (l *Load) Outcomes() []Outcome {
+func (l *LoadGenerator) Outcomes() []Outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]Outcome(nil), l.outcomes...)
 }
 
-func (l *Load) add(o Outcome) {
+func (l *LoadGenerator) add(o Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.outcomes = append(l.outcomes, o)
 }
 
-// one sends a request to one entry after the other, as long as it is told that
-// it was not run.
-func (l *Load) one(caller int, id string) Outcome {
-	o := Outcome{ID: id, Told: verdict.NotRun, Sent: time.Now()}
+// sendRequest sends a request to one entry after the other until one of them gives a verdict
+// other than "not run".
+func (l *LoadGenerator) sendRequest(caller int, id string) Outcome {
+	o := Outcome{ID: id, Verdict: verdict.NotRun, SentAt: time.Now()}
 	for _, entry := range l.Entries(caller) {
-		o.Tries++
-		o.Last = Do(context.Background(), Request{
+		o.Attempts++
+		o.LastReply = Do(context.Background(), Request{
 			Entry: entry, Method: l.Method, Path: l.Path, Service: l.Service, Repeat: l.Repeat, ID: id, Body: l.Body,
 		})
-		if o.Told = o.Last.Told(); o.Told != verdict.NotRun {
+		if o.Verdict = o.LastReply.CallerVerdict(); o.Verdict != verdict.NotRun {
 			break
 		}
 	}
 	return o
 }
 
-// Count returns how many outcomes have each verdict.
-func Count(outcomes []Outcome) map[verdict.Verdict]int {
+// CountVerdicts returns how many outcomes have each verdict.
+func CountVerdicts(outcomes []Outcome) map[verdict.Verdict]int {
 	n := make(map[verdict.Verdict]int)
 	for _, o := range outcomes {
-		n[o.Told]++
+		n[o.Verdict]++
 	}
 	return n
 }
 
-// Judge compares what callers were told with how often each request ran at the
+// CheckOutcomes compares what callers were told with how often each request ran at the
 // upstreams, and returns every contradiction. Unsafe requests must run at most
 // once.
-func Judge(outcomes []Outcome, runs map[string]int, unsafe bool) []string {
+func CheckOutcomes(outcomes []Outcome, runs map[string]int, unsafe bool) []string {
 	var faults []string
 	for _, o := range outcomes {
 		n := runs[o.ID]
 		switch {
-		case o.Told == verdict.NotRun && n > 0:
+		case o.Verdict == verdict.NotRun && n > 0:
 			faults = append(faults, fmt.Sprintf("%s was told not run, ran %d times", o.ID, n))
-		case o.Told == verdict.Ran && n == 0:
+		case o.Verdict == verdict.Ran && n == 0:
 			faults = append(faults, fmt.Sprintf("%s was answered, but never ran", o.ID))
 		case unsafe && n > 1:
 			faults = append(faults, fmt.Sprintf("unsafe %s ran %d times", o.ID, n))
 		}
-		if o.Told == verdict.Ran && o.Last.Status == 200 && !strings.Contains(o.Last.Body, "for "+o.ID+"\n") {
-			faults = append(faults, fmt.Sprintf("%s got an answer that is not its own: %.60q", o.ID, o.Last.Body))
+		if o.Verdict == verdict.Ran && o.LastReply.Status == 200 && !strings.Contains(o.LastReply.Body, "for "+o.ID+"\n") {
+			faults = append(faults, fmt.Sprintf("%s got an answer that is not its own: %.60q", o.ID, o.LastReply.Body))
 		}
 	}
 	return faults
--- a/test/fleet/proc.go
+++ b/test/fleet/proc.go
@@ -80,7 +80,7 @@
 // region, named "upstreams-REGION".
 func (f *Fleet) StartUpstreams() error {
 	for _, region := range f.regions() {
-		if err := f.StartRegion(region); err != nil {
+		if err := f.StartRegionUpstreams(region); err != nil {
 			return err
 		}
 	}
@@ -92,17 +92,17 @@
 	return nil
 }
 
-// StartRegion starts the stand-ins of a region's upstreams. It does not wait
+// StartRegionUpstreams starts the stand-ins of a region's upstreams. It does not wait
 // until they are ready.
-func (f *Fleet) StartRegion(region string) error {
+func (f *Fleet) StartRegionUpstreams(region string) error {
 	_, err := f.start("upstreams-"+region, "loomkeel-standin", "upstreams", "--instances", f.path("upstreams.json"),
-		"--region", region, "--record", f.path("record"), "--work", f.Spec.Work.String())
+		"--region", region, "--record", f.path("record"), "--work", f.Spec.ServiceTime.String())
 	return err
 }
 
 func (f *Fleet) regions() []string {
 	var out []string
-	for _, g := range f.Spec.Groups {
+	for _, g := range f.Spec.UpstreamGroups {
 		if !slices.Contains(out, g.Region) {
 			out = append(out, g.Region)
 		}
@@ -162,7 +162,7 @@
 		_ = p.Signal(syscall.SIGCONT)
 		p.Kill()
 	}
-	for _, relays := range []map[string]*Relay{f.PlatformRelays, f.UpstreamRelays} {
+	for _, relays := range []map[string]*TCPProxy{f.PlatformProxies, f.UpstreamProxies} {
 		for _, r := range relays {
 			r.Close()
 		}
--- a/test/fleet/relay.go
+++ b/test/fleet/tcp_proxy.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// Relay passes TCP connections on to a target, and can cut them.
-type Relay struct {
+// TCPProxy passes TCP connections on to a target, and can cut them.
+type TCPProxy struct {
 	lis    net.Listener
 	target string
 
@@ -16,22 +16,22 @@
 	conns map[net.Conn]bool
 }
 
-// NewRelay listens on a free address.
-func NewRelay(target string) (*Relay, error) {
+// NewTCPProxy listens on a free address.
+func NewTCPProxy(target string) (*TCPProxy, error) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{lis: lis, target: target, conns: make(map[net.Conn]bool)}
+	r := &TCPProxy{lis: lis, target: target, conns: make(map[net.Conn]bool)}
 	go r.accept()
 	return r, nil
 }
 
 // Addr returns the address to connect to.
-func (r *Relay) Addr() string { return r.lis.Addr().String() }
+func (r *TCPProxy) Addr() string { return r.lis.Addr().String() }
 
-// SetCut breaks all connections and refuses new ones, or heals.
-func (r *Relay) SetCut(cut bool) {
+// SetBlocked breaks all connections and refuses new ones, or heals.
+func (r *TCPProxy) SetBlocked(cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cut = cut
@@ -44,12 +44,12 @@
 }
 
 // Close ends the relay.
-func (r *Relay) Close() {
+func (r *TCPProxy) Close() {
 	r.lis.Close()
-	r.SetCut(true)
+	r.SetBlocked(true)
 }
 
-func (r *Relay) accept() {
+func (r *TCPProxy) accept() {
 	for {
 		c, err := r.lis.Accept()
 		if err != nil {
@@ -59,7 +59,7 @@
 	}
 }
 
-func (r *Relay) serve(in net.Conn) {
+func (r *TCPProxy) serve(in net.Conn) {
 	defer in.Close()
 	out, err := net.Dial("tcp", r.target)
 	if err != nil {
@@ -82,7 +82,7 @@
 	<-done
 }
 
-func (r *Relay) add(conns ...net.Conn) bool {
+func (r *TCPProxy) add(conns ...net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.cut {
@@ -94,7 +94,7 @@
 	return true
 }
 
-func (r *Relay) remove(conns ...net.Conn) {
+func (r *TCPProxy) remove(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range conns {
--- a/test/measure/bench.go
+++ b/test/measure/bench.go
@@ -41,7 +41,7 @@
 	for id := range b.fleet.Nodes {
 		ids = append(ids, id)
 	}
-	return b.fleet.InForce(uint64(len(b.deployment.services)+len(b.deployment.regions)), ids...)
+	return b.fleet.WaitRevision(uint64(len(b.deployment.services)+len(b.deployment.regions)), ids...)
 }
 
 // phases runs them all. Load is a share of all slots.
@@ -161,14 +161,14 @@
 		if r.Err == nil {
 			break
 		}
-		if r.Told() != verdict.NotRun {
+		if r.CallerVerdict() != verdict.NotRun {
 			break
 		}
 	}
 	took := time.Since(start)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.ends[r.Told()]++
+	t.ends[r.CallerVerdict()]++
 	if r.Err == nil && r.Status == http.StatusOK {
 		t.took = append(t.took, took)
 		if took <= s.deadline {
@@ -199,7 +199,7 @@
 	slots := s.targets * s.slots / len(b.deployment.regions)
 	best, at := "-", -1
 	for _, r := range b.deployment.regions {
-		peak, err := b.fleet.Peak(s.name, r)
+		peak, err := b.fleet.PeakInFlight(s.name, r)
 		if err == nil && peak > at {
 			best, at = fmt.Sprintf("%s: %d of %d", r, peak, slots), peak
 		}
--- a/test/measure/main.go
+++ b/test/measure/main.go
@@ -64,7 +64,7 @@
 
 // spec has two instances in each failure domain, twelve in all.
 func (d deployment) spec() fleet.Spec {
-	s := fleet.Spec{Linger: time.Second, Work: d.services[0].work}
+	s := fleet.Spec{Linger: time.Second, ServiceTime: d.services[0].work}
 	for _, region := range d.regions {
 		for _, letter := range []string{"a", "b"} {
 			domain := region + "-" + letter
@@ -72,7 +72,7 @@
 				s.Nodes = append(s.Nodes, fleet.Node{ID: fmt.Sprintf("%s-%d", domain, i), Region: region, Domain: domain})
 			}
 			for _, svc := range d.services {
-				s.Groups = append(s.Groups, fleet.Group{
+				s.UpstreamGroups = append(s.UpstreamGroups, fleet.UpstreamGroup{
 					Service: svc.name, Region: region, Domain: domain,
 					Count: svc.targets / (2 * len(d.regions)), Slots: svc.slots,
 				})
--- a/test/overhead/main.go
+++ b/test/overhead/main.go
@@ -35,7 +35,7 @@
 
 var spec = fleet.Spec{
 	Nodes: []fleet.Node{{ID: "n1", Region: "muscat", Domain: "muscat-a"}},
-	Groups: []fleet.Group{
+	UpstreamGroups: []fleet.UpstreamGroup{
 		{Service: "stock", Region: "muscat", Domain: "muscat-a", Count: 1, Slots: 64},
 	},
 	Linger: time.Second,
--- a/test/proofs/proofs_test.go
+++ b/test/proofs/proofs_test.go
@@ -42,14 +42,14 @@
 
 // twoRegions has four instances in four failure domains.
 func twoRegions() fleet.Spec {
-	s := fleet.Spec{Work: 10 * time.Millisecond, Linger: time.Second, Relays: true}
+	s := fleet.Spec{ServiceTime: 10 * time.Millisecond, Linger: time.Second, UseProxies: true}
 	for _, region := range []string{"muscat", "sohar"} {
 		for _, d := range []string{"a", "b"} {
 			domain := region + "-" + d
 			s.Nodes = append(s.Nodes, fleet.Node{ID: "n-" + domain, Region: region, Domain: domain})
-			s.Groups = append(s.Groups,
-				fleet.Group{Service: "stock", Region: region, Domain: domain, Count: 2, Slots: 9},
-				fleet.Group{Service: "orders", Region: region, Domain: domain, Count: 2, Slots: 6})
+			s.UpstreamGroups = append(s.UpstreamGroups,
+				fleet.UpstreamGroup{Service: "stock", Region: region, Domain: domain, Count: 2, Slots: 9},
+				fleet.UpstreamGroup{Service: "orders", Region: region, Domain: domain, Count: 2, Slots: 6})
 		}
 	}
 	return s
@@ -132,10 +132,10 @@
 	t.Helper()
 	runs, err := f.Runs()
 	check(t, err)
-	for _, fault := range fleet.Judge(outcomes, fleet.CountRuns(runs), unsafe) {
+	for _, fault := range fleet.CheckOutcomes(outcomes, fleet.CountRuns(runs), unsafe) {
 		t.Error(fault)
 	}
-	n := fleet.Count(outcomes)
+	n := fleet.CountVerdicts(outcomes)
 	t.Logf("%d requests: %d ran, %d not run, %d may have run", len(outcomes), n[verdict.Ran], n[verdict.NotRun], n[verdict.MayHaveRun])
 	if n[verdict.Ran] == 0 {
 		t.Error("no request ran")
@@ -143,7 +143,7 @@
 }
 
 // answered waits until the callers have had so many more answers.
-func answered(l *fleet.Load, more int) error {
+func answered(l *fleet.LoadGenerator, more int) error {
 	have := len(l.Outcomes())
 	return fleet.Eventually(func() error {
 		if got := len(l.Outcomes()) - have; got < more {
@@ -159,19 +159,19 @@
 	f := deploy(t, twoRegions())
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	l := &fleet.Load{Name: "order", Service: "orders", Method: "POST", Path: "/orders", Repeat: "unsafe", Body: "3 palms",
+	l := &fleet.LoadGenerator{Name: "order", Service: "orders", Method: "POST", Path: "/orders", Repeat: "unsafe", Body: "3 palms",
 		Entries: entries(f, nodeIDs(f)...), Callers: 8, Pause: time.Millisecond}
 	l.Start(ctx)
 	faults := []func() error{
 		func() error { return fleet.Post(f.Platform, "/fault/down") },
 		func() error { f.Proc("upstreams-muscat").Kill(); return nil },
-		func() error { return f.StartRegion("muscat") },
+		func() error { return f.StartRegionUpstreams("muscat") },
 		func() error { f.Proc("n-muscat-a-entry").Kill(); return nil },
 		func() error { return f.Proc("n-sohar-a-entry").Signal(syscall.SIGSTOP) },
-		func() error { f.UpstreamRelays["orders-sohar-b-1"].SetCut(true); return nil },
+		func() error { f.UpstreamProxies["orders-sohar-b-1"].SetBlocked(true); return nil },
 		func() error { return f.Proc("n-sohar-a-entry").Signal(syscall.SIGCONT) },
 		func() error { f.Proc("n-sohar-b-agent").Kill(); return nil },
-		func() error { f.UpstreamRelays["orders-sohar-b-1"].SetCut(false); return nil },
+		func() error { f.UpstreamProxies["orders-sohar-b-1"].SetBlocked(false); return nil },
 		func() error { _, err := f.StartProcess("n-muscat-a", fleet.Entry); return err },
 		func() error { _, err := f.StartProcess("n-sohar-b", fleet.Agent); return err },
 		func() error { return fleet.Post(f.Platform, "/fault/none") },
@@ -194,17 +194,17 @@
 	f := deploy(t, twoRegions())
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	l := &fleet.Load{Name: "page", Service: "stock", Method: "GET", Path: fmt.Sprint("/photo?size=", size),
+	l := &fleet.LoadGenerator{Name: "page", Service: "stock", Method: "GET", Path: fmt.Sprint("/photo?size=", size),
 		Entries: entries(f, nodeIDs(f)...), Callers: 8, Pause: time.Millisecond}
 	l.Start(ctx)
 	for range 3 {
 		check(t, answered(l, 40))
 		f.Proc("upstreams-sohar").Kill()
 		check(t, answered(l, 40))
-		check(t, f.StartRegion("sohar"))
-		for _, r := range f.UpstreamRelays {
-			r.SetCut(true)
-			r.SetCut(false)
+		check(t, f.StartRegionUpstreams("sohar"))
+		for _, r := range f.UpstreamProxies {
+			r.SetBlocked(true)
+			r.SetBlocked(false)
 		}
 	}
 	check(t, answered(l, 40))
@@ -212,8 +212,8 @@
 	outcomes := l.Wait()
 	judge(t, f, outcomes, false)
 	for _, o := range outcomes {
-		if o.Told == verdict.Ran && o.Last.Status == 200 && len(o.Last.Body) < size {
-			t.Errorf("%s: an answer of %d bytes passed for whole", o.ID, len(o.Last.Body))
+		if o.Verdict == verdict.Ran && o.LastReply.Status == 200 && len(o.LastReply.Body) < size {
+			t.Errorf("%s: an answer of %d bytes passed for whole", o.ID, len(o.LastReply.Body))
 		}
 	}
 }
@@ -243,7 +243,7 @@
 			f := deploy(t, twoRegions())
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			l := &fleet.Load{Name: "order", Service: "orders", Method: "POST", Path: "/orders", Body: "palm",
+			l := &fleet.LoadGenerator{Name: "order", Service: "orders", Method: "POST", Path: "/orders", Body: "palm",
 				Entries: entries(f, nodeIDs(f)...), Callers: 6, Pause: time.Millisecond}
 			l.Start(ctx)
 			check(t, answered(l, 100))
@@ -258,7 +258,7 @@
 			check(t, err)
 			late := make(map[string]bool)
 			for _, o := range outcomes {
-				late[o.ID] = o.Sent.After(from)
+				late[o.ID] = o.SentAt.After(from)
 			}
 			for _, r := range runs {
 				if r.Upstream == upstream && late[r.ID] {
@@ -295,7 +295,7 @@
 	f := deploy(t, twoRegions())
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	l := &fleet.Load{Name: "notice", Service: "orders", Method: "POST", Path: "/notices", Body: "notice", Callers: 8, Pause: time.Millisecond,
+	l := &fleet.LoadGenerator{Name: "notice", Service: "orders", Method: "POST", Path: "/notices", Body: "notice", Callers: 8, Pause: time.Millisecond,
 		Entries: func(caller int) []string { return lookedUp(f, caller) }}
 	l.Start(ctx)
 	for _, id := range nodeIDs(f) {
@@ -315,8 +315,8 @@
 	outcomes := l.Wait()
 	judge(t, f, outcomes, true)
 	for _, o := range outcomes {
-		if o.Told != verdict.Ran {
-			t.Errorf("%s was cut off: told %v by %d entries: %v", o.ID, o.Told, o.Tries, o.Last)
+		if o.Verdict != verdict.Ran {
+			t.Errorf("%s was cut off: told %v by %d entries: %v", o.ID, o.Verdict, o.Attempts, o.LastReply)
 		}
 	}
 }
@@ -350,18 +350,18 @@
 		ctl(t, f, node, "set", "/services/orders", "deadline="+value)
 	}
 	set("n-muscat-a", "2s")
-	check(t, f.InForce(1, nodeIDs(f)...))
+	check(t, f.WaitRevision(1, nodeIDs(f)...))
 
 	check(t, f.Proc("n-sohar-a-agent").Signal(syscall.SIGSTOP))
 	set("n-muscat-a", "3s")
-	check(t, f.InForce(2, "n-muscat-a", "n-muscat-b", "n-sohar-b"))
+	check(t, f.WaitRevision(2, "n-muscat-a", "n-muscat-b", "n-sohar-b"))
 	check(t, f.Proc("n-sohar-a-agent").Signal(syscall.SIGCONT))
-	check(t, f.InForce(2, nodeIDs(f)...))
+	check(t, f.WaitRevision(2, nodeIDs(f)...))
 
 	check(t, fleet.Post(f.Platform, "/fault/lose-replies"))
 	set("n-sohar-b", "4s")
 	check(t, fleet.Post(f.Platform, "/fault/none"))
-	check(t, f.InForce(3, nodeIDs(f)...))
+	check(t, f.WaitRevision(3, nodeIDs(f)...))
 
 	// The store dies with the acceptance; agents that start meanwhile get the
 	// revision from their neighbours.
@@ -370,7 +370,7 @@
 	f.Proc("platform").Kill()
 	_, err := f.StartProcess("n-muscat-b", fleet.Agent)
 	check(t, err)
-	check(t, f.InForce(4, nodeIDs(f)...))
+	check(t, f.WaitRevision(4, nodeIDs(f)...))
 
 	out, status := f.Ctl("n-sohar-a", "set", "/services/orders", "deadline=6s")
 	if status != 1 {
@@ -429,7 +429,7 @@
 		return out
 	}
 	ctl(t, f, "n-muscat-a", "set", "/services/orders", "deadline=1s")
-	check(t, f.InForce(1, nodeIDs(f)...))
+	check(t, f.WaitRevision(1, nodeIDs(f)...))
 	same := race(func(i int) []string {
 		return []string{"set", "--if-revision", "1", "/services/orders", fmt.Sprintf("deadline=%ds", 2+i)}
 	})
@@ -440,7 +440,7 @@
 	if !slices.Equal(different, []int{0, 0}) {
 		t.Errorf("different paths: statuses %v, want both accepted", different)
 	}
-	check(t, f.InForce(4, nodeIDs(f)...))
+	check(t, f.WaitRevision(4, nodeIDs(f)...))
 	var trees []string
 	for _, id := range nodeIDs(f) {
 		out, _ := f.Ctl(id, "get")
@@ -463,10 +463,10 @@
 	}
 	ctl(t, f, "n-muscat-a", "move", "bulk", "--service", "stock", "--from", "muscat", "--to", "sohar",
 		"--fraction", fmt.Sprint(fraction), "--duration", "18s", "--step", fmt.Sprint(step))
-	check(t, f.InForce(2, nodeIDs(f)...))
+	check(t, f.WaitRevision(2, nodeIDs(f)...))
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	l := &fleet.Load{Name: "look", Service: "stock", Method: "GET", Path: "/palms",
+	l := &fleet.LoadGenerator{Name: "look", Service: "stock", Method: "GET", Path: "/palms",
 		Entries: entries(f, "n-muscat-a", "n-muscat-b"), Callers: 6, Pause: time.Millisecond}
 	l.Start(ctx)
 	check(t, answered(l, 200))
@@ -514,13 +514,13 @@
 func TestRegionStaysUnderItsCap(t *testing.T) {
 	const most = 24
 	spec := twoRegions()
-	spec.Work = 40 * time.Millisecond
+	spec.ServiceTime = 40 * time.Millisecond
 	f := deploy(t, spec)
 	ctl(t, f, "n-muscat-a", "set", "/services/stock/regions/sohar", fmt.Sprint("max_in_flight=", most))
-	check(t, f.InForce(1, nodeIDs(f)...))
+	check(t, f.WaitRevision(1, nodeIDs(f)...))
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	l := &fleet.Load{Name: "look", Service: "stock", Method: "GET", Path: "/palms",
+	l := &fleet.LoadGenerator{Name: "look", Service: "stock", Method: "GET", Path: "/palms",
 		Entries: entries(f, nodeIDs(f)...), Callers: 60, Pause: time.Millisecond}
 	l.Start(ctx)
 	check(t, usable(f, 16))
@@ -541,7 +541,7 @@
 	check(t, answered(l, 400))
 	cancel()
 	judge(t, f, l.Wait(), false)
-	peak, err := f.Peak("stock", "sohar")
+	peak, err := f.PeakInFlight("stock", "sohar")
 	check(t, err)
 	t.Logf("peak %d of %d in flight", peak, most)
 	if peak > most {
--- a/test/quickstart/main.go
+++ b/test/quickstart/main.go
@@ -30,14 +30,14 @@
 
 var spec = fleet.Spec{
 	Nodes: []fleet.Node{{ID: "n1", Region: "muscat", Domain: "muscat-a"}, {ID: "n2", Region: "muscat", Domain: "muscat-b"}},
-	Groups: []fleet.Group{
+	UpstreamGroups: []fleet.UpstreamGroup{
 		{Service: "stock", Region: "muscat", Domain: "muscat-a", Count: 2, Slots: 9},
 		{Service: "stock", Region: "muscat", Domain: "muscat-b", Count: 2, Slots: 9},
 		{Service: "orders", Region: "muscat", Domain: "muscat-a", Count: 1, Slots: 6},
 		{Service: "orders", Region: "muscat", Domain: "muscat-b", Count: 1, Slots: 6},
 	},
-	Work:   5 * time.Millisecond,
-	Linger: 2 * time.Second,
+	ServiceTime: 5 * time.Millisecond,
+	Linger:      2 * time.Second,
 }
 
 func run(bin string, keep bool) error {
@@ -104,8 +104,8 @@
 	if safe.Status != 200 || unsafe.Status != 200 {
 		return fmt.Errorf("requests answered %d and %d: %v %v", safe.Status, unsafe.Status, safe, unsafe)
 	}
-	fmt.Printf("safe request: %d in %v: %s", safe.Status, safe.Took.Round(time.Microsecond), safe.Body)
-	fmt.Printf("unsafe request: %d in %v: %s", unsafe.Status, unsafe.Took.Round(time.Microsecond), unsafe.Body)
+	fmt.Printf("safe request: %d in %v: %s", safe.Status, safe.Duration.Round(time.Microsecond), safe.Body)
+	fmt.Printf("unsafe request: %d in %v: %s", unsafe.Status, unsafe.Duration.Round(time.Microsecond), unsafe.Body)
 	return nil
 }
 
@@ -116,14 +116,14 @@
 		return fmt.Errorf("set: status %d: %s", status, out)
 	}
 	took := time.Since(start)
-	err := f.InForce(1, "n1", "n2")
+	err := f.WaitRevision(1, "n1", "n2")
 	fmt.Printf("change: %s in %v, in force at every entry after %v\n", out, took.Round(time.Millisecond), time.Since(start).Round(time.Millisecond))
 	return err
 }
 
 // orders starts callers that send orders to one entry.
-func orders(ctx context.Context, name, entry string) *fleet.Load {
-	l := &fleet.Load{
+func orders(ctx context.Context, name, entry string) *fleet.LoadGenerator {
+	l := &fleet.LoadGenerator{
 		Name: name, Service: "orders", Method: "POST", Path: "/orders", Body: "palm", Callers: 4, Pause: 2 * time.Millisecond,
 		Entries: func(int) []string { return []string{entry} },
 	}
@@ -137,14 +137,14 @@
 	if err != nil {
 		return err
 	}
-	if faults := fleet.Judge(outcomes, fleet.CountRuns(runs), true); len(faults) > 0 {
+	if faults := fleet.CheckOutcomes(outcomes, fleet.CountRuns(runs), true); len(faults) > 0 {
 		return fmt.Errorf("%d contradictions, the first: %s", len(faults), faults[0])
 	}
 	return nil
 }
 
 func describe(outcomes []fleet.Outcome) string {
-	n := fleet.Count(outcomes)
+	n := fleet.CountVerdicts(outcomes)
 	return fmt.Sprintf("%d sent, %d ran, %d not run, %d unsure", len(outcomes), n[verdict.Ran], n[verdict.NotRun], n[verdict.MayHaveRun])
 }
 
@@ -174,7 +174,7 @@
 	if out, status := f.Ctl("n1", "undrain", "night-work"); status != 0 {
 		return fmt.Errorf("undrain: status %d: %s", status, out)
 	}
-	if fleet.Count(outcomes)[verdict.Ran] != len(outcomes) {
+	if fleet.CountVerdicts(outcomes)[verdict.Ran] != len(outcomes) {
 		return errors.New("a request was refused or lost during the drain")
 	}
 	return judge(f, outcomes)
@@ -210,7 +210,7 @@
 	}
 	fmt.Printf("planned stop: out of the look-ups after %v, ended after %v; %s\n",
 		gone.Round(time.Millisecond), time.Since(start).Round(time.Millisecond), describe(outcomes))
-	if fleet.Count(outcomes)[verdict.MayHaveRun] > 0 {
+	if fleet.CountVerdicts(outcomes)[verdict.MayHaveRun] > 0 {
 		return errors.New("a request was cut off by the planned stop")
 	}
 	return judge(f, outcomes)
--- a/test/slopes/processes.go
+++ b/test/slopes/processes.go
@@ -31,12 +31,12 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	spec := fleet.Spec{Work: 5 * time.Millisecond, Linger: time.Second}
+	spec := fleet.Spec{ServiceTime: 5 * time.Millisecond, Linger: time.Second}
 	for _, d := range []string{"a", "b", "c"} {
 		spec.Nodes = append(spec.Nodes, fleet.Node{ID: "n-" + d, Region: "muscat", Domain: "muscat-" + d})
-		spec.Groups = append(spec.Groups, fleet.Group{Service: "stock", Region: "muscat", Domain: "muscat-" + d, Count: 8, Slots: 9})
+		spec.UpstreamGroups = append(spec.UpstreamGroups, fleet.UpstreamGroup{Service: "stock", Region: "muscat", Domain: "muscat-" + d, Count: 8, Slots: 9})
 	}
-	spec.Phantoms = phantoms(c.Int("upstreams"))
+	spec.PlaceholderUpstreams = phantoms(c.Int("upstreams"))
 	f, err := fleet.New(c.String("bin"), dir, spec)
 	if err != nil {
 		return err
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	if err := f.InForce(revision, "n-a", "n-b", "n-c"); err != nil {
+	if err := f.WaitRevision(revision, "n-a", "n-b", "n-c"); err != nil {
 		return err
 	}
 	fmt.Printf("%d blocks in %d changes, in force at 3 instances after %v\n", c.Int("blocks"), revision, time.Since(start).Round(time.Millisecond))
@@ -109,7 +109,7 @@
 	if err := f.StartNode("n-c"); err != nil {
 		return err
 	}
-	if err := f.InForce(revision, "n-c"); err != nil {
+	if err := f.WaitRevision(revision, "n-c"); err != nil {
 		return err
 	}
 	if err := f.WaitReady("n-c"); err != nil {
--- a/test/upgrade/main.go
+++ b/test/upgrade/main.go
@@ -36,14 +36,14 @@
 		{ID: "n3", Region: "batinah", Domain: "batinah-a"},
 		{ID: "n4", Region: "batinah", Domain: "batinah-b"},
 	},
-	Groups: []fleet.Group{
+	UpstreamGroups: []fleet.UpstreamGroup{
 		{Service: "orders", Region: "muscat", Domain: "muscat-a", Count: 2, Slots: 9},
 		{Service: "orders", Region: "muscat", Domain: "muscat-b", Count: 2, Slots: 9},
 		{Service: "orders", Region: "batinah", Domain: "batinah-a", Count: 2, Slots: 9},
 		{Service: "orders", Region: "batinah", Domain: "batinah-b", Count: 2, Slots: 9},
 	},
-	Work:   5 * time.Millisecond,
-	Linger: 2 * time.Second,
+	ServiceTime: 5 * time.Millisecond,
+	Linger:      2 * time.Second,
 }
 
 var programs = []string{"loomkeel-agent", "loomkeel-director", "loomkeel-entry", "loomkeel-standin", "loomkeelctl"}
@@ -107,7 +107,7 @@
 func (u *upgrade) underLoad(from, to string) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	l := &fleet.Load{
+	l := &fleet.LoadGenerator{
 		Name: "upgrade", Service: "orders", Method: "POST", Path: "/orders", Body: "palm", Callers: 4, Pause: 5 * time.Millisecond,
 		Entries: func(caller int) []string {
 			a, b := spec.Nodes[caller%len(spec.Nodes)].ID, spec.Nodes[(caller+1)%len(spec.Nodes)].ID
@@ -175,7 +175,7 @@
 	for _, n := range spec.Nodes {
 		ids = append(ids, n.ID)
 	}
-	if err := u.fleet.InForce(uint64(u.changes), ids...); err != nil {
+	if err := u.fleet.WaitRevision(uint64(u.changes), ids...); err != nil {
 		return err
 	}
 	first := ""
@@ -200,9 +200,9 @@
 	if err != nil {
 		return err
 	}
-	n := fleet.Count(outcomes)
+	n := fleet.CountVerdicts(outcomes)
 	fmt.Printf("%d sent, %d ran, %d not run, %d unsure\n", len(outcomes), n[verdict.Ran], n[verdict.NotRun], n[verdict.MayHaveRun])
-	if faults := fleet.Judge(outcomes, fleet.CountRuns(runs), true); len(faults) > 0 {
+	if faults := fleet.CheckOutcomes(outcomes, fleet.CountRuns(runs), true); len(faults) > 0 {
 		return fmt.Errorf("%d contradictions, the first: %s", len(faults), faults[0])
 	}
 	if n[verdict.MayHaveRun] > 0 {
