--- a/test/fleet/client.go
+++ b/test/fleet/client.go
@@ -25,7 +25,7 @@
 	"github.com/loomkeel/loomkeel/internal/verdict"
 )
 
-// Lookup asks a node's director for entries.
+// Lookup asks a node's director which entries a client address should use for a service.
 func (f *Fleet) Lookup(node, service, client string) (director.Answer, error) {
 	q := url.Values{"service": {service}, "client": {client}}
 	var a director.Answer
@@ -36,24 +36,27 @@
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		b, _ := io.ReadAll(resp.Body)
-		return a, fmt.Errorf("lookup: %s: %s", resp.Status, b)
+		return a, fmt.Errorf("director answered the look-up with %s: %s", resp.Status, b)
 	}
 	return a, json.NewDecoder(resp.Body).Decode(&a)
 }
 
-// Reply is what a caller got for a request.
+// Reply is the answer that a caller got to one request.
 type Reply struct {
 	Status int
 	Body   string
-	// Verdict is empty on an upstream's own answer.
-	Verdict  string
-	ID       string
+	// Verdict is the value of the verdict header; an upstream's own answer has none.
+	Verdict string
+	ID      string
+	// Duration is the time from sending the request to the end of the answer.
 	Duration time.Duration
-	// Err is set if no whole answer came.
+	// Err is set if no complete answer was received.
 	Err error
 }
 
-// CallerVerdict returns what the caller knows of the request's execution.
+// CallerVerdict returns what the caller can conclude about the execution of its request:
+// not run after a failed dial, may have run after any other error or an invalid
+// verdict header, ran on an answer without a verdict header, else the verdict itself.
 func (r Reply) CallerVerdict() verdict.Verdict {
 	var dial *net.OpError
 	if errors.As(r.Err, &dial) && dial.Op == "dial" {
@@ -72,24 +75,26 @@
 	return v
 }
 
-// Request is a caller's request.
+// Request is a request of a caller. Entry is the address of the entry; Repeat and
+// Deadline are sent as headers unless they are zero.
 type Request struct {
 	Entry, Method, Path, Service, Repeat, ID, Body string
 	Deadline                                       time.Duration
 }
 
-// callerClient neither retries nor shares connections with other tests.
+// callerClient has a transport of its own, so that callers share no connections with
+// other clients of the process.
 var callerClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 128}}
 
-// Do sends a caller's request to an entry.
+// Do sends a request to its entry once and reads the whole answer.
 func Do(ctx context.Context, r Request) Reply {
 	start := time.Now()
 	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+r.Entry+r.Path, nil)
 	if err != nil {
 		return Reply{Err: err}
 	}
-	// A body that is not known to net/http, also where it is empty, keeps it from
-	// sending the request a second time by itself.
+	// net/http itself sends a request again if it can rewind the body or the body is
+	// empty. A body of a type that it does not know, even an empty one, prevents that.
 	req.Body = io.NopCloser(struct{ io.Reader }{strings.NewReader(r.Body)})
 	req.ContentLength = int64(len(r.Body))
 	req.Header.Set(header.Service, r.Service)
@@ -109,8 +114,8 @@
 	return Reply{resp.StatusCode, string(b), resp.Header.Get(verdict.Header), r.ID, time.Since(start), err}
 }
 
-// Runs returns everything that the upstreams executed, from their record, which
-// outlives them.
+// Runs returns every request that the upstreams ran. It reads the file in which the
+// stand-ins record them, which also holds the runs of killed upstreams.
 func (f *Fleet) Runs() ([]standin.Run, error) {
 	file, err := os.Open(f.path("record"))
 	if os.IsNotExist(err) {
@@ -135,7 +140,7 @@
 	}
 }
 
-// CountRuns returns how often each request id ran.
+// CountRuns returns the number of runs by request id.
 func CountRuns(runs []standin.Run) map[string]int {
 	out := make(map[string]int)
 	for _, r := range runs {
@@ -144,8 +149,9 @@
 	return out
 }
 
-// PeakInFlight returns the largest number of requests that ran at once at a service's
-// upstreams in a region.
+// PeakInFlight returns the largest number of requests that were in flight at one time at
+// a service's upstreams in a region, all together. These stand-ins share one count, so
+// that any of them can be asked.
 func (f *Fleet) PeakInFlight(service, region string) (int, error) {
 	for _, u := range f.Upstreams {
 		if u.Service != service || u.Region != region {
@@ -162,10 +168,11 @@
 		}
 		return strconv.Atoi(string(b))
 	}
-	return 0, fmt.Errorf("fleet: no upstream of %s in %s", service, region)
+	return 0, fmt.Errorf("fleet: service %s has no upstream in region %s", service, region)
 }
 
-// Post calls a stand-in's test page, such as a fault of the platform.
+// Post sends a POST request to a control path of a stand-in, such as /fault/down of the
+// platform.
 func Post(addr, path string) error {
 	resp, err := http.Post("http://"+addr+path, "", nil)
 	if err != nil {
@@ -174,20 +181,21 @@
 	return resp.Body.Close()
 }
 
-// Ctl runs loomkeelctl against a node and returns its output and exit status.
+// Ctl runs loomkeelctl against a node's agent and returns its output (stdout and stderr)
+// and exit status.
 func (f *Fleet) Ctl(node string, args ...string) (string, int) {
 	cmd := exec.Command(filepath.Join(f.bin, "loomkeelctl"), append([]string{"--agent", f.Nodes[node].Operator}, args...)...)
 	out, _ := cmd.CombinedOutput()
 	return strings.TrimSpace(string(out)), cmd.ProcessState.ExitCode()
 }
 
-// Client returns a client of a node's operator address.
+// Client returns a client for a node's operator address.
 func (f *Fleet) Client(node string) *ctl.Client {
 	c, _ := ctl.NewClient(f.Nodes[node].Operator, "")
 	return c
 }
 
-// EntryState returns the dump of a node's entry.
+// EntryState returns the state dump of a node's entry.
 func (f *Fleet) EntryState(node string) (entry.Dump, error) {
 	var d entry.Dump
 	resp, err := stateClient.Get("http://" + f.Nodes[node].EntryDebug + "/debug/state")
@@ -198,16 +206,16 @@
 	return d, json.NewDecoder(resp.Body).Decode(&d)
 }
 
-// stateClient gives up on a frozen process.
+// stateClient has a timeout, because a process stopped by SIGSTOP does not answer.
 var stateClient = &http.Client{Timeout: 2 * time.Second}
 
-// EntryRevision returns the revision in force at a node's entry.
+// EntryRevision returns the revision of the configuration in force at a node's entry.
 func (f *Fleet) EntryRevision(node string) (uint64, error) {
 	d, err := f.EntryState(node)
 	return d.Revision, err
 }
 
-// WaitRevision waits until a revision is in force at the entries of nodes.
+// WaitRevision waits until a revision or a later one is in force at the entries of nodes.
 func (f *Fleet) WaitRevision(revision uint64, nodes ...string) error {
 	return Eventually(func() error {
 		for _, id := range nodes {
--- a/test/fleet/client_test.go
+++ b/test/fleet/client_test.go
@@ -9,10 +9,10 @@
 	"github.com/loomkeel/loomkeel/internal/verdict"
 )
 
-// TestCallerDoesNotRepeat lets an entry die after it has read a request on a
-// connection that served one before. A client that repeats the request by itself
-// finds nobody to connect to, and would take it for not run.
-func TestCallerDoesNotRepeat(t *testing.T) {
+// TestClientDoesNotRetry: an entry closes a reused connection after it has read a
+// request, and its listener. If net/http sent the request again by itself, the failed
+// dial would give the wrong verdict "not run".
+func TestClientDoesNotRetry(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -33,9 +33,9 @@
 	}()
 	req := Request{Entry: lis.Addr().String(), Method: "GET", Path: "/", Service: "stock", ID: "a"}
 	if first := Do(t.Context(), req); first.CallerVerdict() != verdict.Ran {
-		t.Fatalf("first request: %+v", first)
+		t.Fatalf("first request: %+v, want verdict ran", first)
 	}
 	if second := Do(t.Context(), req); second.CallerVerdict() != verdict.MayHaveRun {
-		t.Errorf("told %v: %v", second.CallerVerdict(), second.Err)
+		t.Errorf("second request: verdict %v (error %v), want may have run", second.CallerVerdict(), second.Err)
 	}
 }
--- a/test/fleet/fleet.go
+++ b/test/fleet/fleet.go
@@ -1,6 +1,6 @@
 // Package fleet runs a small deployment of loomkeel as separate processes on
-// loopback, with stand-ins for the platform and the upstreams, for the quick
-// start and for the proofs under failure.
+// loopback, with stand-ins for the platform and the upstreams. The quick start,
+// the fault-injection tests and the measuring commands use it.
 package fleet
 
 import (
@@ -16,53 +16,62 @@
 	"github.com/loomkeel/loomkeel/internal/platform"
 )
 
-// Spec says what to run.
+// Spec describes a deployment.
 type Spec struct {
-	// Nodes are loomkeel's instances.
+	// Nodes are the instances of loomkeel.
 	Nodes []Node
-	// UpstreamGroups are the upstreams.
+	// UpstreamGroups are the upstreams that run as stand-ins.
 	UpstreamGroups []UpstreamGroup
-	// PlaceholderUpstreams are further upstreams that only the platform's list names.
+	// PlaceholderUpstreams are added to the platform's instance list, but no process
+	// runs for them.
 	PlaceholderUpstreams []platform.Instance
-	// ServiceTime is how long a request takes at an upstream.
+	// ServiceTime is the time that an upstream takes for one request.
 	ServiceTime time.Duration
-	// UseProxies puts a relay between each node and the platform, and between the
-	// entries and each upstream.
+	// UseProxies puts a TCP proxy between each node and the platform, and between
+	// the entries and each upstream, so that tests can block these connections.
 	UseProxies bool
-	// Linger is how long a stopping entry still takes requests.
+	// Linger is the time for which a stopping entry still accepts requests.
 	Linger time.Duration
 }
 
 // Node is one instance of loomkeel.
 type Node struct{ ID, Region, Domain string }
 
-// UpstreamGroup is a number of upstreams of one service in one failure domain.
+// UpstreamGroup describes Count upstreams of one service in one failure domain, each
+// with Slots slots.
 type UpstreamGroup struct {
 	Service, Region, Domain string
 	Count, Slots            int
 }
 
-// Addresses are those of one instance's processes.
+// Addresses holds the listen addresses (HOST:PORT) of one instance's processes.
 type Addresses struct {
 	Peer, Operator, Director, DirectorDebug, Entry, EntryDebug string
 }
 
-// Fleet is a running deployment.
+// Fleet is a deployment and its processes.
 type Fleet struct {
-	Spec      Spec
-	Platform  string
-	Nodes     map[string]Addresses
+	Spec Spec
+	// Platform is the address of the platform's stand-in.
+	Platform string
+	// Nodes holds the addresses of the instances by id.
+	Nodes map[string]Addresses
+	// Upstreams are the upstreams that run as stand-ins. They have their own addresses
+	// here, not those of their proxies.
 	Upstreams []platform.Instance
-	// PlatformProxies are those of the nodes, UpstreamProxies those of the
-	// upstreams, by id; empty without Spec.Relays.
+	// PlatformProxies has the proxies between nodes and platform by node id,
+	// UpstreamProxies those in front of upstreams by upstream id. Both are empty
+	// without Spec.UseProxies.
 	PlatformProxies, UpstreamProxies map[string]*TCPProxy
 
+	// bin is the directory of the binaries, dir that of settings files and logs.
 	bin, dir string
 	procs    map[string]*Proc
 }
 
-// New lays out a deployment: it takes addresses and writes the files. Bin is
-// the directory of the binaries, dir one for settings and logs.
+// New prepares a deployment: it chooses free ports, starts the proxies and writes the
+// settings files and instance lists to dir, which also takes the logs. Bin is the
+// directory of the binaries. No process is started.
 func New(bin, dir string, spec Spec) (*Fleet, error) {
 	f := &Fleet{Spec: spec, bin: bin, dir: dir, Nodes: make(map[string]Addresses), procs: make(map[string]*Proc)}
 	f.PlatformProxies, f.UpstreamProxies = make(map[string]*TCPProxy), make(map[string]*TCPProxy)
@@ -76,7 +85,7 @@
 		return addr
 	}
 	f.Platform = next()
-	instances := f.layOut(next)
+	instances := f.assignAddresses(next)
 	if err := f.writeList("upstreams.json", instances); err != nil {
 		return nil, err
 	}
@@ -94,6 +103,7 @@
 	return f, nil
 }
 
+// writeList writes an instance list as JSON to a file of the deployment's directory.
 func (f *Fleet) writeList(name string, instances []platform.Instance) error {
 	body, err := json.MarshalIndent(instances, "", "  ")
 	if err != nil {
@@ -102,36 +112,38 @@
 	return os.WriteFile(f.path(name), body, 0o600)
 }
 
-// addProxies puts the relays' addresses into the instance list.
+// addProxies starts the proxies and replaces the upstreams' addresses in instances by
+// those of their proxies.
 func (f *Fleet) addProxies(instances []platform.Instance) error {
 	if !f.Spec.UseProxies {
 		return nil
 	}
 	for _, n := range f.Spec.Nodes {
-		r, err := NewTCPProxy(f.Platform)
+		p, err := NewTCPProxy(f.Platform)
 		if err != nil {
 			return err
 		}
-		f.PlatformProxies[n.ID] = r
+		f.PlatformProxies[n.ID] = p
 	}
 	for i := range instances {
 		if instances[i].Kind != platform.KindUpstream {
 			continue
 		}
-		r, err := NewTCPProxy(instances[i].Address)
+		p, err := NewTCPProxy(instances[i].Address)
 		if err != nil {
 			return err
 		}
-		f.UpstreamProxies[instances[i].ID] = r
-		instances[i].Address = r.Addr()
+		f.UpstreamProxies[instances[i].ID] = p
+		instances[i].Address = p.Addr()
 	}
 	return nil
 }
 
-// platformFor returns the platform's address as a node reaches it.
-func (f *Fleet) platformFor(node string) string {
-	if r := f.PlatformProxies[node]; r != nil {
-		return r.Addr()
+// platformAddress returns the platform's address for a node: that of its proxy, if it
+// has one.
+func (f *Fleet) platformAddress(node string) string {
+	if p := f.PlatformProxies[node]; p != nil {
+		return p.Addr()
 	}
 	return f.Platform
 }
@@ -144,7 +156,9 @@
 	return n
 }
 
-func (f *Fleet) layOut(next func() string) []platform.Instance {
+// assignAddresses fills in f.Nodes and f.Upstreams with addresses from next, and returns
+// the instance list of all nodes and upstreams.
+func (f *Fleet) assignAddresses(next func() string) []platform.Instance {
 	var list []platform.Instance
 	for _, n := range f.Spec.Nodes {
 		a := Addresses{next(), next(), next(), next(), next(), next()}
@@ -168,17 +182,19 @@
 
 func (f *Fleet) path(name string) string { return filepath.Join(f.dir, name) }
 
+// settings returns the content of a node's settings file.
 func (f *Fleet) settings(n Node) string {
 	a := f.Nodes[n.ID]
 	var b strings.Builder
 	fmt.Fprintf(&b, "[instance]\nid = %s\nregion = %s\ndomain = %s\n\n", n.ID, n.Region, n.Domain)
-	fmt.Fprintf(&b, "[platform]\naddress = http://%s\ntimeout = 1s\n\n", f.platformFor(n.ID))
+	fmt.Fprintf(&b, "[platform]\naddress = http://%s\ntimeout = 1s\n\n", f.platformAddress(n.ID))
 	fmt.Fprintf(&b, "[agent]\npeer = %s\noperator = %s\nseeds = %s\n\n", a.Peer, a.Operator, f.seeds())
 	fmt.Fprintf(&b, "[director]\nlisten = %s\ndebug = %s\n\n", a.Director, a.DirectorDebug)
 	fmt.Fprintf(&b, "[entry]\nlisten = %s\ndebug = %s\nlinger = %s\n\n[log]\nverbosity = 1\n", a.Entry, a.EntryDebug, f.Spec.Linger)
 	return b.String()
 }
 
+// seeds returns the peer addresses of all nodes as a settings value.
 func (f *Fleet) seeds() string {
 	var seeds []string
 	for _, n := range f.Spec.Nodes {
@@ -188,24 +204,25 @@
 }
 
 const (
-	// Ports come from below the range that the kernel takes client ports from,
-	// so that no connection can take one before its process listens.
+	// Ports are taken from below the kernel's ephemeral range, so that no outgoing
+	// connection can take a port before its process listens on it.
 	firstPort = 10_000
 	lastPort  = 30_000
 )
 
-// nextPort is where the search for the next free port begins. It starts at a
-// place of this process's own, so that fleets of several processes do not meet.
+// nextPort is where the search for the next free port continues. Its start depends on
+// the process id, so that test processes that run at the same time seldom try the same
+// ports.
 var nextPort atomic.Int64
 
 func init() { nextPort.Store(int64(os.Getpid()) * 331) }
 
-// freePorts returns ports on which nobody listens.
+// freePorts returns n loopback ports on which no process listens.
 func freePorts(n int) ([]int, error) {
 	var ports []int
-	for tries := 0; len(ports) < n; tries++ {
-		if tries > lastPort-firstPort {
-			return nil, fmt.Errorf("fleet: no free ports from %d to %d", firstPort, lastPort)
+	for attempts := 0; len(ports) < n; attempts++ {
+		if attempts > lastPort-firstPort {
+			return nil, fmt.Errorf("fleet: not enough free ports from %d to %d", firstPort, lastPort)
 		}
 		port := firstPort + int(nextPort.Add(1))%(lastPort-firstPort)
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
--- a/test/fleet/load.go
+++ b/test/fleet/load.go
@@ -10,31 +10,33 @@
 	"github.com/loomkeel/loomkeel/internal/verdict"
 )
 
-// Outcome is what a caller knows of one of its requests in the end.
+// Outcome is the result of one request as its caller sees it.
 type Outcome struct {
 	ID      string
 	Verdict verdict.Verdict
-	// Attempts is how many entries the request was sent to; it goes on to the next
-	// only after being told that it was not run.
+	// Attempts is the number of entries that the request was sent to. It is sent to
+	// another entry only after the verdict "not run".
 	Attempts  int
 	LastReply Reply
-	// SentAt is when the first try began.
+	// SentAt is the start of the first attempt.
 	SentAt time.Time
 }
 
-// LoadGenerator is a number of callers that send requests one after the other.
+// LoadGenerator runs callers, each of which sends its requests one after the other. Set
+// the exported fields before Start.
 type LoadGenerator struct {
+	// Name is the prefix of the request ids.
 	Name    string
 	Service string
 	Method  string
-	// Repeat is the mark of the requests.
+	// Repeat is the value of the header Loomkeel-Repeat; empty sends none.
 	Repeat string
 	Path   string
 	Body   string
-	// Entries returns the entries to try for a caller, in order.
+	// Entries returns the addresses of the entries to try for a caller, in order.
 	Entries func(caller int) []string
 	Callers int
-	// Pause is the time between a caller's requests.
+	// Pause is the time from the end of a caller's request to its next one.
 	Pause time.Duration
 
 	wg       sync.WaitGroup
@@ -42,7 +44,7 @@
 	outcomes []Outcome
 }
 
-// Start lets the callers work until ctx ends.
+// Start starts the callers, which send requests until ctx ends.
 func (l *LoadGenerator) Start(ctx context.Context) {
 	for c := range l.Callers {
 		l.wg.Go(func() {
@@ -57,13 +59,13 @@
 	}
 }
 
-// Wait waits until the callers have ended, and returns what they were told.
+// Wait waits until all callers have ended and returns the outcomes of their requests.
 func (l *LoadGenerator) Wait() []Outcome {
 	l.wg.Wait()
 	return l.Outcomes()
 }
 
-// Outcomes returns what the callers were told so far.
+// Outcomes returns a copy of the outcomes so far.
 func (l *LoadGenerator) Outcomes() []Outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,7 +94,7 @@
 	return o
 }
 
-// CountVerdicts returns how many outcomes have each verdict.
+// CountVerdicts returns the number of outcomes of each verdict.
 func CountVerdicts(outcomes []Outcome) map[verdict.Verdict]int {
 	n := make(map[verdict.Verdict]int)
 	for _, o := range outcomes {
@@ -101,23 +103,24 @@
 	return n
 }
 
-// CheckOutcomes compares what callers were told with how often each request ran at the
-// upstreams, and returns every contradiction. Unsafe requests must run at most
-// once.
+// CheckOutcomes compares the callers' verdicts with runs, which holds by request id how
+// often the upstreams ran a request. It returns a description of every contradiction:
+// a request "not run" that ran, one "ran" that did not, an answer to another request,
+// and, with unsafe, a request that ran more than once.
 func CheckOutcomes(outcomes []Outcome, runs map[string]int, unsafe bool) []string {
 	var faults []string
 	for _, o := range outcomes {
 		n := runs[o.ID]
 		switch {
 		case o.Verdict == verdict.NotRun && n > 0:
-			faults = append(faults, fmt.Sprintf("%s was told not run, ran %d times", o.ID, n))
+			faults = append(faults, fmt.Sprintf("%s: the verdict is not run, but it ran %d times", o.ID, n))
 		case o.Verdict == verdict.Ran && n == 0:
-			faults = append(faults, fmt.Sprintf("%s was answered, but never ran", o.ID))
+			faults = append(faults, fmt.Sprintf("%s: the verdict is ran, but it never ran", o.ID))
 		case unsafe && n > 1:
-			faults = append(faults, fmt.Sprintf("unsafe %s ran %d times", o.ID, n))
+			faults = append(faults, fmt.Sprintf("%s is unsafe, but ran %d times", o.ID, n))
 		}
 		if o.Verdict == verdict.Ran && o.LastReply.Status == 200 && !strings.Contains(o.LastReply.Body, "for "+o.ID+"\n") {
-			faults = append(faults, fmt.Sprintf("%s got an answer that is not its own: %.60q", o.ID, o.LastReply.Body))
+			faults = append(faults, fmt.Sprintf("%s got the answer to another request: %.60q", o.ID, o.LastReply.Body))
 		}
 	}
 	return faults
--- a/test/fleet/proc.go
+++ b/test/fleet/proc.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Proc is one process of the deployment.
+// Proc is one process of the deployment. Name is also the base name of its log file.
 type Proc struct {
 	Name string
 	cmd  *exec.Cmd
@@ -27,19 +27,21 @@
 // PID returns the process's id.
 func (p *Proc) PID() int { return p.cmd.Process.Pid }
 
-// Done closes when the process has ended.
+// Done returns a channel that is closed when the process has ended.
 func (p *Proc) Done() <-chan struct{} { return p.done }
 
-// Err returns how the process ended, after Done.
+// Err returns the error of exec.Cmd.Wait, nil after exit status 0. It is valid once Done
+// is closed.
 func (p *Proc) Err() error { return p.err }
 
-// Kill ends the process at once and waits for its end.
+// Kill sends SIGKILL and waits until the process has ended.
 func (p *Proc) Kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.done
 }
 
-// start runs a binary; its output goes to a log file.
+// start starts a binary and registers the process as name. Its output is appended to a
+// log file of that name.
 func (f *Fleet) start(name, binary string, args ...string) (*Proc, error) {
 	log, err := os.OpenFile(f.path(name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -67,7 +69,7 @@
 	Entry    = "entry"
 )
 
-// StartPlatform starts the stand-in of the platform.
+// StartPlatform starts the stand-in of the platform and waits until it answers.
 func (f *Fleet) StartPlatform() error {
 	_, err := f.start("platform", "loomkeel-standin", "platform", "--listen", f.Platform, "--instances", f.path("instances.json"))
 	if err != nil {
@@ -76,8 +78,8 @@
 	return f.waitFor("http://" + f.Platform + "/calls")
 }
 
-// StartUpstreams starts the stand-ins of all upstreams, a process for each
-// region, named "upstreams-REGION".
+// StartUpstreams starts the stand-ins of all upstreams, in one process per region named
+// "upstreams-REGION", and waits until all of them answer.
 func (f *Fleet) StartUpstreams() error {
 	for _, region := range f.regions() {
 		if err := f.StartRegionUpstreams(region); err != nil {
@@ -92,14 +94,15 @@
 	return nil
 }
 
-// StartRegionUpstreams starts the stand-ins of a region's upstreams. It does not wait
-// until they are ready.
+// StartRegionUpstreams starts the process with the stand-ins of a region's upstreams. It
+// does not wait until they are ready.
 func (f *Fleet) StartRegionUpstreams(region string) error {
 	_, err := f.start("upstreams-"+region, "loomkeel-standin", "upstreams", "--instances", f.path("upstreams.json"),
 		"--region", region, "--record", f.path("record"), "--work", f.Spec.ServiceTime.String())
 	return err
 }
 
+// regions returns the regions that have upstreams, in the order of the spec.
 func (f *Fleet) regions() []string {
 	var out []string
 	for _, g := range f.Spec.UpstreamGroups {
@@ -110,12 +113,13 @@
 	return out
 }
 
-// StartProcess starts one process of a node.
+// StartProcess starts one process of a node: Agent, Director or Entry. It does not wait
+// until the process is ready.
 func (f *Fleet) StartProcess(node, process string) (*Proc, error) {
 	return f.start(node+"-"+process, "loomkeel-"+process, "--settings", f.path(node+".ini"))
 }
 
-// StartNode starts an instance. It does not wait until it is ready.
+// StartNode starts all processes of an instance. It does not wait until they are ready.
 func (f *Fleet) StartNode(node string) error {
 	for _, p := range []string{Agent, Director, Entry} {
 		if _, err := f.StartProcess(node, p); err != nil {
@@ -125,7 +129,8 @@
 	return nil
 }
 
-// Start starts everything and waits until it is ready.
+// Start starts the platform, the upstreams and all instances, and waits until the
+// instances are ready.
 func (f *Fleet) Start() error {
 	if err := f.StartPlatform(); err != nil {
 		return err
@@ -152,30 +157,31 @@
 	return errors.Join(f.waitFor("http://"+a.DirectorDebug+"/readyz"), f.waitFor("http://"+a.EntryDebug+"/readyz"))
 }
 
-// Proc returns a process by its name, such as "n1-entry", "platform" or
-// "upstreams".
+// Proc returns the process that was last started under a name, such as "n1-entry",
+// "platform" or "upstreams-REGION", or nil if there is none.
 func (f *Fleet) Proc(name string) *Proc { return f.procs[name] }
 
-// Stop ends every process that was started.
+// Stop kills every process that was started, also stopped ones, and closes the proxies.
 func (f *Fleet) Stop() {
 	for _, p := range f.procs {
 		_ = p.Signal(syscall.SIGCONT)
 		p.Kill()
 	}
-	for _, relays := range []map[string]*TCPProxy{f.PlatformProxies, f.UpstreamProxies} {
-		for _, r := range relays {
-			r.Close()
+	for _, proxies := range []map[string]*TCPProxy{f.PlatformProxies, f.UpstreamProxies} {
+		for _, proxy := range proxies {
+			proxy.Close()
 		}
 	}
 }
 
-// patience is how long Eventually waits before it calls a condition failed. It
-// bounds broken runs only; no check depends on how long things take.
-const patience = 30 * time.Second
+// eventuallyTimeout is how long Eventually waits for a condition. It only limits the
+// time of failing runs; no check depends on how long a condition takes.
+const eventuallyTimeout = 30 * time.Second
 
-// Eventually waits until ok reports nil.
+// Eventually calls ok every 10 ms until it returns nil. After eventuallyTimeout it
+// returns the last error of ok.
 func Eventually(ok func() error) error {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), eventuallyTimeout)
 	defer cancel()
 	for {
 		err := ok()
@@ -190,7 +196,7 @@
 	}
 }
 
-// waitFor waits until a URL answers with 200.
+// waitFor waits until a URL answers with status 200.
 func (f *Fleet) waitFor(url string) error {
 	return Eventually(func() error {
 		resp, err := http.Get(url)
--- a/test/fleet/tcp_proxy.go
+++ b/test/fleet/tcp_proxy.go
@@ -6,70 +6,75 @@
 	"sync"
 )
 
-// TCPProxy passes TCP connections on to a target, and can cut them.
+// TCPProxy forwards TCP connections to a target. It can close and refuse them, as a
+// network fault does.
 type TCPProxy struct {
 	lis    net.Listener
 	target string
 
-	mu    sync.Mutex
-	cut   bool
-	conns map[net.Conn]bool
+	mu      sync.Mutex
+	blocked bool
+	conns   map[net.Conn]bool
 }
 
-// NewTCPProxy listens on a free address.
+// NewTCPProxy returns a proxy that listens on a free loopback port and forwards to
+// target (HOST:PORT).
 func NewTCPProxy(target string) (*TCPProxy, error) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &TCPProxy{lis: lis, target: target, conns: make(map[net.Conn]bool)}
-	go r.accept()
-	return r, nil
+	p := &TCPProxy{lis: lis, target: target, conns: make(map[net.Conn]bool)}
+	go p.accept()
+	return p, nil
 }
 
-// Addr returns the address to connect to.
-func (r *TCPProxy) Addr() string { return r.lis.Addr().String() }
+// Addr returns the address that the proxy listens on.
+func (p *TCPProxy) Addr() string { return p.lis.Addr().String() }
 
-// SetBlocked breaks all connections and refuses new ones, or heals.
-func (r *TCPProxy) SetBlocked(cut bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.cut = cut
-	if !cut {
+// SetBlocked with true closes all connections, and new ones at once until SetBlocked
+// with false.
+func (p *TCPProxy) SetBlocked(blocked bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.blocked = blocked
+	if !blocked {
 		return
 	}
-	for c := range r.conns {
+	for c := range p.conns {
 		c.Close()
 	}
 }
 
-// Close ends the relay.
-func (r *TCPProxy) Close() {
-	r.lis.Close()
-	r.SetBlocked(true)
+// Close stops listening and closes all connections.
+func (p *TCPProxy) Close() {
+	p.lis.Close()
+	p.SetBlocked(true)
 }
 
-func (r *TCPProxy) accept() {
+// accept serves connections until the listener is closed.
+func (p *TCPProxy) accept() {
 	for {
-		c, err := r.lis.Accept()
+		c, err := p.lis.Accept()
 		if err != nil {
 			return
 		}
-		go r.serve(c)
+		go p.serve(c)
 	}
 }
 
-func (r *TCPProxy) serve(in net.Conn) {
+// serve copies both directions of a connection until both have ended.
+func (p *TCPProxy) serve(in net.Conn) {
 	defer in.Close()
-	out, err := net.Dial("tcp", r.target)
+	out, err := net.Dial("tcp", p.target)
 	if err != nil {
 		return
 	}
 	defer out.Close()
-	if !r.add(in, out) {
+	if !p.add(in, out) {
 		return
 	}
-	defer r.remove(in, out)
+	defer p.remove(in, out)
 	done := make(chan struct{}, 2)
 	pipe := func(to, from net.Conn) {
 		_, _ = io.Copy(to, from)
@@ -82,22 +87,23 @@
 	<-done
 }
 
-func (r *TCPProxy) add(conns ...net.Conn) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.cut {
+// add registers connections, unless the proxy is blocked, and reports whether it did.
+func (p *TCPProxy) add(conns ...net.Conn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.blocked {
 		return false
 	}
 	for _, c := range conns {
-		r.conns[c] = true
+		p.conns[c] = true
 	}
 	return true
 }
 
-func (r *TCPProxy) remove(conns ...net.Conn) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (p *TCPProxy) remove(conns ...net.Conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for _, c := range conns {
-		delete(r.conns, c)
+		delete(p.conns, c)
 	}
 }
