--- a/test/proofs/proofs_test.go
+++ b/test/proofs/proofs_test.go
@@ -1,6 +1,7 @@
-// Package proofs shows on real processes, under kills, freezes, cuts and store
-// outages, what must always hold. Each check is an invariant over a record of
-// what callers were told and what upstreams ran.
+// Package proofs has fault-injection tests: a deployment of real processes serves
+// requests while processes are killed or stopped, connections are blocked and the
+// platform's store fails. Each test checks an invariant on the verdicts that callers
+// received and the requests that upstreams ran.
 package proofs
 
 import (
@@ -18,8 +19,10 @@
 	"github.com/loomkeel/loomkeel/test/fleet"
 )
 
+// bin is the directory of the binaries that the tests run.
 var bin string
 
+// TestMain builds the binaries before the tests.
 func TestMain(m *testing.M) {
 	os.Exit(run(m))
 }
@@ -34,13 +37,14 @@
 	bin = dir
 	build := exec.Command("go", "build", "-o", dir, "../../cmd/...")
 	if out, err := build.CombinedOutput(); err != nil {
-		fmt.Printf("build: %v\n%s", err, out)
+		fmt.Printf("build of ../../cmd/...: %v\n%s", err, out)
 		return 1
 	}
 	return m.Run()
 }
 
-// twoRegions has four instances in four failure domains.
+// twoRegions returns a deployment of two regions with two failure domains each. Every
+// domain has one instance of loomkeel, two upstreams of stock and two of orders.
 func twoRegions() fleet.Spec {
 	s := fleet.Spec{ServiceTime: 10 * time.Millisecond, Linger: time.Second, UseProxies: true}
 	for _, region := range []string{"muscat", "sohar"} {
@@ -55,7 +59,8 @@
 	return s
 }
 
-// deploy starts a fleet that ends with the test.
+// deploy starts a deployment, waits until its members know each other, and stops it at
+// the end of the test.
 func deploy(t *testing.T, spec fleet.Spec) *fleet.Fleet {
 	t.Helper()
 	dir := t.TempDir()
@@ -65,32 +70,33 @@
 	}
 	t.Cleanup(f.Stop)
 	check(t, f.Start())
-	check(t, allJoined(f))
+	check(t, waitAllJoined(f))
 	return f
 }
 
-// allJoined waits until every director names entries of every region.
-func allJoined(f *fleet.Fleet) error {
+// waitAllJoined waits until every agent lists the entries of all instances as live.
+func waitAllJoined(f *fleet.Fleet) error {
 	return fleet.Eventually(func() error {
 		for id := range f.Nodes {
 			ms, err := f.Client(id).Members(context.Background())
 			if err != nil {
 				return err
 			}
-			up := 0
+			live := 0
 			for _, m := range ms {
 				if m.Live() && m.Entry != "" {
-					up++
+					live++
 				}
 			}
-			if up != len(f.Nodes) {
-				return fmt.Errorf("%s knows %d entries of %d", id, up, len(f.Nodes))
+			if live != len(f.Nodes) {
+				return fmt.Errorf("agent of %s lists %d live entries, want %d", id, live, len(f.Nodes))
 			}
 		}
 		return nil
 	})
 }
 
+// check ends the test if err is set.
 func check(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
@@ -98,7 +104,7 @@
 	}
 }
 
-// ctl runs loomkeelctl, which must be accepted.
+// ctl runs loomkeelctl, which must end with status 0.
 func ctl(t *testing.T, f *fleet.Fleet, node string, args ...string) {
 	t.Helper()
 	if out, status := f.Ctl(node, args...); status != 0 {
@@ -106,8 +112,8 @@
 	}
 }
 
-// entries returns the entries of nodes, rotated so that callers start at
-// different ones.
+// entries returns the entry addresses of nodes for LoadGenerator.Entries, rotated so that
+// callers start with different entries.
 func entries(f *fleet.Fleet, nodes ...string) func(int) []string {
 	return func(caller int) []string {
 		var out []string
@@ -118,6 +124,7 @@
 	}
 }
 
+// nodeIDs returns the ids of all instances.
 func nodeIDs(f *fleet.Fleet) []string {
 	var ids []string
 	for _, n := range f.Spec.Nodes {
@@ -126,9 +133,9 @@
 	return ids
 }
 
-// judge fails the test on every contradiction between what callers were told
-// and what the upstreams ran.
-func judge(t *testing.T, f *fleet.Fleet, outcomes []fleet.Outcome, unsafe bool) {
+// checkOutcomes fails the test on every contradiction between the callers' verdicts and
+// the requests that the upstreams ran, and if no request ran.
+func checkOutcomes(t *testing.T, f *fleet.Fleet, outcomes []fleet.Outcome, unsafe bool) {
 	t.Helper()
 	runs, err := f.Runs()
 	check(t, err)
@@ -142,19 +149,20 @@
 	}
 }
 
-// answered waits until the callers have had so many more answers.
-func answered(l *fleet.LoadGenerator, more int) error {
+// waitOutcomes waits until the callers have got more further outcomes.
+func waitOutcomes(l *fleet.LoadGenerator, more int) error {
 	have := len(l.Outcomes())
 	return fleet.Eventually(func() error {
 		if got := len(l.Outcomes()) - have; got < more {
-			return fmt.Errorf("%d answers, want %d", got, more)
+			return fmt.Errorf("%d more outcomes, want %d", got, more)
 		}
 		return nil
 	})
 }
 
-// TestUnsafeRunsAtMostOnce orders while upstreams, entries and agents are
-// killed and frozen, links cut, and the store is away.
+// TestUnsafeRunsAtMostOnce: callers send unsafe requests while upstreams, an entry and an
+// agent are killed, an entry is stopped by SIGSTOP, the connections to an upstream are
+// blocked and the store is down. No request may run twice or against its verdict.
 func TestUnsafeRunsAtMostOnce(t *testing.T) {
 	f := deploy(t, twoRegions())
 	ctx, cancel := context.WithCancel(t.Context())
@@ -177,19 +185,20 @@
 		func() error { return fleet.Post(f.Platform, "/fault/none") },
 	}
 	for i, fault := range faults {
-		check(t, answered(l, 60))
+		check(t, waitOutcomes(l, 60))
 		if err := fault(); err != nil {
 			t.Fatalf("fault %d: %v", i, err)
 		}
 	}
-	check(t, answered(l, 60))
+	check(t, waitOutcomes(l, 60))
 	cancel()
-	judge(t, f, l.Wait(), true)
+	checkOutcomes(t, f, l.Wait(), true)
 }
 
-// TestAnswersAreWholeAndTheirOwn reads large answers while upstreams are killed
-// in the middle of them and links are cut.
-func TestAnswersAreWholeAndTheirOwn(t *testing.T) {
+// TestAnswersAreCompleteAndMatch: callers read large answers while upstreams are killed
+// and connections closed in the middle of them. An answer with status 200 must be
+// complete and belong to its request.
+func TestAnswersAreCompleteAndMatch(t *testing.T) {
 	const size = 300_000
 	f := deploy(t, twoRegions())
 	ctx, cancel := context.WithCancel(t.Context())
@@ -198,38 +207,39 @@
 		Entries: entries(f, nodeIDs(f)...), Callers: 8, Pause: time.Millisecond}
 	l.Start(ctx)
 	for range 3 {
-		check(t, answered(l, 40))
+		check(t, waitOutcomes(l, 40))
 		f.Proc("upstreams-sohar").Kill()
-		check(t, answered(l, 40))
+		check(t, waitOutcomes(l, 40))
 		check(t, f.StartRegionUpstreams("sohar"))
 		for _, r := range f.UpstreamProxies {
 			r.SetBlocked(true)
 			r.SetBlocked(false)
 		}
 	}
-	check(t, answered(l, 40))
+	check(t, waitOutcomes(l, 40))
 	cancel()
 	outcomes := l.Wait()
-	judge(t, f, outcomes, false)
+	checkOutcomes(t, f, outcomes, false)
 	for _, o := range outcomes {
 		if o.Verdict == verdict.Ran && o.LastReply.Status == 200 && len(o.LastReply.Body) < size {
-			t.Errorf("%s: an answer of %d bytes passed for whole", o.ID, len(o.LastReply.Body))
+			t.Errorf("%s: an answer of %d bytes was passed on as complete", o.ID, len(o.LastReply.Body))
 		}
 	}
 }
 
-// TestLeavingUpstreamGetsNoNewWork lets upstreams leave by each of the three
-// signals. The drain is announced in the last moment before the store is gone.
-func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
+// TestLeavingUpstreamGetsNoNewRequests: an upstream leaves by each of the three signals:
+// the platform's instance list, an operator's drain and the upstream's own state. The
+// store is killed right after the drain is accepted.
+func TestLeavingUpstreamGetsNoNewRequests(t *testing.T) {
 	signals := map[string]func(t *testing.T, f *fleet.Fleet, upstream string){
 		"platform list": func(t *testing.T, f *fleet.Fleet, upstream string) {
 			check(t, fleet.Post(f.Platform, "/leaving/"+upstream))
 		},
-		"drain, then the store is gone": func(t *testing.T, f *fleet.Fleet, upstream string) {
+		"drain, then loss of the store": func(t *testing.T, f *fleet.Fleet, upstream string) {
 			ctl(t, f, "n-sohar-b", "drain", "work", "--upstream", upstream)
 			f.Proc("platform").Kill()
 		},
-		"its own word": func(t *testing.T, f *fleet.Fleet, upstream string) {
+		"state of the upstream": func(t *testing.T, f *fleet.Fleet, upstream string) {
 			for _, u := range f.Upstreams {
 				if u.ID == upstream {
 					check(t, fleet.Post(u.Address, "/-/mode/draining"))
@@ -246,22 +256,22 @@
 			l := &fleet.LoadGenerator{Name: "order", Service: "orders", Method: "POST", Path: "/orders", Body: "palm",
 				Entries: entries(f, nodeIDs(f)...), Callers: 6, Pause: time.Millisecond}
 			l.Start(ctx)
-			check(t, answered(l, 100))
+			check(t, waitOutcomes(l, 100))
 			leave(t, f, upstream)
-			check(t, drainingAt(f, upstream, "n-muscat-a", "n-muscat-b"))
-			from := time.Now()
-			check(t, answered(l, 200))
+			check(t, waitDraining(f, upstream, "n-muscat-a", "n-muscat-b"))
+			leftAt := time.Now()
+			check(t, waitOutcomes(l, 200))
 			cancel()
 			outcomes := l.Wait()
-			judge(t, f, outcomes, true)
+			checkOutcomes(t, f, outcomes, true)
 			runs, err := f.Runs()
 			check(t, err)
-			late := make(map[string]bool)
+			sentLater := make(map[string]bool)
 			for _, o := range outcomes {
-				late[o.ID] = o.SentAt.After(from)
+				sentLater[o.ID] = o.SentAt.After(leftAt)
 			}
 			for _, r := range runs {
-				if r.Upstream == upstream && late[r.ID] {
+				if r.Upstream == upstream && sentLater[r.ID] {
 					t.Errorf("%s was sent to the leaving upstream", r.ID)
 				}
 			}
@@ -269,8 +279,8 @@
 	}
 }
 
-// drainingAt waits until the entries of nodes give an upstream no new work.
-func drainingAt(f *fleet.Fleet, upstream string, nodes ...string) error {
+// waitDraining waits until the entries of nodes show an upstream as draining.
+func waitDraining(f *fleet.Fleet, upstream string, nodes ...string) error {
 	return fleet.Eventually(func() error {
 		for _, id := range nodes {
 			d, err := f.EntryState(id)
@@ -280,7 +290,7 @@
 			for _, s := range d.Services {
 				for _, u := range s.Upstreams {
 					if u.ID == upstream && !u.Draining {
-						return fmt.Errorf("%s still uses %s", id, upstream)
+						return fmt.Errorf("entry of %s does not show %s as draining", id, upstream)
 					}
 				}
 			}
@@ -289,18 +299,18 @@
 	})
 }
 
-// TestPlannedStopCutsNothing restarts every process of every instance in turn,
-// under load, by SIGTERM.
-func TestPlannedStopCutsNothing(t *testing.T) {
+// TestPlannedStopAbortsNoRequest: every process of every instance is stopped by SIGTERM
+// and started again in turn, under load. Every request must be waitOutcomes.
+func TestPlannedStopAbortsNoRequest(t *testing.T) {
 	f := deploy(t, twoRegions())
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	l := &fleet.LoadGenerator{Name: "notice", Service: "orders", Method: "POST", Path: "/notices", Body: "notice", Callers: 8, Pause: time.Millisecond,
-		Entries: func(caller int) []string { return lookedUp(f, caller) }}
+		Entries: func(caller int) []string { return lookUpEntries(f, caller) }}
 	l.Start(ctx)
 	for _, id := range nodeIDs(f) {
 		for _, process := range []string{fleet.Entry, fleet.Director, fleet.Agent} {
-			check(t, answered(l, 30))
+			check(t, waitOutcomes(l, 30))
 			p := f.Proc(id + "-" + process)
 			check(t, p.Signal(syscall.SIGTERM))
 			<-p.Done()
@@ -308,21 +318,22 @@
 			_, err := f.StartProcess(id, process)
 			check(t, err)
 			check(t, f.WaitReady(id))
-			check(t, allJoined(f))
+			check(t, waitAllJoined(f))
 		}
 	}
 	cancel()
 	outcomes := l.Wait()
-	judge(t, f, outcomes, true)
+	checkOutcomes(t, f, outcomes, true)
 	for _, o := range outcomes {
 		if o.Verdict != verdict.Ran {
-			t.Errorf("%s was cut off: told %v by %d entries: %v", o.ID, o.Verdict, o.Attempts, o.LastReply)
+			t.Errorf("%s was not waitOutcomes: verdict %v after %d attempts, last reply %v", o.ID, o.Verdict, o.Attempts, o.LastReply)
 		}
 	}
 }
 
-// lookedUp asks directors, as a caller does, which entries to use.
-func lookedUp(f *fleet.Fleet, caller int) []string {
+// lookUpEntries returns the entry addresses that the first director that answers names
+// for a caller. Callers start with different directors.
+func lookUpEntries(f *fleet.Fleet, caller int) []string {
 	ids := nodeIDs(f)
 	var out []string
 	for i := range ids {
@@ -338,10 +349,10 @@
 	return out
 }
 
-// TestConfigurationIsInForceAndStays changes the configuration while readers
-// are killed, an agent is frozen, replies are lost and the store dies. No entry
-// may ever show an older revision than before.
-func TestConfigurationIsInForceAndStays(t *testing.T) {
+// TestAcceptedRevisionsStayInForce: the configuration changes while one agent is killed and
+// another stopped by SIGSTOP, the store loses replies and is killed. Every accepted
+// revision must get into force, and no entry may return to an older one.
+func TestAcceptedRevisionsStayInForce(t *testing.T) {
 	f := deploy(t, twoRegions())
 	ctx, cancel := context.WithCancel(t.Context())
 	watch := watchRevisions(ctx, f)
@@ -363,8 +374,8 @@
 	check(t, fleet.Post(f.Platform, "/fault/none"))
 	check(t, f.WaitRevision(3, nodeIDs(f)...))
 
-	// The store dies with the acceptance; agents that start meanwhile get the
-	// revision from their neighbours.
+	// The store is killed right after it accepted the change. An agent that starts
+	// afterwards gets the revision from other agents.
 	f.Proc("n-muscat-b-agent").Kill()
 	set("n-muscat-a", "5s")
 	f.Proc("platform").Kill()
@@ -374,7 +385,7 @@
 
 	out, status := f.Ctl("n-sohar-a", "set", "/services/orders", "deadline=6s")
 	if status != 1 {
-		t.Errorf("a change without the store: status %d: %s", status, out)
+		t.Errorf("set without the store: status %d, want 1: %s", status, out)
 	}
 	cancel()
 	for _, fault := range watch() {
@@ -382,8 +393,8 @@
 	}
 }
 
-// watchRevisions polls the entries' revisions until ctx ends; the function that
-// it returns gives every fall that it saw.
+// watchRevisions polls the entries' revisions until ctx ends. The returned function waits
+// for that end and returns a description of every decrease.
 func watchRevisions(ctx context.Context, f *fleet.Fleet) func() []string {
 	done := make(chan []string, 1)
 	go func() {
@@ -396,7 +407,7 @@
 					continue
 				}
 				if rev < last[id] {
-					faults = append(faults, fmt.Sprintf("%s fell from revision %d to %d", id, last[id], rev))
+					faults = append(faults, fmt.Sprintf("entry of %s went from revision %d back to %d", id, last[id], rev))
 				}
 				last[id] = rev
 			}
@@ -407,13 +418,14 @@
 	return func() []string { return <-done }
 }
 
-// TestRacingOperators lets two scripts at different agents change the same path
-// and then different ones, while replies are lost.
-func TestRacingOperators(t *testing.T) {
+// TestConcurrentOperators: two operators at different agents change the same path at one
+// time, then different paths, while the store's replies are lost. Of changes to one path
+// with the same expected revision only one may be accepted.
+func TestConcurrentOperators(t *testing.T) {
 	f := deploy(t, twoRegions())
 	check(t, fleet.Post(f.Platform, "/fault/lose-replies"))
 	type result struct{ status int }
-	race := func(args func(i int) []string) []int {
+	runBoth := func(args func(i int) []string) []int {
 		var out []int
 		ch := make(chan result, 2)
 		for i, node := range []string{"n-muscat-a", "n-sohar-b"} {
@@ -430,13 +442,13 @@
 	}
 	ctl(t, f, "n-muscat-a", "set", "/services/orders", "deadline=1s")
 	check(t, f.WaitRevision(1, nodeIDs(f)...))
-	same := race(func(i int) []string {
+	same := runBoth(func(i int) []string {
 		return []string{"set", "--if-revision", "1", "/services/orders", fmt.Sprintf("deadline=%ds", 2+i)}
 	})
 	if !slices.Equal(same, []int{0, 1}) {
 		t.Errorf("one path: statuses %v, want one accepted and one refused", same)
 	}
-	different := race(func(i int) []string { return []string{"set", fmt.Sprint("/services/s", i), "priority=3"} })
+	different := runBoth(func(i int) []string { return []string{"set", fmt.Sprint("/services/s", i), "priority=3"} })
 	if !slices.Equal(different, []int{0, 0}) {
 		t.Errorf("different paths: statuses %v, want both accepted", different)
 	}
@@ -447,19 +459,20 @@
 		trees = append(trees, out)
 	}
 	if len(slices.Compact(trees)) != 1 {
-		t.Errorf("agents disagree: %q", trees)
+		t.Errorf("agents return different trees: %q", trees)
 	}
 }
 
-// TestShiftStaysUnderItsCap moves traffic to the other region, freezes the
-// entry that moves most, takes the store away, and counts.
-func TestShiftStaysUnderItsCap(t *testing.T) {
+// TestMoveStaysBelowShiftCap: an operator moves traffic to the other region. The store is
+// killed and an entry is stopped by SIGSTOP for a second meanwhile. The other region must
+// get no more than the configured fraction of the requests.
+func TestMoveStaysBelowShiftCap(t *testing.T) {
 	const fraction, step = 0.3, 0.1
 	f := deploy(t, twoRegions())
 	ctl(t, f, "n-muscat-a", "set", "/services/stock", "shift_cap=0.3", "shift_rate=1")
 	if out, status := f.Ctl("n-muscat-a", "move", "too-much", "--service", "stock", "--from", "muscat", "--to", "sohar",
 		"--fraction", "0.5", "--duration", "1m"); status != 1 {
-		t.Errorf("a move beyond the cap: status %d: %s", status, out)
+		t.Errorf("move above shift_cap: status %d, want 1: %s", status, out)
 	}
 	ctl(t, f, "n-muscat-a", "move", "bulk", "--service", "stock", "--from", "muscat", "--to", "sohar",
 		"--fraction", fmt.Sprint(fraction), "--duration", "18s", "--step", fmt.Sprint(step))
@@ -469,7 +482,7 @@
 	l := &fleet.LoadGenerator{Name: "look", Service: "stock", Method: "GET", Path: "/palms",
 		Entries: entries(f, "n-muscat-a", "n-muscat-b"), Callers: 6, Pause: time.Millisecond}
 	l.Start(ctx)
-	check(t, answered(l, 200))
+	check(t, waitOutcomes(l, 200))
 	f.Proc("platform").Kill()
 	check(t, f.Proc("n-muscat-a-entry").Signal(syscall.SIGSTOP))
 	time.Sleep(time.Second)
@@ -481,15 +494,15 @@
 				return err
 			}
 			if got := d.Services["stock"].Shares["/moves/bulk"]; got < fraction {
-				return fmt.Errorf("%s moves %.2f", id, got)
+				return fmt.Errorf("entry of %s moves a share of %.2f", id, got)
 			}
 		}
 		return nil
 	}))
-	check(t, answered(l, 300))
+	check(t, waitOutcomes(l, 300))
 	cancel()
 	outcomes := l.Wait()
-	judge(t, f, outcomes, false)
+	checkOutcomes(t, f, outcomes, false)
 	runs, err := f.Runs()
 	check(t, err)
 	moved := 0
@@ -499,61 +512,63 @@
 		}
 	}
 	t.Logf("%d of %d moved", moved, len(outcomes))
-	// Each of the two entries may be one request ahead.
-	if most := fraction*float64(len(outcomes)) + 2; float64(moved) > most {
-		t.Errorf("%d of %d requests moved, at most %.0f may", moved, len(outcomes), most)
+	// Each of the two entries may be one request above its share at any time.
+	if limit := fraction*float64(len(outcomes)) + 2; float64(moved) > limit {
+		t.Errorf("%d of %d requests moved, want at most %.0f", moved, len(outcomes), limit)
 	}
 	if moved == 0 {
-		t.Error(errors.New("nothing moved"))
+		t.Error(errors.New("no request moved"))
 	}
 }
 
-// TestRegionStaysUnderItsCap overloads a region from its own entries and, when
-// the other region's upstreams die, from those too, while agents and entries are
-// frozen and the store is away.
-func TestRegionStaysUnderItsCap(t *testing.T) {
-	const most = 24
+// TestRegionStaysBelowItsCap: a region is overloaded by its own entries and, after the
+// other region's upstreams are killed, by the entries there as well. Meanwhile an agent
+// and an entry are stopped by SIGSTOP, an entry is restarted and the store is down. The
+// requests in flight must never exceed max_in_flight of the region.
+func TestRegionStaysBelowItsCap(t *testing.T) {
+	const maxInFlight = 24
 	spec := twoRegions()
 	spec.ServiceTime = 40 * time.Millisecond
 	f := deploy(t, spec)
-	ctl(t, f, "n-muscat-a", "set", "/services/stock/regions/sohar", fmt.Sprint("max_in_flight=", most))
+	ctl(t, f, "n-muscat-a", "set", "/services/stock/regions/sohar", fmt.Sprint("max_in_flight=", maxInFlight))
 	check(t, f.WaitRevision(1, nodeIDs(f)...))
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	l := &fleet.LoadGenerator{Name: "look", Service: "stock", Method: "GET", Path: "/palms",
 		Entries: entries(f, nodeIDs(f)...), Callers: 60, Pause: time.Millisecond}
 	l.Start(ctx)
-	check(t, usable(f, 16))
-	check(t, answered(l, 400))
+	check(t, waitCapLimits(f, 16))
+	check(t, waitOutcomes(l, 400))
 	f.Proc("upstreams-muscat").Kill()
-	check(t, answered(l, 400))
+	check(t, waitOutcomes(l, 400))
 	for _, p := range []string{"n-sohar-a-agent", "n-muscat-a-entry"} {
 		check(t, f.Proc(p).Signal(syscall.SIGSTOP))
-		check(t, answered(l, 200))
+		check(t, waitOutcomes(l, 200))
 		check(t, f.Proc(p).Signal(syscall.SIGCONT))
 	}
 	check(t, fleet.Post(f.Platform, "/fault/down"))
-	check(t, answered(l, 400))
+	check(t, waitOutcomes(l, 400))
 	f.Proc("n-sohar-b-entry").Kill()
 	_, err := f.StartProcess("n-sohar-b", fleet.Entry)
 	check(t, err)
 	check(t, fleet.Post(f.Platform, "/fault/none"))
-	check(t, answered(l, 400))
+	check(t, waitOutcomes(l, 400))
 	cancel()
-	judge(t, f, l.Wait(), false)
+	checkOutcomes(t, f, l.Wait(), false)
 	peak, err := f.PeakInFlight("stock", "sohar")
 	check(t, err)
-	t.Logf("peak %d of %d in flight", peak, most)
-	if peak > most {
-		t.Errorf("%d requests in flight at once, the cap is %d", peak, most)
+	t.Logf("peak %d of %d in flight", peak, maxInFlight)
+	if peak > maxInFlight {
+		t.Errorf("%d requests in flight at one time, want at most %d", peak, maxInFlight)
 	}
-	if peak < most/2 {
-		t.Errorf("peak %d: the cap of %d is hardly used", peak, most)
+	if peak < maxInFlight/2 {
+		t.Errorf("peak of %d requests in flight, want at least half of the cap of %d", peak, maxInFlight)
 	}
 }
 
-// usable waits until the entries together may use at least n of a cap.
-func usable(f *fleet.Fleet, n int) error {
+// waitCapLimits waits until the shares of the cap that the entries hold sum up to n or
+// more.
+func waitCapLimits(f *fleet.Fleet, n int) error {
 	return fleet.Eventually(func() error {
 		sum := 0
 		for _, id := range nodeIDs(f) {
@@ -566,7 +581,7 @@
 			}
 		}
 		if sum < n {
-			return fmt.Errorf("%d usable, want %d", sum, n)
+			return fmt.Errorf("the entries hold shares of %d in all, want %d", sum, n)
 		}
 		return nil
 	})
