--- a/test/sessions/world_test.go
+++ b/test/sessions/simulation_test.go
@@ -1,5 +1,5 @@
-// Package sessions plays whole sessions of callers, operators, the platform and
-// upstreams in virtual time and compares what each saw with golden files.
+// Package sessions runs scenarios with callers, operators, the platform and upstreams in
+// virtual time, and compares the transcript of each with a golden file.
 package sessions
 
 import (
@@ -31,30 +31,38 @@
 	"github.com/loomkeel/loomkeel/internal/verdict"
 )
 
-// inForce is how long an accepted change takes to every entry in these sessions.
-const inForce = 100 * time.Millisecond
+// propagationDelay is the time from the acceptance of a change to its being in force at
+// every entry.
+const propagationDelay = 100 * time.Millisecond
 
-// upstream is a back end of a session.
+// upstream is a simulated upstream.
 type upstream struct {
 	model.Upstream
-	work time.Duration
-	// dies closes after reading, cuts in the middle of the answer, frozenLoad
-	// reports to be idle, down refuses connections, slow multiplies the work.
+	serviceTime time.Duration
+	// Faults: with dies the connection closes after the request ran, with cuts in the
+	// middle of the answer. With frozenLoad the upstream reports no load, with down it
+	// refuses connections. The service time is multiplied by slow.
 	dies, cuts, frozenLoad, down bool
 	slow                         int
-	inFlight, ran, peak          int
+	// inFlight is the number of requests now, peak its maximum so far, ran the number of
+	// requests that were run.
+	inFlight, ran, peak int
 }
 
-// world is the surroundings of one session.
-type world struct {
+// simulation is the environment of one scenario: an entry per region, upstreams, the
+// platform's store, and the transcript.
+type simulation struct {
 	t     *testing.T
 	began time.Time
 
-	mu        sync.Mutex
-	text      strings.Builder
+	mu sync.Mutex
+	// text is the transcript.
+	text strings.Builder
+	// upstreams holds the upstreams by id, runs the number of runs by request id.
 	upstreams map[string]*upstream
 	runs      map[string]int
-	// latency is that between regions, one way; cut regions cannot be reached.
+	// latency is the one-way latency between two regions. A region in cut cannot be
+	// reached from those that are not in it, and the reverse.
 	latency time.Duration
 	cut     map[string]bool
 
@@ -62,62 +70,66 @@
 	log       *configlog.Log
 	committer *configlog.Committer
 	regions   []string
-	entries   map[string]*forward.Proxy
-	books     map[string]*share.Book
-	seed      uint64
-	changes   int
+	// entries and capLimiters are by region.
+	entries     map[string]*forward.Proxy
+	capLimiters map[string]*share.Book
+	// seed is that of the last random source, changes the number of changes so far.
+	seed    uint64
+	changes int
 }
 
-// play runs a session and compares its record with the golden file.
-func play(t *testing.T, name string, regions []string, latency time.Duration, scene func(w *world)) {
+// runScenario runs a scenario in virtual time and compares its transcript with the golden
+// file of that name.
+func runScenario(t *testing.T, name string, regions []string, latency time.Duration, scenario func(w *simulation)) {
 	var text string
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{
+		w := &simulation{
 			t: t, began: time.Now(), latency: latency, regions: regions,
 			upstreams: make(map[string]*upstream), runs: make(map[string]int), cut: make(map[string]bool),
 			store: standin.NewStore(), log: configlog.NewLog(),
-			entries: make(map[string]*forward.Proxy), books: make(map[string]*share.Book),
+			entries: make(map[string]*forward.Proxy), capLimiters: make(map[string]*share.Book),
 		}
 		w.committer = configlog.NewCommitter(w.store, w.log, time.Now)
 		for _, r := range regions {
 			w.addEntry(r)
 		}
-		scene(w)
+		scenario(w)
 		synctest.Wait()
-		w.summary()
+		w.logSummary()
 		text = w.text.String()
 	})
 	goldie.New(t).Assert(t, name, []byte(text))
 }
 
-func (w *world) addEntry(region string) {
-	book := share.NewBook()
-	w.books[region] = book
+// addEntry adds the entry of a region.
+func (w *simulation) addEntry(region string) {
+	limiter := share.NewBook()
+	w.capLimiters[region] = limiter
 	w.entries[region] = forward.New(forward.Options{
 		Self:        "entry-" + region,
 		MaxInFlight: 1000,
 		Transport:   transport{w, region},
 		Now:         time.Now,
 		Rand:        func() *rand.Rand { w.seed++; return rand.New(rand.NewPCG(w.seed, 7)) },
-		CapShares:   book,
+		CapShares:   limiter,
 		BootClock:   func() int64 { return time.Now().UnixNano() },
 		NewID:       func() string { return "id" },
 		Observe:     func(forward.Outcome) {},
 	})
 }
 
-// group adds upstreams of a service to a failure domain.
-func (w *world) group(service, region, domain string, n, slots int, work time.Duration) {
+// addUpstreams adds n upstreams of a service to a failure domain.
+func (w *simulation) addUpstreams(service, region, domain string, n, slots int, serviceTime time.Duration) {
 	for i := range n {
 		id := fmt.Sprintf("%s-%s-%d", service, domain, i+1)
-		w.upstreams[id] = &upstream{work: work, slow: 1, Upstream: model.Upstream{
+		w.upstreams[id] = &upstream{serviceTime: serviceTime, slow: 1, Upstream: model.Upstream{
 			ID: id, Service: service, Region: region, Domain: domain, Address: id, Slots: slots,
 		}}
 	}
 }
 
-// publish gives every entry the newest state.
-func (w *world) publish() {
+// publish gives every entry a snapshot of the current tree, upstreams and entries.
+func (w *simulation) publish() {
 	revision, t, _ := w.log.View()
 	var list model.Directory
 	w.mu.Lock()
@@ -135,19 +147,20 @@
 	}
 }
 
-// say writes a line with the virtual time.
-func (w *world) say(format string, args ...any) {
+// logf adds a line with the virtual time to the transcript.
+func (w *simulation) logf(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	at := time.Since(w.began)
-	fmt.Fprintf(&w.text, "%8.3fs  %s\n", at.Seconds(), fmt.Sprintf(format, args...))
+	elapsed := time.Since(w.began)
+	fmt.Fprintf(&w.text, "%8.3fs  %s\n", elapsed.Seconds(), fmt.Sprintf(format, args...))
 }
 
-// operator has edits accepted as one change, in force after a moment. An edit is
-// "PATH KEY=VALUE".
-func (w *world) operator(who string, edits ...string) {
+// commit submits edits as one change in the name of author and logs the outcome. If it is
+// accepted, it gets into force after propagationDelay. An edit is "PATH KEY=VALUE"; an
+// empty value unsets the key.
+func (w *simulation) commit(author string, edits ...string) {
 	w.changes++
-	c := configlog.Change{ID: fmt.Sprint("change-", w.changes), Author: who}
+	c := configlog.Change{ID: fmt.Sprint("change-", w.changes), Author: author}
 	for _, e := range edits {
 		path, rest, _ := strings.Cut(e, " ")
 		key, value, _ := strings.Cut(rest, "=")
@@ -156,33 +169,38 @@
 	ctx, cancel := context.WithTimeout(w.t.Context(), time.Second)
 	defer cancel()
 	r := w.committer.Commit(ctx, c)
-	what := strings.Join(edits, ", ")
+	joined := strings.Join(edits, ", ")
 	if r.Outcome == configlog.Refused {
-		w.say("operator %s: %s: refused (%s): %s", who, what, r.Refusal.Kind, r.Refusal.Faults[0])
+		w.logf("operator %s: %s: refused (%s): %s", author, joined, r.Refusal.Kind, r.Refusal.Faults[0])
 		return
 	}
-	w.say("operator %s: %s: %s at revision %d", who, what, r.Outcome, r.Revision)
-	time.AfterFunc(inForce, w.publish)
+	w.logf("operator %s: %s: %s at revision %d", author, joined, r.Outcome, r.Revision)
+	time.AfterFunc(propagationDelay, w.publish)
 }
 
-// at returns a time of the session as an operator writes it.
-func (w *world) at(d time.Duration) string { return w.began.Add(d).UTC().Format(time.RFC3339) }
+// timestamp returns the time d after the start of the scenario as a settings value.
+func (w *simulation) timestamp(d time.Duration) string {
+	return w.began.Add(d).UTC().Format(time.RFC3339)
+}
 
-// request is what a caller sends.
+// request is a request of a caller. Region is that of the entry; repeat and deadline are
+// sent as headers unless they are zero.
 type request struct {
 	caller, region, service, method, path, repeat string
 	deadline                                      time.Duration
 }
 
-// send sends a request to a region's entry and says what the caller was told.
-func (w *world) send(r request) {
+// send sends a request and logs its result.
+func (w *simulation) send(r request) {
 	start := time.Now()
-	a := w.ask(r)
-	w.say("caller %s: %s %s %s at entry-%s: %s after %v", r.caller, r.method, r.service, r.path, r.region, a.describe(), time.Since(start).Round(time.Millisecond))
+	a := w.do(r)
+	w.logf("caller %s: %s %s %s at entry-%s: %s after %v", r.caller, r.method, r.service, r.path, r.region, a.describe(), time.Since(start).Round(time.Millisecond))
 }
 
-// told is what a caller got.
-type told struct {
+// result is the answer to a request. From is the id of the upstream that answered; without
+// one, reason is the entry's reason for refusing the request and retry the value of
+// Retry-After.
+type result struct {
 	status  int
 	verdict verdict.Verdict
 	reason  string
@@ -191,7 +209,8 @@
 	aborted bool
 }
 
-func (a told) describe() string {
+// describe returns the result as the transcript shows it.
+func (a result) describe() string {
 	switch {
 	case a.aborted:
 		return "connection aborted in the middle of the answer"
@@ -201,10 +220,11 @@
 	return fmt.Sprintf("%d %s, %s, come back after %s s", a.status, a.reason, a.verdict, a.retry)
 }
 
-func (w *world) ask(r request) (a told) {
+// do sends a request to the entry of its region and returns the result.
+func (w *simulation) do(r request) (a result) {
 	defer func() {
 		if p := recover(); p != nil {
-			a = told{aborted: true, verdict: verdict.MayHaveRun}
+			a = result{aborted: true, verdict: verdict.MayHaveRun}
 		}
 	}()
 	req := httptest.NewRequest(r.method, "http://entry"+r.path, strings.NewReader("body of "+r.caller))
@@ -218,7 +238,7 @@
 	}
 	rec := httptest.NewRecorder()
 	w.entries[r.region].ServeHTTP(rec, req)
-	a = told{status: rec.Code, verdict: verdict.Ran, from: rec.Header().Get("From"), retry: rec.Header().Get("Retry-After")}
+	a = result{status: rec.Code, verdict: verdict.Ran, from: rec.Header().Get("From"), retry: rec.Header().Get("Retry-After")}
 	if v := rec.Header().Get(verdict.Header); v != "" {
 		a.verdict, _ = verdict.Parse(v)
 		_, rest, _ := strings.Cut(rec.Body.String(), `"reason":"`)
@@ -227,38 +247,41 @@
 	return a
 }
 
-// rush sends n requests, one each gap, and says in sum what callers were told.
-func (w *world) rush(name string, n int, gap time.Duration, r request) {
+// load sends n requests, one every gap, waits for their ends and logs the number of
+// requests by result and the quantiles of their durations. Name is part of the log line
+// and the prefix of the callers' names.
+func (w *simulation) load(name string, n int, gap time.Duration, r request) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	ends := make(map[string]int)
-	var took []time.Duration
+	results := make(map[string]int)
+	var durations []time.Duration
 	for i := range n {
 		one := r
 		one.caller = fmt.Sprintf("%s-%d", name, i)
 		wg.Go(func() {
 			start := time.Now()
-			a := w.ask(one)
+			a := w.do(one)
 			mu.Lock()
 			defer mu.Unlock()
-			took = append(took, time.Since(start))
-			ends[w.place(a)]++
+			durations = append(durations, time.Since(start))
+			results[w.classify(a)]++
 		})
 		time.Sleep(gap)
 	}
 	wg.Wait()
-	slices.Sort(took)
-	keys := make([]string, 0, len(ends))
-	for k := range ends {
-		keys = append(keys, fmt.Sprintf("%s %d", k, ends[k]))
+	slices.Sort(durations)
+	keys := make([]string, 0, len(results))
+	for k := range results {
+		keys = append(keys, fmt.Sprintf("%s %d", k, results[k]))
 	}
 	slices.Sort(keys)
-	w.say("%d callers %s: %s; p50 %v p99 %v", n, name, strings.Join(keys, ", "),
-		took[n/2].Round(time.Millisecond), took[n*99/100].Round(time.Millisecond))
+	w.logf("%d callers %s: %s; p50 %v p99 %v", n, name, strings.Join(keys, ", "),
+		durations[n/2].Round(time.Millisecond), durations[n*99/100].Round(time.Millisecond))
 }
 
-// place names where an answer came from, or why there was none.
-func (w *world) place(a told) string {
+// classify returns the region that answered a request, or the reason and the verdict of
+// its failure.
+func (w *simulation) classify(a result) string {
 	if a.from != "" {
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -267,8 +290,9 @@
 	return fmt.Sprintf("%s (%s)", a.reason, a.verdict)
 }
 
-// summary says what upstreams ran more than once, and how full they got.
-func (w *world) summary() {
+// logSummary logs the requests that ran more than once, and for each upstream that ran
+// any their number and the peak of those in flight.
+func (w *simulation) logSummary() {
 	var twice []string
 	for id, n := range w.runs {
 		if n > 1 {
@@ -277,7 +301,7 @@
 	}
 	slices.Sort(twice)
 	if len(twice) > 0 {
-		w.say("ran more than once: %s", strings.Join(twice, ", "))
+		w.logf("ran more than once: %s", strings.Join(twice, ", "))
 	}
 	var used []string
 	for id, u := range w.upstreams {
@@ -287,13 +311,13 @@
 	}
 	slices.Sort(used)
 	for _, line := range used {
-		w.say("upstream %s", line)
+		w.logf("upstream %s", line)
 	}
 }
 
-// transport carries an entry's requests to the session's upstreams.
+// transport is the simulated network between the entry of region from and the upstreams.
 type transport struct {
-	w    *world
+	w    *simulation
 	from string
 }
 
@@ -304,29 +328,29 @@
 	w := t.w
 	w.mu.Lock()
 	u := w.upstreams[r.URL.Host]
-	far, lost := u.Region != t.from, u.down || w.cut[u.Region] != w.cut[t.from]
+	remote, unreachable := u.Region != t.from, u.down || w.cut[u.Region] != w.cut[t.from]
 	w.mu.Unlock()
-	if lost {
+	if unreachable {
 		return nil, errRefused
 	}
-	if far {
+	if remote {
 		time.Sleep(w.latency)
 	}
 	if trace := httptrace.ContextClientTrace(r.Context()); trace != nil {
 		trace.GotConn(httptrace.GotConnInfo{})
 	}
 	body, _ := io.ReadAll(r.Body)
-	if !u.enter(w) {
+	if !u.takeSlot(w) {
 		return t.answer(r, u, http.StatusTooManyRequests, nil), nil
 	}
-	defer u.leave(w)
+	defer u.releaseSlot(w)
 	select {
-	case <-time.After(u.work * time.Duration(u.slow)):
+	case <-time.After(u.serviceTime * time.Duration(u.slow)):
 	case <-r.Context().Done():
 		return nil, r.Context().Err()
 	}
-	w.ranOnce(u, r.Header.Get(header.RequestID))
-	if far {
+	w.recordRun(u, r.Header.Get(header.RequestID))
+	if remote {
 		time.Sleep(w.latency)
 	}
 	if u.dies {
@@ -335,7 +359,8 @@
 	return t.answer(r, u, http.StatusOK, body), nil
 }
 
-func (u *upstream) enter(w *world) bool {
+// takeSlot counts a request in flight and reports whether a slot was free for it.
+func (u *upstream) takeSlot(w *simulation) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if u.inFlight >= u.Slots {
@@ -346,19 +371,22 @@
 	return true
 }
 
-func (u *upstream) leave(w *world) {
+// releaseSlot ends a request that takeSlot counted.
+func (u *upstream) releaseSlot(w *simulation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	u.inFlight--
 }
 
-func (w *world) ranOnce(u *upstream, id string) {
+// recordRun counts one run of a request at an upstream.
+func (w *simulation) recordRun(u *upstream, id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	u.ran++
 	w.runs[id]++
 }
 
+// answer returns the upstream's response to a request, with its load header and faults.
 func (t transport) answer(r *http.Request, u *upstream, status int, body []byte) *http.Response {
 	h := http.Header{"From": {u.ID}}
 	t.w.mu.Lock()
@@ -370,7 +398,7 @@
 	t.w.mu.Unlock()
 	var reader io.Reader = strings.NewReader(string(body))
 	if u.cuts {
-		reader = io.MultiReader(strings.NewReader(string(body[:len(body)/2])), broken{})
+		reader = io.MultiReader(strings.NewReader(string(body[:len(body)/2])), brokenReader{})
 	}
 	return &http.Response{
 		Status: http.StatusText(status), StatusCode: status, Header: h, Request: r,
@@ -378,8 +406,8 @@
 	}
 }
 
-// broken is the end of a body that was cut.
-type broken struct{}
+// brokenReader is the end of a truncated body.
+type brokenReader struct{}
 
 // Read implements io.Reader.
-func (broken) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (brokenReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
