--- a/cmd/loomkeel-director/main.go
+++ b/cmd/loomkeel-director/main.go
@@ -20,49 +20,50 @@
 	"github.com/loomkeel/loomkeel/internal/tlsconf"
 )
 
-// stopTimeout bounds the wait for look-ups in flight at a stop.
+// stopTimeout limits the wait for look-ups in flight when the process stops.
 const stopTimeout = 5 * time.Second
 
 func main() {
-	cli.Main(cli.Daemon{Name: "loomkeel-director", Usage: "answer look-ups: which entry instances to use", Ballast: process.BallastLookups, Run: run})
+	cli.Main(cli.Daemon{Name: "loomkeel-director", Usage: "answer look-ups: which entry instances to use", Ballast: process.BallastDirector, Run: run})
 }
 
-// dump is everything that the process decides by.
+// dump is the state on which the process's answers depend, for debugging.
 type dump struct {
 	Agent    follow.Status `json:"agent"`
 	Director director.Dump `json:"director"`
 }
 
+// run runs the director until ctx ends.
 func run(ctx context.Context, s *settings.Settings) error {
-	_, clientTLS, err := tlsconf.Peers(s.TLS)
+	_, clientTLS, err := tlsconf.PeerConfigs(s.TLS)
 	if err != nil {
-		return eris.Wrap(err, "peer certificates")
+		return eris.Wrap(err, "load peer certificates")
 	}
-	serverTLS, err := tlsconf.Server(s.TLS)
+	serverTLS, err := tlsconf.ServerConfig(s.TLS)
 	if err != nil {
-		return eris.Wrap(err, "certificate")
+		return eris.Wrap(err, "load server certificate")
 	}
 	dialer := rpc.NewDialer(clientTLS, nil)
 	defer dialer.Close()
 	d := director.New(time.Now)
 	f := follow.New(follow.Options{
-		Dialer: dialer, Agent: s.Agent.Peer, Process: agent.ProcessDirector, Region: s.Instance.Region, OnUpdate: d.Update,
+		Dialer: dialer, Agent: s.Agent.PeerAddress, Process: agent.ProcessDirector, Region: s.Instance.Region, OnUpdate: d.Update,
 	})
 	state := func() any { return dump{f.Status(), d.Dump()} }
 	metrics.Publish("director", state)
 	debug := chi.NewRouter()
-	process.Debug(debug, d.Ready, state)
-	debugServer, err := process.Listen(s.Director.Debug, debug)
+	process.AddDebugRoutes(debug, d.Ready, state)
+	debugServer, err := process.Listen(s.Director.DebugAddress, debug)
 	if err != nil {
-		return eris.Wrap(err, "debug address")
+		return eris.Wrap(err, "listen on debug address")
 	}
 	go debugServer.Serve()
-	srv, err := process.ListenTLS(s.Director.Listen, d.Handler(), serverTLS)
+	srv, err := process.ListenTLS(s.Director.ListenAddress, d.Handler(), serverTLS)
 	if err != nil {
-		return eris.Wrap(err, "listen address")
+		return eris.Wrap(err, "listen for look-ups")
 	}
 	go srv.Serve()
-	klog.InfoS("director started", "listen", s.Director.Listen)
+	klog.InfoS("director started", "listen", s.Director.ListenAddress)
 	f.Run(ctx)
 	stopCtx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -16,9 +16,9 @@
 	"k8s.io/klog/v2"
 
 	"github.com/loomkeel/loomkeel/internal/configlog"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 	"github.com/loomkeel/loomkeel/internal/fanout"
 	"github.com/loomkeel/loomkeel/internal/membership"
-	"github.com/loomkeel/loomkeel/internal/platform"
 	"github.com/loomkeel/loomkeel/internal/rpc/pb"
 	"github.com/loomkeel/loomkeel/internal/share"
 )
@@ -44,9 +44,9 @@
 	// Seeds are the addresses of agents to contact at the start.
 	Seeds []string
 	// Store is the platform's key-value store, which holds the configuration log.
-	Store platform.Store
+	Store coordination.Store
 	// List returns the platform's list of instances.
-	List platform.Lister
+	List coordination.InstanceLister
 	// Peers calls other agents.
 	Peers PeerClient
 	// Rand is the source of all random choices of the agent.
--- a/internal/agent/network_test.go
+++ b/internal/agent/network_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"github.com/loomkeel/loomkeel/internal/configlog"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 	"github.com/loomkeel/loomkeel/internal/membership"
-	"github.com/loomkeel/loomkeel/internal/platform"
 	"github.com/loomkeel/loomkeel/internal/rpc/pb"
 	"github.com/loomkeel/loomkeel/internal/standin"
 	"github.com/loomkeel/loomkeel/internal/tree"
@@ -33,7 +33,7 @@
 	agents map[string]*Agent
 	cut    func(from, to string) bool // true for messages that are lost
 	store  *standin.Store
-	list   *standin.List
+	list   *standin.InstanceList
 	ctx    context.Context
 }
 
@@ -42,7 +42,7 @@
 func simulate(t *testing.T, test func(t *testing.T, n *network)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
-		n := &network{agents: make(map[string]*Agent), store: standin.NewStore(), list: standin.NewList(nil), ctx: ctx}
+		n := &network{agents: make(map[string]*Agent), store: standin.NewStore(), list: standin.NewInstanceList(nil), ctx: ctx}
 		test(t, n)
 		n.setCut(nil)
 		n.store.SetFault(nil)
@@ -171,16 +171,16 @@
 	return s.net.cut != nil && s.net.cut(s.self, storeAddr)
 }
 
-func (s agentStore) Get(ctx context.Context, key string) (platform.Entry, error) {
+func (s agentStore) Get(ctx context.Context, key string) (coordination.Entry, error) {
 	if s.lost() {
-		return platform.Entry{}, standin.ErrUnavailable
+		return coordination.Entry{}, standin.ErrUnavailable
 	}
 	return s.Store.Get(ctx, key)
 }
 
-func (s agentStore) Watch(ctx context.Context, key string, version uint64, wait time.Duration) (platform.Entry, error) {
+func (s agentStore) Watch(ctx context.Context, key string, version uint64, wait time.Duration) (coordination.Entry, error) {
 	if s.lost() {
-		return platform.Entry{}, standin.ErrUnavailable
+		return coordination.Entry{}, standin.ErrUnavailable
 	}
 	return s.Store.Watch(ctx, key, version, wait)
 }
--- a/internal/configlog/committer_test.go
+++ b/internal/configlog/committer_test.go
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/loomkeel/loomkeel/internal/platform"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 	"github.com/loomkeel/loomkeel/internal/standin"
 	"github.com/loomkeel/loomkeel/internal/tree"
 )
@@ -21,7 +21,7 @@
 	c   *Committer
 }
 
-func newWriter(s platform.Store) *writer {
+func newWriter(s coordination.Store) *writer {
 	log := NewLog()
 	return &writer{log, NewCommitter(s, log, time.Now)}
 }
@@ -38,7 +38,7 @@
 }
 
 // occurrences reads the whole log and counts each change id.
-func occurrences(t testing.TB, s platform.Store) (map[string]int, *Log) {
+func occurrences(t testing.TB, s coordination.Store) (map[string]int, *Log) {
 	t.Helper()
 	log := NewLog()
 	seen := make(map[string]int)
@@ -81,7 +81,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := standin.NewStore()
-				faultOnce(s, standin.OpSwap, "log/", f)
+				faultOnce(s, standin.OpCompareAndSwap, "log/", f)
 				r := newWriter(s).commit(t, deadline("c1", "stock", "2s"))
 				if r.Outcome != Accepted || r.Revision != 1 {
 					t.Fatalf("commit = %+v", r)
@@ -101,7 +101,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewStore()
 		s.SetFault(func(op standin.Op, key string) standin.Fault {
-			return standin.Fault{LoseReply: op == standin.OpSwap, Down: op == standin.OpGet && s.Calls(standin.OpSwap) > 0}
+			return standin.Fault{LoseReply: op == standin.OpCompareAndSwap, Down: op == standin.OpGet && s.CallCount(standin.OpCompareAndSwap) > 0}
 		})
 		w := newWriter(s)
 		if r := w.commit(t, deadline("c1", "stock", "2s")); r.Outcome != Unknown {
@@ -160,7 +160,7 @@
 	}
 }
 
-func race(t *testing.T, s platform.Store, n int, change func(i int) Change) map[Outcome]int {
+func race(t *testing.T, s coordination.Store, n int, change func(i int) Change) map[Outcome]int {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	got := make(map[Outcome]int)
@@ -202,7 +202,7 @@
 func TestWriterPausedAcrossTheRing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewStore()
-		faultOnce(s, standin.OpSwap, "log/", standin.Fault{Delay: 24 * time.Hour})
+		faultOnce(s, standin.OpCompareAndSwap, "log/", standin.Fault{Delay: 24 * time.Hour})
 		late := newWriter(s)
 		var r Result
 		var wg sync.WaitGroup
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -5,29 +5,31 @@
 	"sync"
 	"time"
 
-	"github.com/loomkeel/loomkeel/internal/platform"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 )
 
-// List is an in-memory instance list. It is safe for concurrent use.
-type List struct {
-	mu      sync.Mutex
-	list    platform.List
+// InstanceList is an in-memory instance list that can be set to fail. It is safe for concurrent
+// use.
+type InstanceList struct {
+	mu   sync.Mutex
+	list coordination.InstanceList
+	// changed is closed and replaced at every change of list or down.
 	changed chan struct{}
 	down    bool
 }
 
-var _ platform.Lister = (*List)(nil)
+var _ coordination.InstanceLister = (*InstanceList)(nil)
 
-// NewList returns a List that holds instances at version 1.
-func NewList(instances []platform.Instance) *List {
-	return &List{
-		list:    platform.List{Version: 1, Instances: instances},
+// NewInstanceList returns an InstanceList that holds instances at version 1.
+func NewInstanceList(instances []coordination.Instance) *InstanceList {
+	return &InstanceList{
+		list:    coordination.InstanceList{Version: 1, Instances: instances},
 		changed: make(chan struct{}),
 	}
 }
 
-// Instances implements platform.Lister.
-func (l *List) Instances(ctx context.Context, version uint64, wait time.Duration) (platform.List, error) {
+// Instances implements coordination.InstanceLister.
+func (l *InstanceList) Instances(ctx context.Context, version uint64, wait time.Duration) (coordination.InstanceList, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
@@ -35,7 +37,7 @@
 		list, changed, down := l.list, l.changed, l.down
 		l.mu.Unlock()
 		if down {
-			return platform.List{}, ErrUnavailable
+			return coordination.InstanceList{}, ErrUnavailable
 		}
 		if list.Version != version {
 			return list, nil
@@ -45,29 +47,31 @@
 		case <-timer.C:
 			return list, nil
 		case <-ctx.Done():
-			return platform.List{}, ctx.Err()
+			return coordination.InstanceList{}, ctx.Err()
 		}
 	}
 }
 
-// Update replaces the list by what change makes of a copy of it.
-func (l *List) Update(change func([]platform.Instance) []platform.Instance) {
+// Update passes a copy of the instances to change and replaces the list with the result, at the
+// next version.
+func (l *InstanceList) Update(change func([]coordination.Instance) []coordination.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	next := append([]platform.Instance(nil), l.list.Instances...)
-	l.list = platform.List{Version: l.list.Version + 1, Instances: change(next)}
-	l.wake()
+	next := append([]coordination.Instance(nil), l.list.Instances...)
+	l.list = coordination.InstanceList{Version: l.list.Version + 1, Instances: change(next)}
+	l.notify()
 }
 
-// SetDown makes the list fail its calls, or serve them again.
-func (l *List) SetDown(down bool) {
+// SetDown sets whether calls, including waiting ones, fail with ErrUnavailable.
+func (l *InstanceList) SetDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = down
-	l.wake()
+	l.notify()
 }
 
-func (l *List) wake() {
+// notify makes all waiting calls check the list again. The caller holds the lock.
+func (l *InstanceList) notify() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
--- a/test/fleet/fleet.go
+++ b/test/fleet/fleet.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/loomkeel/loomkeel/internal/platform"
+	"github.com/loomkeel/loomkeel/internal/coordination"
 )
 
 // Spec describes a deployment.
@@ -24,7 +24,7 @@
 	UpstreamGroups []UpstreamGroup
 	// PlaceholderUpstreams are added to the platform's instance list, but no process
 	// runs for them.
-	PlaceholderUpstreams []platform.Instance
+	PlaceholderUpstreams []coordination.Instance
 	// ServiceTime is the time that an upstream takes for one request.
 	ServiceTime time.Duration
 	// UseProxies puts a TCP proxy between each node and the platform, and between
@@ -58,7 +58,7 @@
 	Nodes map[string]Addresses
 	// Upstreams are the upstreams that run as stand-ins. They have their own addresses
 	// here, not those of their proxies.
-	Upstreams []platform.Instance
+	Upstreams []coordination.Instance
 	// PlatformProxies has the proxies between nodes and platform by node id,
 	// UpstreamProxies those in front of upstreams by upstream id. Both are empty
 	// without Spec.UseProxies.
@@ -104,7 +104,7 @@
 }
 
 // writeList writes an instance list as JSON to a file of the deployment's directory.
-func (f *Fleet) writeList(name string, instances []platform.Instance) error {
+func (f *Fleet) writeList(name string, instances []coordination.Instance) error {
 	body, err := json.MarshalIndent(instances, "", "  ")
 	if err != nil {
 		return err
@@ -114,7 +114,7 @@
 
 // addProxies starts the proxies and replaces the upstreams' addresses in instances by
 // those of their proxies.
-func (f *Fleet) addProxies(instances []platform.Instance) error {
+func (f *Fleet) addProxies(instances []coordination.Instance) error {
 	if !f.Spec.UseProxies {
 		return nil
 	}
@@ -126,7 +126,7 @@
 		f.PlatformProxies[n.ID] = p
 	}
 	for i := range instances {
-		if instances[i].Kind != platform.KindUpstream {
+		if instances[i].Kind != coordination.KindUpstream {
 			continue
 		}
 		p, err := NewTCPProxy(instances[i].Address)
@@ -158,18 +158,18 @@
 
 // assignAddresses fills in f.Nodes and f.Upstreams with addresses from next, and returns
 // the instance list of all nodes and upstreams.
-func (f *Fleet) assignAddresses(next func() string) []platform.Instance {
-	var list []platform.Instance
+func (f *Fleet) assignAddresses(next func() string) []coordination.Instance {
+	var list []coordination.Instance
 	for _, n := range f.Spec.Nodes {
 		a := Addresses{next(), next(), next(), next(), next(), next()}
 		f.Nodes[n.ID] = a
-		list = append(list, platform.Instance{ID: n.ID, Kind: platform.KindNode, Region: n.Region, Domain: n.Domain, Address: a.Peer})
+		list = append(list, coordination.Instance{ID: n.ID, Kind: coordination.KindNode, Region: n.Region, Domain: n.Domain, Address: a.Peer})
 	}
 	for _, g := range f.Spec.UpstreamGroups {
 		for i := range g.Count {
-			u := platform.Instance{
+			u := coordination.Instance{
 				ID:      fmt.Sprintf("%s-%s-%d", g.Service, g.Domain, i+1),
-				Kind:    platform.KindUpstream,
+				Kind:    coordination.KindUpstream,
 				Service: g.Service, Region: g.Region, Domain: g.Domain,
 				Address: next(), Slots: g.Slots, Connections: 400,
 			}
