--- a/test/proofs/proofs_test.go
+++ b/test/proofs/proofs_test.go
@@ -300,7 +300,7 @@
 }
 
 // TestPlannedStopAbortsNoRequest: every process of every instance is stopped by SIGTERM
-// and started again in turn, under load. Every request must be waitOutcomes.
+// and started again in turn, under load. Every request must be answered.
 func TestPlannedStopAbortsNoRequest(t *testing.T) {
 	f := deploy(t, twoRegions())
 	ctx, cancel := context.WithCancel(t.Context())
@@ -326,7 +326,7 @@
 	checkOutcomes(t, f, outcomes, true)
 	for _, o := range outcomes {
 		if o.Verdict != verdict.Ran {
-			t.Errorf("%s was not waitOutcomes: verdict %v after %d attempts, last reply %v", o.ID, o.Verdict, o.Attempts, o.LastReply)
+			t.Errorf("%s was not answered: verdict %v after %d attempts, last reply %v", o.ID, o.Verdict, o.Attempts, o.LastReply)
 		}
 	}
 }
