--- a/test/quickstart/main.go
+++ b/test/quickstart/main.go
@@ -1,6 +1,6 @@
 // Command quickstart runs a small deployment as separate processes and shows
-// one session: a look-up, requests, a change, a drain and a planned stop under
-// load. It exits with 1 and the cause if anything is not as it should be.
+// a look-up, requests, a change of a setting, and a drain and a planned stop
+// under load. It exits with status 1 and prints the cause if a step fails.
 package main
 
 import (
@@ -28,6 +28,7 @@
 	}
 }
 
+// spec is the deployment: two instances in two failure domains of one region.
 var spec = fleet.Spec{
 	Nodes: []fleet.Node{{ID: "n1", Region: "muscat", Domain: "muscat-a"}, {ID: "n2", Region: "muscat", Domain: "muscat-b"}},
 	UpstreamGroups: []fleet.UpstreamGroup{
@@ -40,6 +41,7 @@
 	Linger:      2 * time.Second,
 }
 
+// run starts the deployment and runs the steps, or with keep waits for a signal.
 func run(bin string, keep bool) error {
 	dir, err := os.MkdirTemp("", "loomkeel-quickstart-")
 	if err != nil {
@@ -52,11 +54,11 @@
 	defer f.Stop()
 	start := time.Now()
 	if err := f.Start(); err != nil {
-		return fmt.Errorf("start: %w (logs in %s)", err, dir)
+		return fmt.Errorf("start of the deployment: %w (logs in %s)", err, dir)
 	}
 	fmt.Printf("started: platform, %d upstreams, %d instances of 3 processes, ready in %v\n", len(f.Upstreams), len(f.Nodes), time.Since(start).Round(time.Millisecond))
 	if keep {
-		return wait(f)
+		return waitForSignal(f)
 	}
 	for _, step := range []func(*fleet.Fleet) error{lookup, requests, change, drain, stop} {
 		if err := step(f); err != nil {
@@ -66,7 +68,8 @@
 	return os.RemoveAll(dir)
 }
 
-func wait(f *fleet.Fleet) error {
+// waitForSignal prints the addresses of the deployment and waits for SIGINT or SIGTERM.
+func waitForSignal(f *fleet.Fleet) error {
 	for id, a := range f.Nodes {
 		fmt.Printf("%s: look-ups http://%s/v1/lookup?service=stock  requests http://%s  operators %s\n", id, a.Director, a.Entry, a.Operator)
 	}
@@ -77,6 +80,7 @@
 	return nil
 }
 
+// lookup asks a director for the entries of a service until it names both.
 func lookup(f *fleet.Fleet) error {
 	err := fleet.Eventually(func() error {
 		a, err := f.Lookup("n1", "stock", "10.1.2.3")
@@ -96,19 +100,21 @@
 	return nil
 }
 
+// requests sends one safe and one unsafe request.
 func requests(f *fleet.Fleet) error {
 	ctx := context.Background()
 	entry := f.Nodes["n1"].Entry
 	safe := fleet.Do(ctx, fleet.Request{Entry: entry, Method: "GET", Path: "/palms", Service: "stock", ID: "safe-1"})
 	unsafe := fleet.Do(ctx, fleet.Request{Entry: entry, Method: "POST", Path: "/orders", Service: "orders", ID: "order-1", Body: "3 date palms"})
 	if safe.Status != 200 || unsafe.Status != 200 {
-		return fmt.Errorf("requests answered %d and %d: %v %v", safe.Status, unsafe.Status, safe, unsafe)
+		return fmt.Errorf("safe request got status %d, unsafe request %d, want 200: %v %v", safe.Status, unsafe.Status, safe, unsafe)
 	}
 	fmt.Printf("safe request: %d in %v: %s", safe.Status, safe.Duration.Round(time.Microsecond), safe.Body)
 	fmt.Printf("unsafe request: %d in %v: %s", unsafe.Status, unsafe.Duration.Round(time.Microsecond), unsafe.Body)
 	return nil
 }
 
+// change sets a deadline and waits until it is in force at both entries.
 func change(f *fleet.Fleet) error {
 	start := time.Now()
 	out, status := f.Ctl("n1", "set", "/services/stock", "deadline=2s")
@@ -121,8 +127,8 @@
 	return err
 }
 
-// orders starts callers that send orders to one entry.
-func orders(ctx context.Context, name, entry string) *fleet.LoadGenerator {
+// startOrders starts callers that send orders to one entry until ctx ends.
+func startOrders(ctx context.Context, name, entry string) *fleet.LoadGenerator {
 	l := &fleet.LoadGenerator{
 		Name: name, Service: "orders", Method: "POST", Path: "/orders", Body: "palm", Callers: 4, Pause: 2 * time.Millisecond,
 		Entries: func(int) []string { return []string{entry} },
@@ -131,27 +137,29 @@
 	return l
 }
 
-// judge compares what callers were told with what the upstreams ran.
-func judge(f *fleet.Fleet, outcomes []fleet.Outcome) error {
+// checkOutcomes compares the callers' verdicts with what the upstreams ran.
+func checkOutcomes(f *fleet.Fleet, outcomes []fleet.Outcome) error {
 	runs, err := f.Runs()
 	if err != nil {
 		return err
 	}
 	if faults := fleet.CheckOutcomes(outcomes, fleet.CountRuns(runs), true); len(faults) > 0 {
-		return fmt.Errorf("%d contradictions, the first: %s", len(faults), faults[0])
+		return fmt.Errorf("%d contradictions between verdicts and runs, the first: %s", len(faults), faults[0])
 	}
 	return nil
 }
 
+// describe returns the numbers of outcomes by verdict.
 func describe(outcomes []fleet.Outcome) string {
 	n := fleet.CountVerdicts(outcomes)
 	return fmt.Sprintf("%d sent, %d ran, %d not run, %d unsure", len(outcomes), n[verdict.Ran], n[verdict.NotRun], n[verdict.MayHaveRun])
 }
 
+// drain drains a failure domain under load. No request may be refused or lost.
 func drain(f *fleet.Fleet) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	l := orders(ctx, "drain", f.Nodes["n1"].Entry)
+	l := startOrders(ctx, "drain", f.Nodes["n1"].Entry)
 	start := time.Now()
 	out, status := f.Ctl("n2", "drain", "night-work", "--region", "muscat", "--domain", "muscat-a")
 	if status != 0 {
@@ -177,13 +185,15 @@
 	if fleet.CountVerdicts(outcomes)[verdict.Ran] != len(outcomes) {
 		return errors.New("a request was refused or lost during the drain")
 	}
-	return judge(f, outcomes)
+	return checkOutcomes(f, outcomes)
 }
 
+// stop stops an entry by SIGTERM under load. Directors must no longer name it, and no
+// request may be cut off.
 func stop(f *fleet.Fleet) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	l := orders(ctx, "stop", f.Nodes["n2"].Entry)
+	l := startOrders(ctx, "stop", f.Nodes["n2"].Entry)
 	start := time.Now()
 	if err := f.Proc("n2-entry").Signal(syscall.SIGTERM); err != nil {
 		return err
@@ -195,12 +205,12 @@
 		}
 		for _, e := range a.Entries {
 			if e.ID == "n2" {
-				return errors.New("look-up still names the stopping entry")
+				return errors.New("the look-up still names the stopping entry n2")
 			}
 		}
 		return nil
 	})
-	gone := time.Since(start)
+	removedAfter := time.Since(start)
 	time.Sleep(spec.Linger / 2)
 	cancel()
 	outcomes := l.Wait()
@@ -209,9 +219,9 @@
 		return fmt.Errorf("planned stop: %w", err)
 	}
 	fmt.Printf("planned stop: out of the look-ups after %v, ended after %v; %s\n",
-		gone.Round(time.Millisecond), time.Since(start).Round(time.Millisecond), describe(outcomes))
+		removedAfter.Round(time.Millisecond), time.Since(start).Round(time.Millisecond), describe(outcomes))
 	if fleet.CountVerdicts(outcomes)[verdict.MayHaveRun] > 0 {
 		return errors.New("a request was cut off by the planned stop")
 	}
-	return judge(f, outcomes)
+	return checkOutcomes(f, outcomes)
 }
--- a/test/upgrade/main.go
+++ b/test/upgrade/main.go
@@ -1,8 +1,10 @@
 // Command upgrade replaces the programs of a running deployment by those of
-// another build, one instance after the other, and then puts them back. The
-// two builds share the platform's store, the settings files and the exchange
-// between agents meanwhile. It exits with 1 and the cause if settings differ
-// after a step, a caller was told something untrue, or a request was cut off.
+// another build, one instance after the other under load, and then puts the
+// first ones back. Meanwhile both builds use the same store, settings files
+// and exchange between agents. The command exits with status 1 and prints the
+// cause if an instance cannot be replaced, the settings differ between
+// instances, a verdict contradicts what the upstreams ran, or a planned stop
+// cut off a request.
 package main
 
 import (
@@ -29,6 +31,7 @@
 	}
 }
 
+// spec is the deployment to upgrade.
 var spec = fleet.Spec{
 	Nodes: []fleet.Node{
 		{ID: "n1", Region: "muscat", Domain: "muscat-a"},
@@ -46,23 +49,26 @@
 	Linger:      2 * time.Second,
 }
 
+// programs are the binaries of a build that the deployment uses.
 var programs = []string{"loomkeel-agent", "loomkeel-director", "loomkeel-entry", "loomkeel-standin", "loomkeelctl"}
 
-// upgrade is a deployment whose programs are links that point to either build.
+// upgrade is a deployment whose programs are symbolic links to those of either build.
 type upgrade struct {
 	fleet *fleet.Fleet
-	bin   string
-	// changes counts the settings written so far.
+	// bin is the directory of the links.
+	bin string
+	// changes is the number of changes made so far, which is also the newest revision.
 	changes int
 }
 
+// run starts the deployment with the programs in from, upgrades it to those in to and back.
 func run(from, to string) error {
 	dir, err := os.MkdirTemp("", "loomkeel-upgrade-")
 	if err != nil {
 		return err
 	}
 	u := &upgrade{bin: filepath.Join(dir, "bin")}
-	if err := u.link(from); err != nil {
+	if err := u.linkPrograms(from); err != nil {
 		return err
 	}
 	if u.fleet, err = fleet.New(u.bin, dir, spec); err != nil {
@@ -70,16 +76,16 @@
 	}
 	defer u.fleet.Stop()
 	if err := u.fleet.Start(); err != nil {
-		return fmt.Errorf("start: %w (logs in %s)", err, dir)
+		return fmt.Errorf("start of the deployment: %w (logs in %s)", err, dir)
 	}
-	if err := u.underLoad(from, to); err != nil {
+	if err := u.upgradeUnderLoad(from, to); err != nil {
 		return fmt.Errorf("%w (logs in %s)", err, dir)
 	}
 	return os.RemoveAll(dir)
 }
 
-// link points the programs to those of a build.
-func (u *upgrade) link(build string) error {
+// linkPrograms points the links to the programs of a build.
+func (u *upgrade) linkPrograms(build string) error {
 	build, err := filepath.Abs(build)
 	if err != nil {
 		return err
@@ -102,9 +108,9 @@
 	return nil
 }
 
-// underLoad upgrades and downgrades while callers send orders, and compares
-// what they were told with what the upstreams ran.
-func (u *upgrade) underLoad(from, to string) error {
+// upgradeUnderLoad upgrades and downgrades while callers send orders, and then checks the
+// verdicts that they got.
+func (u *upgrade) upgradeUnderLoad(from, to string) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	l := &fleet.LoadGenerator{
@@ -114,25 +120,25 @@
 			return []string{u.fleet.Nodes[a].Entry, u.fleet.Nodes[b].Entry}
 		},
 	}
-	if err := u.write(); err != nil {
+	if err := u.changeSetting(); err != nil {
 		return err
 	}
 	l.Start(ctx)
 	for _, build := range []string{to, from} {
 		for _, n := range spec.Nodes {
-			if err := u.replace(n.ID, build); err != nil {
-				return fmt.Errorf("%s to %s: %w", n.ID, build, err)
+			if err := u.replaceInstance(n.ID, build); err != nil {
+				return fmt.Errorf("replacing %s by build %s: %w", n.ID, build, err)
 			}
 		}
 	}
 	cancel()
-	return u.judge(l.Wait())
+	return u.checkOutcomes(l.Wait())
 }
 
-// replace stops an instance, starts it as another build, and writes and reads
-// settings in the mixed deployment.
-func (u *upgrade) replace(node, build string) error {
-	if err := u.link(build); err != nil {
+// replaceInstance stops an instance, starts it with the programs of another build, changes
+// a setting and checks that all instances agree on it.
+func (u *upgrade) replaceInstance(node, build string) error {
+	if err := u.linkPrograms(build); err != nil {
 		return err
 	}
 	for _, name := range []string{fleet.Entry, fleet.Director, fleet.Agent} {
@@ -142,7 +148,7 @@
 		}
 		<-p.Done()
 		if err := p.Err(); err != nil {
-			return fmt.Errorf("%s: %w", p.Name, err)
+			return fmt.Errorf("planned stop of %s: %w", p.Name, err)
 		}
 	}
 	if err := u.fleet.StartNode(node); err != nil {
@@ -151,14 +157,14 @@
 	if err := u.fleet.WaitReady(node); err != nil {
 		return err
 	}
-	if err := u.write(); err != nil {
+	if err := u.changeSetting(); err != nil {
 		return err
 	}
-	return u.agree()
+	return u.checkSettingsAgree()
 }
 
-// write changes a setting at each instance in turn.
-func (u *upgrade) write() error {
+// changeSetting changes a setting. Successive calls use the instances in turn.
+func (u *upgrade) changeSetting() error {
 	node := spec.Nodes[u.changes%len(spec.Nodes)].ID
 	u.changes++
 	out, status := u.fleet.Ctl(node, "set", "/services/orders", fmt.Sprintf("deadline=%ds", 2+u.changes))
@@ -168,9 +174,9 @@
 	return nil
 }
 
-// agree waits until the last change is in force at every instance, and compares
-// what each tells operators of it.
-func (u *upgrade) agree() error {
+// checkSettingsAgree waits until the last change is in force at every instance, and
+// compares the explanation of the setting that each gives to operators.
+func (u *upgrade) checkSettingsAgree() error {
 	var ids []string
 	for _, n := range spec.Nodes {
 		ids = append(ids, n.ID)
@@ -188,14 +194,16 @@
 			first = out
 		}
 		if out != first {
-			return fmt.Errorf("%s explains %q, %s explains %q", ids[0], first, id, out)
+			return fmt.Errorf("settings differ: %s explains %q, %s explains %q", ids[0], first, id, out)
 		}
 	}
 	fmt.Printf("revision %d everywhere: %s\n", u.changes, first)
 	return nil
 }
 
-func (u *upgrade) judge(outcomes []fleet.Outcome) error {
+// checkOutcomes compares the callers' verdicts with what the upstreams ran. It returns an
+// error on a contradiction, and if a request may have run.
+func (u *upgrade) checkOutcomes(outcomes []fleet.Outcome) error {
 	runs, err := u.fleet.Runs()
 	if err != nil {
 		return err
@@ -203,7 +211,7 @@
 	n := fleet.CountVerdicts(outcomes)
 	fmt.Printf("%d sent, %d ran, %d not run, %d unsure\n", len(outcomes), n[verdict.Ran], n[verdict.NotRun], n[verdict.MayHaveRun])
 	if faults := fleet.CheckOutcomes(outcomes, fleet.CountRuns(runs), true); len(faults) > 0 {
-		return fmt.Errorf("%d contradictions, the first: %s", len(faults), faults[0])
+		return fmt.Errorf("%d contradictions between verdicts and runs, the first: %s", len(faults), faults[0])
 	}
 	if n[verdict.MayHaveRun] > 0 {
 		return errors.New("a request was cut off by a planned stop")
