--- a/test/docs/docs_test.go
+++ b/test/docs/docs_test.go
@@ -1,5 +1,4 @@
-// Package docs keeps the pages and examples that are made from code in step
-// with it.
+// Package docs checks that generated pages and the examples match the code.
 package docs
 
 import (
@@ -13,7 +12,7 @@
 	"github.com/loomkeel/loomkeel/internal/tree"
 )
 
-var update = flag.Bool("update", false, "write docs/SETTINGS.md anew")
+var update = flag.Bool("update", false, "generate docs/SETTINGS.md")
 
 const intro = `# Settings
 
@@ -33,7 +32,8 @@
 
 `
 
-// TestSettingsPage compares docs/SETTINGS.md with the code.
+// TestSettingsPage compares docs/SETTINGS.md with the page generated from the code. With
+// -update it writes the page first.
 func TestSettingsPage(t *testing.T) {
 	want := intro + settings.Markdown() + treeIntro + tree.Markdown()
 	file := filepath.Join("..", "..", "docs", "SETTINGS.md")
@@ -47,15 +47,15 @@
 		t.Fatal(err)
 	}
 	if string(got) != want {
-		t.Error("docs/SETTINGS.md is not what the code says; run: go test ./test/docs -update")
+		t.Error("docs/SETTINGS.md differs from the page generated from the code; run: go test ./test/docs -update")
 	}
 }
 
-// TestExamples loads every example as an operator would.
+// TestExamples loads every example file by the functions that the commands use.
 func TestExamples(t *testing.T) {
 	files, err := filepath.Glob("../../examples/*/*.ini")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("%d examples, %v", len(files), err)
+		t.Fatalf("%d examples found, error %v", len(files), err)
 	}
 	for _, f := range files {
 		if filepath.Base(f) == "tree.ini" {
--- a/test/play/main.go
+++ b/test/play/main.go
@@ -1,5 +1,6 @@
-// Command play compares policies of placing, queueing and refusing: it plays named loads
-// and random deployments in virtual time and prints what callers get under each.
+// Command play compares policies for placing, queueing and refusing requests. It simulates
+// named loads and random deployments in virtual time and prints the results of callers'
+// requests under each policy.
 package main
 
 import (
@@ -22,45 +23,47 @@
 func main() {
 	cmd := &urfave.Command{
 		Name:  name,
-		Usage: "play load against the decisions alone and compare policies",
-		Flags: []urfave.Flag{&urfave.StringFlag{Name: "settings", Usage: "INI `FILE` with a section [play]: deployments, first_seed, policies, loads"}},
+		Usage: "simulate load and compare policies for placing, queueing and refusing requests",
+		Flags: []urfave.Flag{&urfave.StringFlag{Name: "settings", Usage: "INI `FILE` with a section [play] and its keys deployments, first_seed, policies, loads"}},
 		Action: func(_ context.Context, c *urfave.Command) error {
 			s, err := load(c.String("settings"))
 			if err != nil {
 				return err
 			}
-			playNamed(s)
-			return playRandom(s)
+			compareNamed(s)
+			return compareRandom(s)
 		},
 	}
 	cli.Exit(name, cmd.Run(context.Background(), os.Args))
 }
 
-// names returns the keys of a map in order.
+// names returns the keys of a map, sorted.
 func names[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// columns are the heads of what row prints: shares of all requests.
+// columns are the column heads of a row: the value of the answers, then shares of all
+// requests.
 const columns = "worth | in time | late | refused | failed"
 
+// row returns the cells of a tally in a table row.
 func row(t sim.Tally) string {
-	asked := float64(max(1, t.Asked))
+	sent := float64(max(1, t.Asked))
 	return fmt.Sprintf("%.3f | %.3f | %.3f | %.3f | %.3f", t.Worth(),
-		float64(t.InTime)/asked, float64(t.Late)/asked, float64(t.Refused)/asked, float64(t.Failed)/asked)
+		float64(t.InTime)/sent, float64(t.Late)/sent, float64(t.Refused)/sent, float64(t.Failed)/sent)
 }
 
-// playNamed prints a table for each named load.
-func playNamed(s settings) {
+// compareNamed simulates the named loads and prints a table for each.
+func compareNamed(s settings) {
 	for _, load := range s.Loads {
 		fmt.Printf("\n### %s\n\n| policy | %s |\n| --- | --- | --- | --- | --- | --- |\n", load, columns)
 		for _, policy := range s.Policies {
-			sum := sim.New(sim.Named[load](), uint64(s.FirstSeed), sim.Policies[policy]).Run().Total()
-			fmt.Printf("| %s | %s |\n", policy, row(sum))
+			total := sim.New(sim.Named[load](), uint64(s.FirstSeed), sim.Policies[policy]).Run().Total()
+			fmt.Printf("| %s | %s |\n", policy, row(total))
 		}
 	}
 }
 
-// playRandom prints a table over random deployments.
-func playRandom(s settings) error {
+// compareRandom simulates random deployments and prints a table of the results of all.
+func compareRandom(s settings) error {
 	if s.Deployments == 0 {
 		return nil
 	}
@@ -68,16 +71,16 @@
 	fmt.Printf("| policy | mean worth | worst tenth | %s |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n", columns)
 	for _, policy := range s.Policies {
 		tallies := make([]sim.Tally, s.Deployments)
-		var plays errgroup.Group
-		plays.SetLimit(runtime.GOMAXPROCS(0))
+		var simulations errgroup.Group
+		simulations.SetLimit(runtime.GOMAXPROCS(0))
 		for i := range tallies {
-			plays.Go(func() error {
+			simulations.Go(func() error {
 				seed := uint64(s.FirstSeed + i)
 				tallies[i] = sim.New(sim.Random(seed), seed, sim.Policies[policy]).Run().Total()
 				return nil
 			})
 		}
-		if err := plays.Wait(); err != nil {
+		if err := simulations.Wait(); err != nil {
 			return err
 		}
 		mean, worst, all := summary(tallies)
@@ -86,18 +89,19 @@
 	return nil
 }
 
-// summary returns the mean worth, that of the worst tenth, and the sum.
+// summary returns the mean of the tallies' values, the mean of the lowest tenth of them,
+// and the sum of the tallies.
 func summary(tallies []sim.Tally) (mean, worst float64, all sim.Tally) {
-	worths := make([]float64, len(tallies))
+	values := make([]float64, len(tallies))
 	for i, t := range tallies {
-		worths[i] = t.Worth()
-		mean += worths[i] / float64(len(tallies))
+		values[i] = t.Worth()
+		mean += values[i] / float64(len(tallies))
 		all = all.Plus(t)
 	}
-	slices.Sort(worths)
-	tenth := max(1, len(worths)/10)
-	for _, w := range worths[:tenth] {
-		worst += w / float64(tenth)
+	slices.Sort(values)
+	tenth := max(1, len(values)/10)
+	for _, v := range values[:tenth] {
+		worst += v / float64(tenth)
 	}
 	return mean, worst, all
 }
--- a/test/play/settings.go
+++ b/test/play/settings.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// maxDeployments bounds the random deployments of one run; 1,000 take some minutes.
+	// maxDeployments limits the random deployments of one run; 1,000 take some minutes.
 	maxDeployments = 1000
-	// maxSeed bounds the first seed.
+	// maxSeed limits the first seed.
 	maxSeed = 1 << 30
 )
 
-// settings say what is played.
+// settings holds what to simulate.
 type settings struct {
-	// Deployments is how many random deployments are played, from FirstSeed on.
+	// Deployments is the number of random deployments. Their seeds count up from FirstSeed.
 	Deployments int
 	FirstSeed   int
 	Policies    []string
-	// Loads are named loads that are played beside them.
+	// Loads are the names of the loads to simulate besides.
 	Loads []string
 }
 
-// load reads a settings file; without one the defaults hold. Its error has all faults,
-// each with file, key, value and what is allowed.
+// load reads a settings file. An empty path returns the defaults. The error joins all
+// faults, each with file, key, value and the allowed values.
 func load(path string) (settings, error) {
 	s := settings{Deployments: 40, FirstSeed: 1, Policies: names(sim.Policies), Loads: names(sim.Named)}
 	if path == "" {
@@ -57,7 +57,7 @@
 	return s, errors.Join(r.faults...)
 }
 
-// reader reads keys and collects their faults.
+// reader reads the keys of a section and collects the known keys and all faults.
 type reader struct {
 	path    string
 	section *ini.Section
@@ -65,14 +65,17 @@
 	faults  []error
 }
 
+// fault records that a key has a value that is not allowed.
 func (r *reader) fault(key, value, allowed string) {
 	r.faults = append(r.faults, fmt.Errorf("%s: %s = %q; allowed: %s", r.path, key, value, allowed))
 }
 
-func (r *reader) number(key string, otherwise, least, most int) int {
+// number returns the value of a key, which must be from least to most, or fallback if the
+// key is missing.
+func (r *reader) number(key string, fallback, least, most int) int {
 	r.known = append(r.known, key)
 	if !r.section.HasKey(key) {
-		return otherwise
+		return fallback
 	}
 	n, err := r.section.Key(key).Int()
 	if err != nil || n < least || n > most {
@@ -81,10 +84,12 @@
 	return n
 }
 
-func (r *reader) list(key string, otherwise, allowed []string) []string {
+// list returns the comma-separated values of a key, each of which must be in allowed, or
+// fallback if the key is missing.
+func (r *reader) list(key string, fallback, allowed []string) []string {
 	r.known = append(r.known, key)
 	if !r.section.HasKey(key) {
-		return otherwise
+		return fallback
 	}
 	list := r.section.Key(key).Strings(",")
 	for _, name := range list {
