--- a/test/measure/bench.go
+++ b/test/measure/bench.go
@@ -13,17 +13,19 @@
 	"github.com/loomkeel/loomkeel/test/fleet"
 )
 
-// bench loads one deployment.
+// bench loads one deployment in phases.
 type bench struct {
 	fleet      *fleet.Fleet
 	deployment deployment
-	phase      int
+	// phase is the number of the current phase, from 1.
+	phase int
 }
 
-// callers is how many client addresses there are; each looks up once a phase.
+// callers is the number of client addresses. Each does one look-up per phase.
 const callers = 240
 
-// configure sets the services up as the users describe them.
+// configure sets the services' settings and the client blocks of the regions, and waits
+// until they are in force at all entries.
 func (b *bench) configure() error {
 	for _, s := range b.deployment.services {
 		args := []string{"set", "/services/" + s.name, "repeat=" + s.repeat, "deadline=" + s.deadline.String(), "queue=64", "queue_wait=100ms"}
@@ -44,14 +46,14 @@
 	return b.fleet.WaitRevision(uint64(len(b.deployment.services)+len(b.deployment.regions)), ids...)
 }
 
-// phases runs them all. Load is a share of all slots.
+// phases runs all phases. Load is the load as a share of all slots.
 func (b *bench) phases(length time.Duration) error {
 	first := b.deployment.regions[0]
 	steps := []struct {
 		name string
 		load float64
-		// after is done a quarter into the phase.
-		after func() error
+		// action is called after a quarter of the phase.
+		action func() error
 	}{
 		{"calm, 30%", 0.3, nil},
 		{"rush, 90%", 0.9, nil},
@@ -62,23 +64,25 @@
 		{"region's upstreams killed, 50%", 0.5, func() error { b.fleet.Proc("upstreams-" + first).Kill(); return nil }},
 	}
 	for _, s := range steps {
-		if err := b.run(s.name, s.load, length, s.after); err != nil {
-			return fmt.Errorf("%s: %w", s.name, err)
+		if err := b.run(s.name, s.load, length, s.action); err != nil {
+			return fmt.Errorf("phase %q: %w", s.name, err)
 		}
 		time.Sleep(time.Second)
 	}
 	return nil
 }
 
-// tally is what callers of one service were told in a phase.
+// tally counts the results of the requests to one service in a phase. Durations are those
+// of answers with status 200; inTime is the number of those within the deadline.
 type tally struct {
-	mu     sync.Mutex
-	took   []time.Duration
-	ends   map[verdict.Verdict]int
-	inTime int
+	mu        sync.Mutex
+	durations []time.Duration
+	verdicts  map[verdict.Verdict]int
+	inTime    int
 }
 
-func (b *bench) run(name string, load float64, length time.Duration, after func() error) error {
+// run runs one phase and prints a row for each service.
+func (b *bench) run(name string, load float64, length time.Duration, action func() error) error {
 	b.phase++
 	ctx, cancel := context.WithTimeout(context.Background(), length)
 	defer cancel()
@@ -92,14 +96,14 @@
 	tallies := make([]*tally, len(b.deployment.services))
 	var wg sync.WaitGroup
 	for i, s := range b.deployment.services {
-		tallies[i] = &tally{ends: make(map[verdict.Verdict]int)}
-		rate := load * float64(s.targets*s.slots) / s.work.Seconds()
-		wg.Go(func() { b.arrivals(ctx, s, rate, entries, tallies[i]) })
+		tallies[i] = &tally{verdicts: make(map[verdict.Verdict]int)}
+		rate := load * float64(s.upstreams*s.slots) / s.serviceTime.Seconds()
+		wg.Go(func() { b.generateLoad(ctx, s, rate, entries, tallies[i]) })
 	}
 	var failed error
-	if after != nil {
+	if action != nil {
 		time.Sleep(length / 4)
-		failed = after()
+		failed = action()
 	}
 	wg.Wait()
 	for i, s := range b.deployment.services {
@@ -108,7 +112,7 @@
 	return failed
 }
 
-// lookups asks directors for each caller, at the start of a phase.
+// lookups returns for each caller the entry addresses that a director names.
 func (b *bench) lookups() ([][]string, error) {
 	out := make([][]string, callers)
 	service := b.deployment.services[0].name
@@ -125,15 +129,16 @@
 			break
 		}
 		if len(out[c]) == 0 {
-			return nil, fmt.Errorf("no director answers caller %s", client)
+			return nil, fmt.Errorf("no director names an entry to caller %s", client)
 		}
 	}
 	return out, nil
 }
 
-// arrivals sends requests at a rate with exponential gaps until ctx ends, and
-// waits for their answers.
-func (b *bench) arrivals(ctx context.Context, s service, rate float64, entries [][]string, t *tally) {
+// generateLoad sends requests to a service until ctx ends, and waits for their answers.
+// The gaps between requests are distributed exponentially; rate is the mean number per
+// second.
+func (b *bench) generateLoad(ctx context.Context, s service, rate float64, entries [][]string, t *tally) {
 	rnd := rand.New(rand.NewPCG(uint64(b.phase), uint64(len(s.name))))
 	var wg sync.WaitGroup
 	next := time.Now()
@@ -151,8 +156,8 @@
 	}
 }
 
-// send sends a request to one entry after the other while it is told that it was
-// not run for want of the entry, and counts how it ended.
+// send sends a request to one entry after the other while entries cannot be reached, and
+// counts its result.
 func (t *tally) send(s service, id string, entries []string) {
 	start := time.Now()
 	var r fleet.Reply
@@ -165,58 +170,62 @@
 			break
 		}
 	}
-	took := time.Since(start)
+	duration := time.Since(start)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.ends[r.CallerVerdict()]++
+	t.verdicts[r.CallerVerdict()]++
 	if r.Err == nil && r.Status == http.StatusOK {
-		t.took = append(t.took, took)
-		if took <= s.deadline {
+		t.durations = append(t.durations, duration)
+		if duration <= s.deadline {
 			t.inTime++
 		}
 	}
 }
 
+// print prints the row of a service for a phase.
 func (b *bench) print(phase string, s service, t *tally) {
 	sent := 0
-	for _, n := range t.ends {
+	for _, n := range t.verdicts {
 		sent += n
 	}
-	slices.Sort(t.took)
+	slices.Sort(t.durations)
 	q := func(p float64) string {
-		if len(t.took) == 0 {
+		if len(t.durations) == 0 {
 			return "-"
 		}
-		return fmt.Sprintf("%.1f", float64(t.took[int(p*float64(len(t.took)-1))].Microseconds())/1000)
+		return fmt.Sprintf("%.1f", float64(t.durations[int(p*float64(len(t.durations)-1))].Microseconds())/1000)
 	}
 	fmt.Printf("| %s | %s | %d | %.2f%% | %s | %s | %s | %d | %d | %s |\n", phase, s.name, sent,
 		100*float64(t.inTime)/float64(max(sent, 1)), q(0.5), q(0.99), q(0.999),
-		t.ends[verdict.NotRun], t.ends[verdict.MayHaveRun], b.fullest(s))
+		t.verdicts[verdict.NotRun], t.verdicts[verdict.MayHaveRun], b.fullestRegion(s))
 }
 
-// fullest returns the region that came nearest to its slots.
-func (b *bench) fullest(s service) string {
-	slots := s.targets * s.slots / len(b.deployment.regions)
-	best, at := "-", -1
+// fullestRegion returns the region with the highest peak of requests in flight, with that
+// peak and its slots.
+func (b *bench) fullestRegion(s service) string {
+	slots := s.upstreams * s.slots / len(b.deployment.regions)
+	fullest, highest := "-", -1
 	for _, r := range b.deployment.regions {
 		peak, err := b.fleet.PeakInFlight(s.name, r)
-		if err == nil && peak > at {
-			best, at = fmt.Sprintf("%s: %d of %d", r, peak, slots), peak
+		if err == nil && peak > highest {
+			fullest, highest = fmt.Sprintf("%s: %d of %d", r, peak, slots), peak
 		}
 	}
-	return best
+	return fullest
 }
 
+// resetPeaks resets the peaks of requests in flight at all upstreams that still run.
 func (b *bench) resetPeaks() error {
 	for _, u := range b.fleet.Upstreams {
 		if err := fleet.Post(u.Address, "/-/peak/reset"); err != nil {
-			continue // the upstream is dead
+			continue // the upstream was killed
 		}
 	}
 	return nil
 }
 
-// drain announces a drain and prints when the last request there ended.
+// drain drains a failure domain and prints how long after the announcement the last
+// request ended there.
 func (b *bench) drain(region, domain string) error {
 	start := time.Now()
 	out, status := b.fleet.Ctl(b.fleet.Spec.Nodes[0].ID, "drain", "work", "--region", region, "--domain", domain)
@@ -240,6 +249,7 @@
 	return nil
 }
 
+// domainOf returns the failure domain of an upstream.
 func (b *bench) domainOf(upstream string) string {
 	for _, u := range b.fleet.Upstreams {
 		if u.ID == upstream {
@@ -249,7 +259,7 @@
 	return ""
 }
 
-// kill kills every process of a failure domain's instances.
+// kill kills all processes of a failure domain's instances.
 func (b *bench) kill(domain string) error {
 	for _, n := range b.fleet.Spec.Nodes {
 		if n.Domain != domain {
--- a/test/measure/main.go
+++ b/test/measure/main.go
@@ -1,7 +1,8 @@
-// Command measure runs both users' deployments at their true sizes as real
-// processes and prints what callers, upstreams and drains see: calm, rush,
-// overload, a drain, a failure domain lost, a region lost. Latency between
-// regions is not emulated.
+// Command measure runs both users' deployments at their full size as real
+// processes. It prints a table of the results of callers' requests, and of the
+// load of upstreams, in phases: calm, rush, overload, a drain, the loss of a
+// failure domain and the loss of a region. Latency between regions is not
+// emulated.
 package main
 
 import (
@@ -13,26 +14,28 @@
 	"github.com/loomkeel/loomkeel/test/fleet"
 )
 
-// service is one service of a deployment.
+// service is one service of a deployment: upstreams is the number of its upstreams in all
+// regions, slots the number of slots of each.
 type service struct {
-	name    string
-	method  string
-	repeat  string
-	targets int
-	slots   int
-	// work is how long one request takes. The users give none; these are chosen
-	// so that all slots together are within what this machine can load.
-	work     time.Duration
-	deadline time.Duration
+	name      string
+	method    string
+	repeat    string
+	upstreams int
+	slots     int
+	// serviceTime is the time that an upstream takes for one request. The users give
+	// none; it is chosen long enough for one machine to generate the load for all slots.
+	serviceTime time.Duration
+	deadline    time.Duration
 }
 
-// deployment is one user's.
+// deployment is that of one user.
 type deployment struct {
 	name     string
 	regions  []string
 	services []service
 }
 
+// deployments are those of both users.
 var deployments = []deployment{
 	{"garden centres", []string{"muscat", "batinah", "dakhiliyah"}, []service{
 		{"stock", "GET", "safe", 24, 9, 100 * time.Millisecond, 2 * time.Second},
@@ -62,9 +65,10 @@
 	}
 }
 
-// spec has two instances in each failure domain, twelve in all.
+// spec returns the deployment with two failure domains in each region and two instances in
+// each failure domain, twelve in all.
 func (d deployment) spec() fleet.Spec {
-	s := fleet.Spec{Linger: time.Second, ServiceTime: d.services[0].work}
+	s := fleet.Spec{Linger: time.Second, ServiceTime: d.services[0].serviceTime}
 	for _, region := range d.regions {
 		for _, letter := range []string{"a", "b"} {
 			domain := region + "-" + letter
@@ -74,7 +78,7 @@
 			for _, svc := range d.services {
 				s.UpstreamGroups = append(s.UpstreamGroups, fleet.UpstreamGroup{
 					Service: svc.name, Region: region, Domain: domain,
-					Count: svc.targets / (2 * len(d.regions)), Slots: svc.slots,
+					Count: svc.upstreams / (2 * len(d.regions)), Slots: svc.slots,
 				})
 			}
 		}
@@ -82,6 +86,7 @@
 	return s
 }
 
+// measure runs one deployment through all phases and prints its table.
 func measure(bin string, d deployment, phase time.Duration) error {
 	dir, err := os.MkdirTemp("", "loomkeel-measure-")
 	if err != nil {
--- a/test/overhead/main.go
+++ b/test/overhead/main.go
@@ -1,6 +1,6 @@
-// Command overhead measures what an entry adds to a request against a direct
-// call to the same upstream, and what a look-up costs a director, on real
-// processes: latency, processor time and memory allocated.
+// Command overhead measures the cost of requests through an entry, of direct
+// requests to the same upstream and of look-ups at a director, on real
+// processes: latency, processor time and allocated memory.
 package main
 
 import (
@@ -25,7 +25,7 @@
 	bin := flag.String("bin", "bin", "directory of the binaries")
 	requests := flag.Int("requests", 20000, "requests of each kind")
 	callers := flag.Int("callers", 4, "callers at one time")
-	rounds := flag.Int("rounds", 5, "rounds, each direct and through the entry in turn")
+	rounds := flag.Int("rounds", 5, "rounds, each of which measures all kinds of requests in turn")
 	flag.Parse()
 	if err := run(*bin, *requests, *callers, *rounds); err != nil {
 		fmt.Fprintln(os.Stderr, "overhead:", err)
@@ -33,6 +33,7 @@
 	}
 }
 
+// spec is the deployment: one instance and one upstream.
 var spec = fleet.Spec{
 	Nodes: []fleet.Node{{ID: "n1", Region: "muscat", Domain: "muscat-a"}},
 	UpstreamGroups: []fleet.UpstreamGroup{
@@ -41,6 +42,7 @@
 	Linger: time.Second,
 }
 
+// run measures all targets in turn in each round and prints the totals over the rounds.
 func run(bin string, requests, callers, rounds int) error {
 	dir, err := os.MkdirTemp("", "loomkeel-overhead-")
 	if err != nil {
@@ -64,51 +66,54 @@
 		{"look-up at the director", a.Director, lookup, f.Proc("n1-director"), a.DirectorDebug},
 	}
 	fmt.Printf("%d requests of each kind in %d rounds, %d callers\n", requests*rounds, rounds, callers)
-	all := make([]cost, len(targets))
+	totals := make([]cost, len(targets))
 	for range rounds {
 		for i, t := range targets {
 			c, err := t.measure(requests, callers)
 			if err != nil {
 				return fmt.Errorf("%s: %w", t.name, err)
 			}
-			all[i].add(c)
+			totals[i].add(c)
 		}
 	}
 	for i, t := range targets {
-		fmt.Printf("%-24s %s\n", t.name, all[i].String())
+		fmt.Printf("%-24s %s\n", t.name, totals[i].String())
 	}
-	direct, through := all[0], all[1]
+	direct, through := totals[0], totals[1]
 	fmt.Printf("the entry adds p50 %v, p99 %v\n", through.quantile(0.5)-direct.quantile(0.5), through.quantile(0.99)-direct.quantile(0.99))
 	return nil
 }
 
-// target is what is measured.
+// target is a process to measure: the address and text of the HTTP request to send to it,
+// and its debug address, empty if it has none.
 type target struct {
 	name, addr, request string
 	proc                *fleet.Proc
 	debug               string
 }
 
-// cost is what requests took.
+// cost is the cost of requests: the duration of each, and the processor time and the bytes
+// allocated by the target for all of them.
 type cost struct {
-	took  []time.Duration
-	cpu   time.Duration
-	alloc int64
+	durations []time.Duration
+	cpu       time.Duration
+	alloc     int64
 }
 
 func (c *cost) add(o cost) {
-	c.took = append(c.took, o.took...)
+	c.durations = append(c.durations, o.durations...)
 	c.cpu += o.cpu
 	c.alloc += o.alloc
 }
 
+// quantile returns a quantile of the durations, with q from 0 to 1.
 func (c *cost) quantile(q float64) time.Duration {
-	slices.Sort(c.took)
-	return c.took[int(q*float64(len(c.took)-1))]
+	slices.Sort(c.durations)
+	return c.durations[int(q*float64(len(c.durations)-1))]
 }
 
 func (c *cost) String() string {
-	n := len(c.took)
+	n := len(c.durations)
 	s := fmt.Sprintf("p50 %8v p99 %8v  %6.0f requests per second of processor time", c.quantile(0.5), c.quantile(0.99), float64(n)/c.cpu.Seconds())
 	if c.alloc > 0 {
 		s += fmt.Sprintf(", %d bytes allocated each", c.alloc/int64(n))
@@ -116,6 +121,7 @@
 	return s
 }
 
+// measure sends requests from callers in parallel and returns their cost.
 func (t target) measure(requests, callers int) (cost, error) {
 	cpu, alloc := cpuOf(t.proc.PID()), allocated(t.debug)
 	var wg sync.WaitGroup
@@ -124,10 +130,10 @@
 	var failed error
 	for range callers {
 		wg.Go(func() {
-			took, err := t.call(requests / callers)
+			durations, err := t.call(requests / callers)
 			mu.Lock()
 			defer mu.Unlock()
-			c.took = append(c.took, took...)
+			c.durations = append(c.durations, durations...)
 			if err != nil {
 				failed = err
 			}
@@ -138,7 +144,8 @@
 	return c, failed
 }
 
-// call sends n requests over one connection, one after the other.
+// call sends n requests over one connection, one after the other, and returns their
+// durations.
 func (t target) call(n int) ([]time.Duration, error) {
 	conn, err := net.Dial("tcp", t.addr)
 	if err != nil {
@@ -146,28 +153,29 @@
 	}
 	defer conn.Close()
 	r := bufio.NewReader(conn)
-	took := make([]time.Duration, 0, n)
+	durations := make([]time.Duration, 0, n)
 	for range n {
 		start := time.Now()
 		if _, err := io.WriteString(conn, t.request); err != nil {
-			return took, err
+			return durations, err
 		}
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil {
-			return took, err
+			return durations, err
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil || resp.StatusCode != http.StatusOK {
-			return took, fmt.Errorf("answer %s, %v", resp.Status, err)
+			return durations, fmt.Errorf("answer has status %s, read error %v", resp.Status, err)
 		}
-		took = append(took, time.Since(start))
+		durations = append(durations, time.Since(start))
 	}
-	return took, nil
+	return durations, nil
 }
 
-// ticksPerSecond is the unit of processor time in /proc.
+// ticksPerSecond is USER_HZ, the unit of processor time in /proc/PID/stat.
 const ticksPerSecond = 100
 
-// cpuOf returns the processor time that a process has used.
+// cpuOf returns the processor time (user and system) that a process has used, 0 if it
+// cannot be read.
 func cpuOf(pid int) time.Duration {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -179,7 +187,8 @@
 	return time.Duration(user+system) * time.Second / ticksPerSecond
 }
 
-// allocated returns the bytes that a process has allocated so far.
+// allocated returns the bytes that a process has allocated so far, read from its debug
+// address, or 0 without one.
 func allocated(debug string) int64 {
 	if debug == "" {
 		return 0
--- a/test/slopes/fleet.go
+++ b/test/slopes/fleet.go
@@ -22,14 +22,14 @@
 	"github.com/loomkeel/loomkeel/internal/tree"
 )
 
-// member is one agent of the measured fleet.
+// member is one agent of the measured cluster with its traffic counters.
 type member struct {
 	*agent.Agent
 	traffic *rpc.Traffic
 	dialer  *rpc.Dialer
 }
 
-// cluster is a fleet of agents in this process.
+// cluster is a number of agents in this process that share a store.
 type cluster struct {
 	members []*member
 	store   *standin.Store
@@ -37,6 +37,7 @@
 	done    sync.WaitGroup
 }
 
+// measureFleets measures a cluster of each size of the flag agents.
 func measureFleets(ctx context.Context, c *cli.Command) error {
 	klog.SetOutput(nil)
 	klog.LogToStderr(false)
@@ -50,7 +51,8 @@
 	return nil
 }
 
-// usage is what a fleet has spent.
+// usage is what a cluster has used up to a time: processor time, bytes by kind and member,
+// and calls of the store.
 type usage struct {
 	at    time.Time
 	cpu   time.Duration
@@ -58,6 +60,7 @@
 	calls int64
 }
 
+// usage returns what the cluster has used up to now.
 func (c *cluster) usage() usage {
 	u := usage{at: time.Now(), cpu: cpuTime(), bytes: make(map[string][]int64)}
 	for _, m := range c.members {
@@ -69,26 +72,29 @@
 	return u
 }
 
+// cpuTime returns the processor time (user and system) of this process.
 func cpuTime() time.Duration {
 	var r syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &r)
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
 }
 
+// measureFleet starts a cluster of n agents, measures it when idle and under changes, and
+// prints a row.
 func measureFleet(ctx context.Context, c *cli.Command, n int) error {
-	f, err := start(ctx, n, c.Int("per-domain"))
+	f, err := startCluster(ctx, n, c.Int("per-domain"))
 	if err != nil {
 		return err
 	}
-	defer f.end()
+	defer f.shutDown()
 	if err := f.settle(n); err != nil {
 		return err
 	}
-	f.addGhosts(c.Int("ghosts"), c.Int("per-domain"))
+	f.addSyntheticMembers(c.Int("ghosts"), c.Int("per-domain"))
 	before := f.usage()
 	time.Sleep(c.Duration("idle"))
 	idle := f.usage()
-	times, err := f.changes(c.Int("changes"), c.Duration("gap"))
+	times, err := f.commitChanges(c.Int("changes"), c.Duration("gap"))
 	if err != nil {
 		return err
 	}
@@ -97,8 +103,8 @@
 	return nil
 }
 
-// print writes one row. What the changes cost is what was spent beyond the
-// idle rate.
+// print prints the row of a cluster. The cost of changes is the usage above the idle rate
+// during them.
 func (c *cluster) print(n, changes int, before, idle, after usage, times []time.Duration) {
 	idleFor, busyFor := idle.at.Sub(before.at).Seconds(), after.at.Sub(idle.at).Seconds()
 	idleBytes := float64(sum(idle.bytes["all"])-sum(before.bytes["all"])) / idleFor
@@ -113,15 +119,15 @@
 	}
 	fmt.Printf("%6d %7d | %8.0f %8.3f %8.1f | %s | %s | %8.0f %8.1f %6.1f | %v %v %v\n",
 		n, len(domains), idleBytes/float64(n), 100*idleCPU/float64(n), idleCalls,
-		c.roles(before, idle, idleFor), c.roles(idle, after, float64(changes)),
+		c.bytesByRole(before, idle, idleFor), c.bytesByRole(idle, after, float64(changes)),
 		(busyBytes-idleBytes*busyFor)/float64(n*changes),
 		1e6*(busyCPU-idleCPU*busyFor)/float64(n*changes),
 		(busyCalls-idleCalls*busyFor)/float64(changes),
 		quantile(times, 0.5), quantile(times, 0.99), quantile(times, 1))
 }
 
-// roles returns the mean bytes by role between two times, divided by per.
-func (c *cluster) roles(from, to usage, per float64) string {
+// bytesByRole returns the mean bytes of an agent by role between two times, divided by per.
+func (c *cluster) bytesByRole(from, to usage, per float64) string {
 	total, count := make(map[string]int64), make(map[string]int64)
 	for i, m := range c.members {
 		role := roleOf(m)
@@ -137,6 +143,8 @@
 	return s
 }
 
+// roleOf returns an agent's role in the propagation of changes: reader of the store, inner
+// node of the tree or leaf.
 func roleOf(m *member) string {
 	p := m.Dump().Plan
 	switch {
@@ -156,13 +164,14 @@
 	return s
 }
 
+// quantile returns a quantile of durations, with q from 0 to 1, rounded to milliseconds.
 func quantile(ds []time.Duration, q float64) time.Duration {
 	slices.Sort(ds)
 	return ds[int(q*float64(len(ds)-1))].Round(time.Millisecond)
 }
 
-// start runs n agents that all know the first.
-func start(ctx context.Context, n, perDomain int) (*cluster, error) {
+// startCluster starts n agents. Their only seed is the first agent.
+func startCluster(ctx context.Context, n, perDomain int) (*cluster, error) {
 	ctx, stop := context.WithCancel(ctx)
 	c := &cluster{store: standin.NewStore(), stop: stop}
 	list := standin.NewInstanceList(nil)
@@ -181,6 +190,7 @@
 	return c, nil
 }
 
+// startAgent starts the agent with index i.
 func (c *cluster) startAgent(ctx context.Context, i, perDomain int, seed string, list coordination.InstanceLister) (*member, error) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -212,7 +222,8 @@
 	return &member{a, traffic, dialer}, nil
 }
 
-func (c *cluster) end() {
+// shutDown stops all agents and waits until they have ended.
+func (c *cluster) shutDown() {
 	c.stop()
 	for _, m := range c.members {
 		_ = m.dialer.Close()
@@ -220,13 +231,13 @@
 	c.done.Wait()
 }
 
-// settleLimit bounds the wait for all agents to know each other.
-const settleLimit = 2 * time.Minute
+// settleTimeout limits the wait for complete member lists.
+const settleTimeout = 2 * time.Minute
 
-// settle waits until every agent knows every other, and a little longer until
-// the talk about it has died down.
+// settle waits until every agent has all n members in its list and no pending membership
+// updates, so that these do not count as idle traffic.
 func (c *cluster) settle(n int) error {
-	deadline := time.Now().Add(settleLimit)
+	deadline := time.Now().Add(settleTimeout)
 	for {
 		all := true
 		for _, m := range c.members {
@@ -237,7 +248,7 @@
 			break
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("the agents do not know each other after %v", settleLimit)
+			return fmt.Errorf("member lists of agents are incomplete after %v", settleTimeout)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
@@ -249,27 +260,29 @@
 	return nil
 }
 
-// addGhosts makes every agent believe in n more members, which stand in failure
-// domains of their own and answer at the addresses of the real ones. The tables
-// and what is worked out from them then have the size of a large fleet.
-func (c *cluster) addGhosts(n, perDomain int) {
-	var ghosts []membership.Member
+// addSyntheticMembers adds n members to the membership table of every agent. They are in
+// failure domains of their own and have the addresses of real agents, so that probes of
+// them are answered. The tables and what is computed from them then have the size of a
+// large cluster.
+func (c *cluster) addSyntheticMembers(n, perDomain int) {
+	var synthetic []membership.Member
 	for i := range n {
 		addr := c.members[i%len(c.members)].Table().Self().Agent
-		ghosts = append(ghosts, membership.Member{
+		synthetic = append(synthetic, membership.Member{
 			ID: fmt.Sprintf("ghost-%d", i), Incarnation: 1, State: membership.Alive,
 			Region: fmt.Sprintf("ghost-region-%d", i/perDomain/2), Domain: fmt.Sprintf("ghost-domain-%d", i/perDomain),
 			Agent: addr, Entry: "127.0.0.1:8000", Director: "127.0.0.1:8001",
 		})
 	}
 	for _, m := range c.members {
-		m.Table().AddMembers(time.Now(), ghosts)
+		m.Table().AddMembers(time.Now(), synthetic)
 	}
 }
 
-// changes commits changes one after the other at random agents and returns the
-// time from each acceptance to its being in force at all agents.
-func (c *cluster) changes(n int, gap time.Duration) ([]time.Duration, error) {
+// commitChanges commits n changes one after the other at random agents, with a pause of gap
+// after each. It returns the time of each from its acceptance until it is in force at all
+// agents.
+func (c *cluster) commitChanges(n int, gap time.Duration) ([]time.Duration, error) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	var times []time.Duration
 	for i := range n {
@@ -282,7 +295,7 @@
 			},
 		})
 		if r.Outcome != configlog.Accepted {
-			return nil, fmt.Errorf("change %d: %+v", i, r)
+			return nil, fmt.Errorf("change %d was not accepted: %+v", i, r)
 		}
 		accepted := time.Now()
 		for _, m := range c.members {
--- a/test/slopes/main.go
+++ b/test/slopes/main.go
@@ -1,6 +1,6 @@
-// Command slopes measures what the parts of loomkeel cost against their size:
-// bytes, processor time, memory and store calls. docs/CAPACITY.md is worked out
-// from what it prints.
+// Command slopes measures how the costs of the parts of loomkeel (bytes sent,
+// processor time, memory and store calls) grow with their size. The figures in
+// docs/CAPACITY.md are computed from its output.
 package main
 
 import (
@@ -23,7 +23,7 @@
 				Flags: []cli.Flag{
 					&cli.IntSliceFlag{Name: "agents", Value: []int{25, 50, 100, 200}, Usage: "fleet sizes"},
 					&cli.IntFlag{Name: "per-domain", Value: 32, Usage: "agents in a failure domain"},
-					&cli.IntFlag{Name: "ghosts", Usage: "members that every agent believes in besides, for tables of full size"},
+					&cli.IntFlag{Name: "ghosts", Usage: "synthetic members added to the member list of every agent, for tables of full size"},
 					&cli.IntFlag{Name: "changes", Value: 40, Usage: "configuration changes"},
 					&cli.DurationFlag{Name: "idle", Value: 10e9, Usage: "time without changes"},
 					&cli.DurationFlag{Name: "gap", Value: 250e6, Usage: "time between changes"},
@@ -36,7 +36,7 @@
 				Flags: []cli.Flag{
 					&cli.StringFlag{Name: "bin", Value: "bin", Usage: "directory of the binaries"},
 					&cli.IntFlag{Name: "blocks", Value: blocks},
-					&cli.IntFlag{Name: "upstreams", Value: upstreams, Usage: "upstreams in the platform's list of which nothing runs"},
+					&cli.IntFlag{Name: "upstreams", Value: upstreams, Usage: "further upstreams in the platform's instance list, for which no process runs"},
 				},
 				Action: measureProcesses,
 			},
@@ -49,6 +49,7 @@
 	}
 }
 
+// machine describes the Go version and machine of this process.
 func machine() string {
 	return fmt.Sprintf("%s, %s/%s, %d processors", runtime.Version(), runtime.GOOS, runtime.GOARCH, runtime.NumCPU())
 }
--- a/test/slopes/memory.go
+++ b/test/slopes/memory.go
@@ -15,7 +15,7 @@
 	"github.com/loomkeel/loomkeel/internal/tree"
 )
 
-// Sizes at which memory is measured: those to design for.
+// Sizes at which memory is measured. They are the sizes that the system is designed for.
 const (
 	blocks    = 370_000
 	upstreams = 3_400 * 12
@@ -24,34 +24,37 @@
 	regions   = 49
 )
 
-// keep holds what is measured, so that the collector leaves it.
-var keep []any
+// retained refers to all measured values, so that the garbage collector keeps them.
+var retained []any
 
+// measureMemory measures the heap that each large data structure needs.
 func measureMemory(context.Context, *cli.Command) error {
 	fmt.Println("machine:", machine())
-	t := grow("settings tree, per block", blocks, func() *tree.Tree { return blockTree(blocks) })
-	grow("block table of a director, per block", blocks, func() *route.Blocks { return route.NewBlocks(t, nil) })
-	grow("settings tree, per path with two keys", paths, pathTree)
-	list := grow("directory, per upstream", upstreams, directory)
-	all := grow("member list, per member", members, memberList)
-	grow("membership table, per member", members, func() *membership.Table { return memberTable(all) })
-	grow("snapshot of an entry, per upstream", upstreams, func() *model.Snapshot {
+	t := measureHeap("settings tree, per block", blocks, func() *tree.Tree { return blockTree(blocks) })
+	measureHeap("block table of a director, per block", blocks, func() *route.Blocks { return route.NewBlocks(t, nil) })
+	measureHeap("settings tree, per path with two keys", paths, pathTree)
+	list := measureHeap("directory, per upstream", upstreams, directory)
+	all := measureHeap("member list, per member", members, memberList)
+	measureHeap("membership table, per member", members, func() *membership.Table { return memberTable(all) })
+	measureHeap("snapshot of an entry, per upstream", upstreams, func() *model.Snapshot {
 		return model.Compile(model.Input{Region: "region-0", Tree: t, Directory: list, Members: all})
 	})
 	return nil
 }
 
-// grow prints by how many bytes of heap a value grows the process, per item.
-func grow[T any](what string, items int, build func() T) T {
-	before := heap()
+// measureHeap builds a value and prints by how many bytes the heap grew, in all and per
+// item. It returns the value.
+func measureHeap[T any](what string, items int, build func() T) T {
+	before := heapBytes()
 	v := build()
-	keep = append(keep, v)
-	grown := heap() - before
+	retained = append(retained, v)
+	grown := heapBytes() - before
 	fmt.Printf("%-42s %9d items %8.1f MB %8.1f B each\n", what, items, float64(grown)/1e6, float64(grown)/float64(items))
 	return v
 }
 
-func heap() int64 {
+// heapBytes returns the bytes of the heap in use after garbage collection.
+func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -59,7 +62,8 @@
 	return int64(m.HeapAlloc)
 }
 
-// blockTree has its blocks in one path per region, as an import would make it.
+// blockTree returns a tree of n client blocks in one path per region, as an import writes
+// them.
 func blockTree(n int) *tree.Tree {
 	var b tree.Builder
 	for i := range n {
@@ -71,6 +75,7 @@
 	return b.Tree()
 }
 
+// pathTree returns a tree of paths with two keys each.
 func pathTree() *tree.Tree {
 	var b tree.Builder
 	for i := range paths {
@@ -81,6 +86,7 @@
 	return b.Tree()
 }
 
+// directory returns a directory of upstreams.
 func directory() model.Directory {
 	d := model.Directory{Version: 1}
 	for i := range upstreams {
@@ -93,6 +99,7 @@
 	return d
 }
 
+// memberList returns live members with all addresses.
 func memberList() []membership.Member {
 	var out []membership.Member
 	for i := range members {
@@ -106,6 +113,7 @@
 	return out
 }
 
+// memberTable returns the membership table of the first member with all others in it.
 func memberTable(all []membership.Member) *membership.Table {
 	t := membership.NewTable(all[0], membership.DefaultConfig())
 	t.AddMembers(time.Time{}, all)
--- a/test/slopes/processes.go
+++ b/test/slopes/processes.go
@@ -17,14 +17,17 @@
 	"github.com/loomkeel/loomkeel/test/fleet"
 )
 
-// settleMemory gives the collector time after a start.
-const settleMemory = 5 * time.Second
+// memorySettleTime is the pause between a start and a measurement of memory, in which the
+// garbage collector runs.
+const memorySettleTime = 5 * time.Second
 
-// editsPerChange keeps a change within the largest record.
+// editsPerChange is the number of blocks per change, so that a change does not exceed the
+// largest record.
 const editsPerChange = 900
 
-// measureProcesses loads blocks into a small deployment of real processes and
-// prints the memory of each, and how soon a new instance has them.
+// measureProcesses loads client blocks into a small deployment of real processes. It prints
+// the memory of the processes before and after, and the time until a new instance is ready
+// with the blocks.
 func measureProcesses(ctx context.Context, c *cli.Command) error {
 	dir, err := os.MkdirTemp("", "loomkeel-slopes-")
 	if err != nil {
@@ -36,7 +39,7 @@
 		spec.Nodes = append(spec.Nodes, fleet.Node{ID: "n-" + d, Region: "muscat", Domain: "muscat-" + d})
 		spec.UpstreamGroups = append(spec.UpstreamGroups, fleet.UpstreamGroup{Service: "stock", Region: "muscat", Domain: "muscat-" + d, Count: 8, Slots: 9})
 	}
-	spec.PlaceholderUpstreams = phantoms(c.Int("upstreams"))
+	spec.PlaceholderUpstreams = placeholders(c.Int("upstreams"))
 	f, err := fleet.New(c.String("bin"), dir, spec)
 	if err != nil {
 		return err
@@ -58,11 +61,12 @@
 	fmt.Printf("%d blocks in %d changes, in force at 3 instances after %v\n", c.Int("blocks"), revision, time.Since(start).Round(time.Millisecond))
 	time.Sleep(5 * time.Second)
 	printMemory(f, "with blocks", "n-a", "n-b")
-	return restart(f, revision)
+	return replaceInstance(f, revision)
 }
 
-// phantoms are upstreams of which nothing runs.
-func phantoms(n int) []coordination.Instance {
+// placeholders returns n entries of upstreams for the instance list, for which no process
+// runs.
+func placeholders(n int) []coordination.Instance {
 	out := make([]coordination.Instance, n)
 	for i := range out {
 		out[i] = coordination.Instance{
@@ -74,6 +78,7 @@
 	return out
 }
 
+// loadBlocks writes n client blocks through the agent of n-a and returns the last revision.
 func loadBlocks(ctx context.Context, f *fleet.Fleet, n int) (uint64, error) {
 	client := f.Client("n-a")
 	var revision uint64
@@ -92,16 +97,16 @@
 			return 0, err
 		}
 		if r.Outcome != configlog.Accepted {
-			return 0, fmt.Errorf("change refused: %v", r.Faults)
+			return 0, fmt.Errorf("change of blocks was refused: %v", r.Faults)
 		}
 		revision = r.Revision
 	}
 	return revision, nil
 }
 
-// restart replaces an instance and prints how soon its entry and director are
-// ready with the newest revision.
-func restart(f *fleet.Fleet, revision uint64) error {
+// replaceInstance kills and starts the instance n-c, and prints the time until its entry and
+// director are ready with the newest revision, and their memory.
+func replaceInstance(f *fleet.Fleet, revision uint64) error {
 	for _, p := range []string{fleet.Entry, fleet.Director, fleet.Agent} {
 		f.Proc("n-c-" + p).Kill()
 	}
@@ -116,11 +121,12 @@
 		return err
 	}
 	fmt.Printf("replaced instance ready at revision %d after %v\n", revision, time.Since(start).Round(time.Millisecond))
-	time.Sleep(settleMemory)
+	time.Sleep(memorySettleTime)
 	printMemory(f, "replaced", "n-c")
 	return nil
 }
 
+// printMemory prints the memory of all processes of nodes.
 func printMemory(f *fleet.Fleet, when string, nodes ...string) {
 	for _, n := range nodes {
 		for _, p := range []string{fleet.Agent, fleet.Director, fleet.Entry} {
@@ -130,7 +136,8 @@
 	}
 }
 
-// memoryOf returns the resident memory of a process and its peak.
+// memoryOf returns the resident memory of a process and its peak as /proc shows them, or
+// "?" if they cannot be read.
 func memoryOf(pid int) (rss, peak string) {
 	b, err := os.ReadFile(filepath.Join("/proc", fmt.Sprint(pid), "status"))
 	if err != nil {
