--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
 GO ?= go
-# A package whose tests play hundreds of orders of events takes some minutes under the race
-# detector, and more beside other work.
+# Packages whose tests simulate hundreds of event orders take some minutes under the race
+# detector, and longer on a busy machine.
 TEST_TIMEOUT ?= 40m
 export GOTOOLCHAIN = local
 
@@ -9,16 +9,16 @@
 build:
 	$(GO) build -o bin/ ./cmd/...
 
-# The quick start: a small deployment as separate processes, and one session.
+# The quick start: runs a small deployment as separate processes and shows its functions.
 run: build
 	$(GO) run ./test/quickstart -bin bin
 
-# The same deployment, left running until interrupted.
+# Runs the same deployment until it is interrupted.
 up: build
 	$(GO) run ./test/quickstart -bin bin -keep
 
-# Replaces the programs of a running deployment, one instance after the other, by those of
-# this tree, and puts those of another build back: make upgrade OLD=DIR
+# Starts a deployment with the programs in OLD, replaces them by those of this tree, one
+# instance after the other, and puts the old ones back: make upgrade OLD=DIR
 upgrade: build
 	$(GO) run ./test/upgrade -from $(OLD) -to bin
 
@@ -27,8 +27,8 @@
 	$(GO) vet ./...
 	$(GO) tool staticcheck ./...
 
-# Tests that fail for a known fault: the names before the colons of KNOWN-RED.txt. They
-# are printed and run, but do not decide.
+# Tests that fail because of a known fault: the names before the colons in KNOWN-RED.txt.
+# The file is printed and the tests run, but their result does not fail the build.
 KNOWN_RED := $(shell cut -d: -f1 KNOWN-RED.txt 2>/dev/null | paste -sd '|' -)
 ifneq ($(KNOWN_RED),)
 ONLY_GREEN := -skip '^($(KNOWN_RED))$$'
@@ -41,35 +41,37 @@
 	@echo "no known red tests"
 endif
 
-# Every test runs twice in random order. The race detector gets one processor:
-# with several, that of Go 1.26 crashes in tests under virtual time.
+# Runs every test twice in random order, once with the race detector. That run uses one
+# processor: with several, the race detector of Go 1.26 crashes in tests with virtual time.
 test: lint build known-red
 	$(GO) test -race -cpu=1 -shuffle=on -count=1 -timeout=$(TEST_TIMEOUT) $(ONLY_GREEN) ./...
 	$(GO) test -shuffle=on -count=1 -timeout=$(TEST_TIMEOUT) $(ONLY_GREEN) ./...
 
-# Needs buf, protoc-gen-go and protoc-gen-go-drpc.
+# Generates the protobuf code. Needs buf, protoc-gen-go and protoc-gen-go-drpc.
 generate:
 	buf generate
 
-# What an entry adds to a request, and what a look-up costs.
+# Measures what an entry adds to the cost of a request, and the cost of a look-up.
 overhead: build
 	$(GO) run ./test/overhead -bin bin
 
-# What the parts cost against their size; docs/CAPACITY.md is made from it.
+# Measures how the costs of the parts grow with their size. docs/CAPACITY.md is computed
+# from the output.
 slopes: build
 	$(GO) run ./test/slopes memory
 	$(GO) run ./test/slopes processes -bin bin
 	$(GO) run ./test/slopes fleet --agents 32,96,192 --idle 15s
 	$(GO) run ./test/slopes fleet --agents 32,96,192 --idle 15s --ghosts 3008
 
-# Both users' deployments at their true sizes, under load and faults.
+# Measures both users' deployments at their full size, under load and faults.
 measure: build
 	$(GO) run ./test/measure -bin bin
 
-# Switches one mechanism off at a time and expects its proof to fail.
+# Disables one mechanism at a time and checks that the test for it fails.
 ablate:
 	$(GO) run ./test/ablate
 
-# Policies of placing and refusing on named loads and random deployments, in virtual time.
+# Compares policies for placing and refusing requests, on named loads and random
+# deployments in virtual time.
 play:
 	$(GO) run ./test/play $(if $(SETTINGS),--settings $(SETTINGS))
