--- a/cmd/loomkeel-entry/main.go
+++ b/cmd/loomkeel-entry/main.go
@@ -45,7 +45,7 @@
 	e := entry.New(forward.Options{Self: s.Instance.ID, MaxInFlight: s.Entry.MaxInFlight, MaxBody: int64(s.Entry.MaxBody), TLS: upstreamTLS, Now: time.Now})
 	f := follow.New(follow.Options{
 		Dialer: dialer, Agent: s.Agent.PeerAddress, Process: agent.ProcessEntry, Region: s.Instance.Region,
-		OnUpdate: e.Proxy.Update, SkipPath: tree.IsBlocks,
+		OnUpdate: e.Proxy.Update, SkipPath: tree.IsBlocksPath,
 	})
 	metrics.Publish("entry", func() any { return e.Metrics() })
 	debug := chi.NewRouter()
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -216,7 +216,7 @@
 		if _, whole := fresh.log.Since(0, 1); whole {
 			t.Error("the new instance has the records since revision 0, so it did not load a snapshot")
 		}
-		_, tr, _ := fresh.log.View()
+		_, tr, _ := fresh.log.Current()
 		if got := len(tr.BlockPaths()); got != 30 {
 			t.Errorf("the new instance has %d paths of blocks, want 30", got)
 		}
--- a/internal/agent/push.go
+++ b/internal/agent/push.go
@@ -29,7 +29,7 @@
 func (a *Agent) pushLoop(ctx context.Context) {
 	revision, listVersion := a.log.Revision(), a.directory.version()
 	for {
-		newest, _, logChanged := a.log.View()
+		newest, _, logChanged := a.log.Current()
 		upstreams, directoryChanged := a.directory.get()
 		if newest > revision || upstreams.Version > listVersion {
 			revision = a.push(ctx, revision, listVersion)
--- a/internal/route/blocks.go
+++ b/internal/route/blocks.go
@@ -25,7 +25,7 @@
 func NewBlocks(t *tree.Tree, old *Blocks) *Blocks {
 	revisions := make(map[string]uint64)
 	for _, p := range t.BlockPaths() {
-		revisions[p] = t.Revision(p)
+		revisions[p] = t.PathRevision(p)
 	}
 	if old != nil && equalRevisions(old.revisions, revisions) {
 		return old
@@ -34,7 +34,7 @@
 	// Very many blocks share few distinct lists of regions; each list is kept once.
 	lists := make(map[string]*[]string)
 	for p := range revisions {
-		t.Blocks(p, func(prefix netip.Prefix, regions string) {
+		t.VisitBlocks(p, func(prefix netip.Prefix, regions string) {
 			l := lists[regions]
 			if l == nil {
 				split := tree.SplitList(regions)
--- a/test/sessions/simulation_test.go
+++ b/test/sessions/simulation_test.go
@@ -130,7 +130,7 @@
 
 // publish gives every entry a snapshot of the current tree, upstreams and entries.
 func (w *simulation) publish() {
-	revision, t, _ := w.log.View()
+	revision, t, _ := w.log.Current()
 	var list model.Directory
 	w.mu.Lock()
 	for _, u := range w.upstreams {
