--- a/test/ablate/main.go
+++ b/test/ablate/main.go
@@ -1,6 +1,6 @@
-// Command ablate shows that each proof depends on the mechanism that it is for:
-// in a copy of the tree it switches one mechanism off at a time and runs the
-// proof, which must then fail.
+// Command ablate checks that tests depend on the mechanism that they are for. In
+// a copy of the source tree it switches off one mechanism at a time by replacing
+// text, and runs the tests for it, which must then fail.
 package main
 
 import (
@@ -15,20 +15,22 @@
 	"time"
 )
 
-// ablation switches one mechanism off.
+// ablation is one mechanism, the change that switches it off, and the tests that must fail
+// then.
 type ablation struct {
 	mechanism string
 	file      string
-	// old stands in the file exactly once and is replaced by new.
+	// old is a text that the file contains exactly once. It is replaced by new.
 	old, new string
-	pkg      string
-	test     string
-	// also are more texts of the file with their replacements, in pairs.
+	// pkg is the package of the tests, test the regular expression on their names.
+	pkg  string
+	test string
+	// also has further texts of the file and their replacements, in turn.
 	also []string
 }
 
-// limit bounds one run of a proof; a run that hangs counts as failed.
-const limit = 3 * time.Minute
+// commandTimeout limits one build or run of tests. Tests that hang count as failed.
+const commandTimeout = 3 * time.Minute
 
 func main() {
 	only := flag.String("only", "", "regular expression for the mechanisms to switch off")
@@ -39,6 +41,8 @@
 	}
 }
 
+// run tries every ablation whose mechanism matches only and prints a table. It returns an
+// error if tests pass without their mechanism.
 func run(only *regexp.Regexp) error {
 	dir, err := os.MkdirTemp("", "loomkeel-ablate-")
 	if err != nil {
@@ -54,7 +58,7 @@
 		if !only.MatchString(a.mechanism) {
 			continue
 		}
-		failed, err := a.try(dir)
+		failed, err := a.testsFail(dir)
 		if err != nil {
 			return fmt.Errorf("%s: %w", a.mechanism, err)
 		}
@@ -66,39 +70,41 @@
 		fmt.Printf("| %s | %s %s | %s |\n", a.mechanism, a.pkg, a.test, outcome)
 	}
 	if passed > 0 {
-		return fmt.Errorf("%d proofs pass without their mechanism", passed)
+		return fmt.Errorf("the tests of %d mechanisms pass without them", passed)
 	}
 	return nil
 }
 
-// try reports whether the proof fails without the mechanism.
-func (a ablation) try(dir string) (failed bool, err error) {
+// testsFail switches the mechanism off in the tree in dir, reports whether the tests fail,
+// and restores the file. The changed tree must build.
+func (a ablation) testsFail(dir string) (failed bool, err error) {
 	file := filepath.Join(dir, a.file)
-	whole, err := os.ReadFile(file)
+	original, err := os.ReadFile(file)
 	if err != nil {
 		return false, err
 	}
-	changed := string(whole)
+	changed := string(original)
 	texts := append([]string{a.old, a.new}, a.also...)
 	for i := 0; i < len(texts); i += 2 {
 		if n := strings.Count(changed, texts[i]); n != 1 {
-			return false, fmt.Errorf("%s holds the text %d times, want once: %s", a.file, n, texts[i])
+			return false, fmt.Errorf("%s contains the text %d times, want once: %s", a.file, n, texts[i])
 		}
 		changed = strings.Replace(changed, texts[i], texts[i+1], 1)
 	}
 	if err := os.WriteFile(file, []byte(changed), 0o600); err != nil {
 		return false, err
 	}
-	defer os.WriteFile(file, whole, 0o600)
-	if out, err := command(dir, "go", "build", "./..."); err != nil {
-		return false, fmt.Errorf("does not build: %s", out)
+	defer os.WriteFile(file, original, 0o600)
+	if out, err := runCommand(dir, "go", "build", "./..."); err != nil {
+		return false, fmt.Errorf("the changed tree does not build: %s", out)
 	}
-	_, err = command(dir, "go", "test", "-count=1", "-run", a.test, a.pkg)
+	_, err = runCommand(dir, "go", "test", "-count=1", "-run", a.test, a.pkg)
 	return err != nil, nil
 }
 
-func command(dir string, name string, args ...string) (string, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+// runCommand runs a command in dir and returns its output.
+func runCommand(dir string, name string, args ...string) (string, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
 	cmd := exec.CommandContext(ctx, name, args...)
 	cmd.Dir = dir
