--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -29,7 +29,7 @@
 type Entry struct {
 	// Proxy forwards the requests.
 	Proxy     *forward.Proxy
-	capShares *share.Book
+	capShares *share.Limiter
 	// leaving is set when Stop begins.
 	leaving atomic.Bool
 	// mu guards outcomes and latency, which is keyed by service.
@@ -51,7 +51,7 @@
 // New returns an Entry whose Proxy has the options opt. The fields Observe, NewID,
 // CapShares and BootClock of opt are replaced.
 func New(opt forward.Options) *Entry {
-	e := &Entry{capShares: share.NewBook(), outcomes: make(map[outcomeKey]int64), latency: make(map[string]*metrics.LatencyHistogram),
+	e := &Entry{capShares: share.NewLimiter(), outcomes: make(map[outcomeKey]int64), latency: make(map[string]*metrics.LatencyHistogram),
 		logLimiter: logs.NewLimiter(linesPerSecond, lineBurst), routineLimiter: logs.NewLimiter(routinePerSecond, routineBurst)}
 	opt.Observe, opt.NewID = e.observe, newID
 	opt.CapShares, opt.BootClock = e.capShares, bootclock.Now
@@ -172,13 +172,13 @@
 	InFlight int                              `json:"in_flight"`
 	Services map[string]forward.ServiceStatus `json:"services"`
 	// Caps are the entry's shares of the in-flight caps, with the requests refused by them.
-	Caps    []share.Use               `json:"caps,omitempty"`
+	Caps    []share.LimitStatus       `json:"caps,omitempty"`
 	Metrics map[string]ServiceMetrics `json:"metrics"`
 }
 
 // Dump returns the entry's state, with that of its connection to the agent.
 func (e *Entry) Dump(agent follow.Status) Dump {
-	return Dump{agent, revisionOf(e.Proxy.Snapshot()), e.Proxy.InFlight(), e.Proxy.Dump(), e.capShares.Look(bootclock.Now()), e.Metrics()}
+	return Dump{agent, revisionOf(e.Proxy.Snapshot()), e.Proxy.InFlight(), e.Proxy.Dump(), e.capShares.Statuses(bootclock.Now()), e.Metrics()}
 }
 
 // revisionOf returns the revision of a snapshot, or 0 for nil.
--- a/internal/forward/budget_test.go
+++ b/internal/forward/budget_test.go
@@ -27,7 +27,7 @@
 // newRoutedEntry returns one of several entries that have one route to the fakes.
 func newRoutedEntry(t *testing.T, entries int, route *model.Route, fakes []*fakeUpstream) *entry {
 	c := New(Options{
-		MaxInFlight: 100, Now: time.Now, Protocol: routedProtocol{route: route}, CapShares: share.NewBook(), Domain: "a",
+		MaxInFlight: 100, Now: time.Now, Protocol: routedProtocol{route: route}, CapShares: share.NewLimiter(), Domain: "a",
 		BootClock: func() int64 { return 0 }, NewID: func() string { return "own" }, Observe: func(Outcome) {},
 	})
 	in := model.RoutedInput{
--- a/internal/forward/serve.go
+++ b/internal/forward/serve.go
@@ -189,11 +189,11 @@
 		return order
 	}
 	to := state.shift.Decide(shift.Input{
-		Now:   p.now(),
-		Moves: moves,
-		Cap:   cl.service.ShiftCap,
-		Rate:  cl.service.ShiftRate,
-		Seen:  state.balancer.LastReport,
+		Now:              p.now(),
+		Moves:            moves,
+		MaxShare:         cl.service.ShiftCap,
+		MaxGainPerMinute: cl.service.ShiftRate,
+		LastReport:       state.balancer.LastReport,
 	})
 	if to == "" {
 		return order
--- a/internal/forward/status.go
+++ b/internal/forward/status.go
@@ -12,23 +12,23 @@
 
 // CapUsage returns the entry's use of the in-flight caps. The numbers of refusals are those
 // since the last call.
-func (p *Proxy) CapUsage() []share.Reported {
-	limits := make(map[[2]string]share.Use)
-	for _, use := range p.opt.CapShares.Uses(p.opt.BootClock()) {
+func (p *Proxy) CapUsage() []share.CapUsage {
+	limits := make(map[[2]string]share.LimitStatus)
+	for _, use := range p.opt.CapShares.StatusesAndReset(p.opt.BootClock()) {
 		limits[[2]string{use.Service, use.Region}] = use
 	}
 	snap := p.snap.Load()
 	if snap == nil {
 		return nil
 	}
-	var out []share.Reported
+	var out []share.CapUsage
 	for name, svc := range snap.Services {
 		for region := range svc.MaxInFlight {
 			if !svc.Capped(region) {
 				continue
 			}
 			use := limits[[2]string{name, region}]
-			out = append(out, share.Reported{Service: name, Region: region, Usage: share.Usage{
+			out = append(out, share.CapUsage{Service: name, Region: region, Usage: share.Usage{
 				InFlight: p.serviceState(name).balancer.InFlight(region), Refused: use.Refused, Limit: use.Limit,
 			}})
 		}
--- a/test/play/main.go
+++ b/test/play/main.go
@@ -46,8 +46,8 @@
 
 // row returns the cells of a tally in a table row.
 func row(t sim.Tally) string {
-	sent := float64(max(1, t.Asked))
-	return fmt.Sprintf("%.3f | %.3f | %.3f | %.3f | %.3f", t.Worth(),
+	sent := float64(max(1, t.Sent))
+	return fmt.Sprintf("%.3f | %.3f | %.3f | %.3f | %.3f", t.ValueRatio(),
 		float64(t.InTime)/sent, float64(t.Late)/sent, float64(t.Refused)/sent, float64(t.Failed)/sent)
 }
 
@@ -56,7 +56,7 @@
 	for _, load := range s.Loads {
 		fmt.Printf("\n### %s\n\n| policy | %s |\n| --- | --- | --- | --- | --- | --- |\n", load, columns)
 		for _, policy := range s.Policies {
-			total := sim.New(sim.Named[load](), uint64(s.FirstSeed), sim.Policies[policy]).Run().Total()
+			total := sim.New(sim.Scenarios[load](), uint64(s.FirstSeed), sim.Policies[policy]).Run().Total()
 			fmt.Printf("| %s | %s |\n", policy, row(total))
 		}
 	}
@@ -76,7 +76,7 @@
 		for i := range tallies {
 			simulations.Go(func() error {
 				seed := uint64(s.FirstSeed + i)
-				tallies[i] = sim.New(sim.Random(seed), seed, sim.Policies[policy]).Run().Total()
+				tallies[i] = sim.New(sim.RandomScenario(seed), seed, sim.Policies[policy]).Run().Total()
 				return nil
 			})
 		}
@@ -94,9 +94,9 @@
 func summary(tallies []sim.Tally) (mean, worst float64, all sim.Tally) {
 	values := make([]float64, len(tallies))
 	for i, t := range tallies {
-		values[i] = t.Worth()
+		values[i] = t.ValueRatio()
 		mean += values[i] / float64(len(tallies))
-		all = all.Plus(t)
+		all = all.Add(t)
 	}
 	slices.Sort(values)
 	tenth := max(1, len(values)/10)
--- a/test/sessions/simulation_test.go
+++ b/test/sessions/simulation_test.go
@@ -72,7 +72,7 @@
 	regions   []string
 	// entries and capLimiters are by region.
 	entries     map[string]*forward.Proxy
-	capLimiters map[string]*share.Book
+	capLimiters map[string]*share.Limiter
 	// seed is that of the last random source, changes the number of changes so far.
 	seed    uint64
 	changes int
@@ -87,7 +87,7 @@
 			t: t, began: time.Now(), latency: latency, regions: regions,
 			upstreams: make(map[string]*upstream), runs: make(map[string]int), cut: make(map[string]bool),
 			store: standin.NewStore(), log: configlog.NewLog(),
-			entries: make(map[string]*forward.Proxy), capLimiters: make(map[string]*share.Book),
+			entries: make(map[string]*forward.Proxy), capLimiters: make(map[string]*share.Limiter),
 		}
 		w.committer = configlog.NewCommitter(w.store, w.log, time.Now)
 		for _, r := range regions {
@@ -103,7 +103,7 @@
 
 // addEntry adds the entry of a region.
 func (w *simulation) addEntry(region string) {
-	limiter := share.NewBook()
+	limiter := share.NewLimiter()
 	w.capLimiters[region] = limiter
 	w.entries[region] = forward.New(forward.Options{
 		Self:        "entry-" + region,
