--- a/test/ablate/table.go
+++ b/test/ablate/table.go
@@ -44,7 +44,7 @@
 		"if period%rejoinEvery == 0 {", "if false {", pkgAgent, "RegionsCutApart", nil},
 	{"reports from outside the probe scope are disputed", "internal/membership/scope.go",
 		"return in(u) && !in(from)", "return false && in(u) && !in(from)", pkgMembership, "Disputed", nil},
-	{"a higher incarnation refutes a suspicion", "internal/membership/table.go",
+	{"incarnations", "internal/membership/table.go",
 		"t.self.Incarnation = u.Incarnation + 1", "_ = u", pkgMembership, "Refute|Converges", nil},
 	{"a request is never sent twice by the connection pool", "internal/forward/pool.go",
 		"resp, err := c.roundTrip(req)\n", "resp, err := c.roundTrip(req)\n\tif err != nil {\n\t\tif again, derr := p.dial(ctx, req.URL.Host); derr == nil {\n\t\t\tresp, err = again.roundTrip(req)\n\t\t}\n\t}\n",
--- a/test/sessions/sessions_test.go
+++ b/test/sessions/sessions_test.go
@@ -66,7 +66,7 @@
 	runScenario(t, "order-upstream-dies", gardenRegions, gardenLatency, func(w *simulation) {
 		setUpGarden(w)
 		for _, u := range w.upstreams {
-			u.dies = u.Service == "orders" && u.Region == "muscat"
+			u.closesUnanswered = u.Service == "orders" && u.Region == "muscat"
 		}
 		w.send(request{caller: "trade-1", region: "muscat", service: "orders", method: "POST", path: "/orders"})
 		w.send(request{caller: "trade-2", region: "muscat", service: "orders", method: "POST", path: "/orders", repeat: "safe"})
@@ -80,7 +80,7 @@
 	runScenario(t, "photograph-cut-link", gardenRegions, gardenLatency, func(w *simulation) {
 		setUpGarden(w)
 		for _, u := range w.upstreams {
-			u.cuts = u.Service == "design" && u.Region == "muscat"
+			u.truncates = u.Service == "design" && u.Region == "muscat"
 		}
 		w.send(request{caller: "gardener-1", region: "muscat", service: "design", method: "POST", path: "/photos"})
 		w.send(request{caller: "gardener-2", region: "muscat", service: "design", method: "GET", path: "/plans/7"})
@@ -113,7 +113,7 @@
 		w.load("before", 300, 3001*us, read)
 		for _, u := range w.upstreams {
 			if u.Domain == "sohar-a" {
-				u.slow = 20
+				u.slowdown = 20
 			}
 		}
 		w.logf("upstreams of sohar-a take 20 times as long")
@@ -128,7 +128,7 @@
 		setUpAuthority(w)
 		for _, u := range w.upstreams {
 			if u.Service == "adjustments" && u.Region == "muscat" {
-				u.slow = 10
+				u.slowdown = 10
 			}
 		}
 		w.logf("adjustments in muscat take 300 ms")
@@ -227,13 +227,13 @@
 		setUpGarden(w)
 		page := request{region: "muscat", service: "stock", method: "GET", path: "/palms"}
 		for _, id := range []string{"stock-muscat-a-1", "stock-muscat-a-2"} {
-			w.upstreams[id].frozenLoad = true
-			w.upstreams[id].slow = 10
+			w.upstreams[id].reportsIdle = true
+			w.upstreams[id].slowdown = 10
 		}
 		w.logf("two of muscat's eight upstreams are slow and report to be idle")
 		w.load("rush", 3000, 503*us, page)
 		for _, id := range []string{"stock-muscat-a-1", "stock-muscat-a-2"} {
-			w.upstreams[id].dies = true
+			w.upstreams[id].closesUnanswered = true
 		}
 		w.logf("now they also die with every request")
 		w.load("rush with the dying", 3000, 503*us, page)
@@ -245,7 +245,7 @@
 	n := 0
 	for _, u := range w.upstreams {
 		if u.Domain == domain {
-			n += u.ran
+			n += u.ranCount
 		}
 	}
 	return n
--- a/test/sessions/simulation_test.go
+++ b/test/sessions/simulation_test.go
@@ -39,14 +39,14 @@
 type upstream struct {
 	model.Upstream
 	serviceTime time.Duration
-	// Faults: with dies the connection closes after the request ran, with cuts in the
-	// middle of the answer. With frozenLoad the upstream reports no load, with down it
-	// refuses connections. The service time is multiplied by slow.
-	dies, cuts, frozenLoad, down bool
-	slow                         int
-	// inFlight is the number of requests now, peak its maximum so far, ran the number of
-	// requests that were run.
-	inFlight, ran, peak int
+	// Faults: with closesUnanswered the connection closes after a request ran, with
+	// truncates in the middle of the answer. With reportsIdle the upstream reports no
+	// load, with down it refuses connections. Slowdown multiplies the service time.
+	closesUnanswered, truncates, reportsIdle, down bool
+	slowdown                                       int
+	// inFlight is the number of requests now, peak its maximum so far, ranCount the number
+	// of requests that were run.
+	inFlight, ranCount, peak int
 }
 
 // simulation is the environment of one scenario: an entry per region, upstreams, the
@@ -61,10 +61,10 @@
 	// upstreams holds the upstreams by id, runs the number of runs by request id.
 	upstreams map[string]*upstream
 	runs      map[string]int
-	// latency is the one-way latency between two regions. A region in cut cannot be
-	// reached from those that are not in it, and the reverse.
-	latency time.Duration
-	cut     map[string]bool
+	// latency is the one-way latency between two regions. A region in partitioned
+	// cannot be reached from those that are not in it, and the reverse.
+	latency     time.Duration
+	partitioned map[string]bool
 
 	store     *standin.Store
 	log       *configlog.Log
@@ -85,7 +85,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := &simulation{
 			t: t, began: time.Now(), latency: latency, regions: regions,
-			upstreams: make(map[string]*upstream), runs: make(map[string]int), cut: make(map[string]bool),
+			upstreams: make(map[string]*upstream), runs: make(map[string]int), partitioned: make(map[string]bool),
 			store: standin.NewStore(), log: configlog.NewLog(),
 			entries: make(map[string]*forward.Proxy), capLimiters: make(map[string]*share.Limiter),
 		}
@@ -122,7 +122,7 @@
 func (w *simulation) addUpstreams(service, region, domain string, n, slots int, serviceTime time.Duration) {
 	for i := range n {
 		id := fmt.Sprintf("%s-%s-%d", service, domain, i+1)
-		w.upstreams[id] = &upstream{serviceTime: serviceTime, slow: 1, Upstream: model.Upstream{
+		w.upstreams[id] = &upstream{serviceTime: serviceTime, slowdown: 1, Upstream: model.Upstream{
 			ID: id, Service: service, Region: region, Domain: domain, Address: id, Slots: slots,
 		}}
 	}
@@ -305,8 +305,8 @@
 	}
 	var used []string
 	for id, u := range w.upstreams {
-		if u.ran > 0 {
-			used = append(used, fmt.Sprintf("%s ran %d, peak %d of %d slots", id, u.ran, u.peak, u.Slots))
+		if u.ranCount > 0 {
+			used = append(used, fmt.Sprintf("%s ran %d, peak %d of %d slots", id, u.ranCount, u.peak, u.Slots))
 		}
 	}
 	slices.Sort(used)
@@ -328,7 +328,7 @@
 	w := t.w
 	w.mu.Lock()
 	u := w.upstreams[r.URL.Host]
-	remote, unreachable := u.Region != t.from, u.down || w.cut[u.Region] != w.cut[t.from]
+	remote, unreachable := u.Region != t.from, u.down || w.partitioned[u.Region] != w.partitioned[t.from]
 	w.mu.Unlock()
 	if unreachable {
 		return nil, errRefused
@@ -345,7 +345,7 @@
 	}
 	defer u.releaseSlot(w)
 	select {
-	case <-time.After(u.serviceTime * time.Duration(u.slow)):
+	case <-time.After(u.serviceTime * time.Duration(u.slowdown)):
 	case <-r.Context().Done():
 		return nil, r.Context().Err()
 	}
@@ -353,7 +353,7 @@
 	if remote {
 		time.Sleep(w.latency)
 	}
-	if u.dies {
+	if u.closesUnanswered {
 		return nil, io.ErrUnexpectedEOF
 	}
 	return t.answer(r, u, http.StatusOK, body), nil
@@ -382,7 +382,7 @@
 func (w *simulation) recordRun(u *upstream, id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	u.ran++
+	u.ranCount++
 	w.runs[id]++
 }
 
@@ -390,14 +390,14 @@
 func (t transport) answer(r *http.Request, u *upstream, status int, body []byte) *http.Response {
 	h := http.Header{"From": {u.ID}}
 	t.w.mu.Lock()
-	if !u.frozenLoad {
+	if !u.reportsIdle {
 		h.Set(header.Load, fmt.Sprint(u.inFlight))
 	} else {
 		h.Set(header.Load, "0")
 	}
 	t.w.mu.Unlock()
 	var reader io.Reader = strings.NewReader(string(body))
-	if u.cuts {
+	if u.truncates {
 		reader = io.MultiReader(strings.NewReader(string(body[:len(body)/2])), brokenReader{})
 	}
 	return &http.Response{
