--- a/internal/forward/conn.go
+++ b/internal/forward/conn.go
@@ -132,8 +132,8 @@
 	go func() {
 		err := c.sendBody(req)
 		if errors.Is(err, errCallerBody) {
-			// The upstream must not take the part that it got for the whole body. It would
-			// never send the response that the Proxy waits for.
+			// The connection is closed so that the upstream does not take the part that it got
+			// for the whole body. Otherwise the Proxy would wait for a response that never comes.
 			c.close()
 		}
 		done <- err
--- a/internal/forward/fake_test.go
+++ b/internal/forward/fake_test.go
@@ -160,7 +160,7 @@
 	return true
 }
 
-// entry is a Proxy behind an HTTP server, in front of fakes.
+// entry is a Proxy behind an HTTP server, in front of fake upstreams.
 type entry struct {
 	*Proxy
 	url string
--- a/internal/forward/poison.go
+++ b/internal/forward/poison.go
@@ -16,7 +16,7 @@
 
 const (
 	// brokenLogsPerSecond and brokenLogBurst limit the log lines about broken attempts. The
-	// loss of a failure domain breaks about a hundred attempts at a node at once.
+	// loss of a failure domain breaks about a hundred attempts at one entry at once.
 	brokenLogsPerSecond = 10
 	brokenLogBurst      = 50
 	// prefixWait is how long recordBroken waits for the beginning of the request body. The
@@ -30,9 +30,9 @@
 var brokenLog = logs.NewLimiter(brokenLogsPerSecond, brokenLogBurst)
 
 // beginPoisonCheck returns an error if the request must not be sent because upstreams crashed
-// while they ran the same request, as seen by this or other entries. Otherwise the request
-// counts as in flight until endPoisonCheck. The body is read only if crashes are known for a
-// request with the same head.
+// while they ran the same request, as seen by this or other entries; a request that is rejected
+// here crashes no further upstream. Otherwise the request counts as in flight until
+// endPoisonCheck. The body is read only if crashes are known for a request with the same head.
 func (p *Proxy) beginPoisonCheck(ctx context.Context, cl *call) *verdict.Error {
 	if !p.poison.HasRecord(cl.headKeys) {
 		return nil
--- a/internal/forward/pool_test.go
+++ b/internal/forward/pool_test.go
@@ -203,7 +203,7 @@
 func TestUploadShedEarlyIsRetried(t *testing.T) {
 	const size = 100_000
 	got := make(chan int64, 4)
-	refused := make(chan struct{})
+	shedSent := make(chan struct{})
 	var requests atomic.Int32
 	s := newScriptedUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
@@ -211,16 +211,16 @@
 			if err != nil {
 				return
 			}
-			refuse := requests.Add(1) == 1
-			if refuse {
+			shed := requests.Add(1) == 1
+			if shed {
 				fmt.Fprint(c, "HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n\r\n")
-				close(refused)
+				close(shedSent)
 			}
 			length, err := io.Copy(io.Discard, req.Body)
 			if err != nil {
 				return
 			}
-			if !refuse {
+			if !shed {
 				got <- length
 				fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 			}
@@ -232,7 +232,7 @@
 	go func() {
 		half := strings.Repeat("x", size/2)
 		io.WriteString(sender, half)
-		<-refused
+		<-shedSent
 		io.WriteString(sender, half)
 		sender.Close()
 	}()
--- a/internal/forward/rates.go
+++ b/internal/forward/rates.go
@@ -60,17 +60,17 @@
 	return out
 }
 
-// ApplyPeerLimits merges the updates that a peer sent about rate limits of upstreams. life is the
-// incarnation of the peer.
-func (p *Proxy) ApplyPeerLimits(peer string, life uint64, updates []balance.LimitUpdate) {
+// ApplyPeerLimits merges the updates that an incarnation of a peer sent about rate limits of
+// upstreams.
+func (p *Proxy) ApplyPeerLimits(peer string, incarnation uint64, updates []balance.LimitUpdate) {
 	now := p.now()
 	for _, state := range p.allServices() {
-		state.balancer.ApplyPeerLimits(now, peer, life, updates)
+		state.balancer.ApplyPeerLimits(now, peer, incarnation, updates)
 	}
 }
 
 // StopRateLimited stops sending requests to upstreams with rate limits. It is called before the
-// entry leaves, after which other entries would not learn of its requests.
+// entry leaves, because it reports no requests to the other entries after that.
 func (p *Proxy) StopRateLimited() {
 	now := p.now()
 	for _, state := range p.allServices() {
--- a/internal/forward/regions_test.go
+++ b/internal/forward/regions_test.go
@@ -34,11 +34,11 @@
 
 // regionFixture is an entry in muscat with two upstreams in each of three regions.
 type regionFixture struct {
-	t       *testing.T
-	carrier *Proxy
-	url     string
-	route   model.Route
-	in      model.RoutedInput
+	t     *testing.T
+	proxy *Proxy
+	url   string
+	route model.Route
+	in    model.RoutedInput
 
 	mu sync.Mutex
 	// ran are the regions in which requests ran, in order.
@@ -52,11 +52,11 @@
 
 func newRegionFixture(t *testing.T, regions ...string) *regionFixture {
 	h := &regionFixture{t: t, onRequest: func(int) bool { return false }}
-	h.carrier = New(Options{
+	h.proxy = New(Options{
 		MaxInFlight: 100, Now: time.Now, Protocol: configRoutes{}, CapShares: share.NewLimiter(), Domain: "muscat-a",
 		BootClock: func() int64 { return 0 }, NewID: func() string { return "own" }, Observe: func(Outcome) {},
 	})
-	srv := httptest.NewServer(h.carrier)
+	srv := httptest.NewServer(h.proxy)
 	t.Cleanup(srv.Close)
 	h.url = srv.URL
 	h.route = model.Route{
@@ -97,11 +97,11 @@
 	route := h.route
 	route.Regions = regions
 	h.in.Config = &model.Config{Version: version, Routes: []*model.Route{&route}, Services: map[string]model.ServiceConfig{"orders": {}}}
-	h.carrier.Update(model.CompileRouted(h.in))
+	h.proxy.Update(model.CompileRouted(h.in))
 }
 
 func (h *regionFixture) send(id string) result {
-	e := &entry{h.carrier, h.url}
+	e := &entry{h.proxy, h.url}
 	return e.send(h.t, http.MethodGet, "/x", "", header.RequestID, id)
 }
 
--- a/internal/forward/reuse_test.go
+++ b/internal/forward/reuse_test.go
@@ -36,20 +36,20 @@
 // TestReuseLimitEndsDespiteExchange makes two entries send each other a limit with a delay. The
 // limit must end at both soon after its original end.
 func TestReuseLimitEndsDespiteExchange(t *testing.T) {
-	const way, period = 120 * time.Millisecond, 200 * time.Millisecond
+	const delay, period = 120 * time.Millisecond, 200 * time.Millisecond
 	t0 := time.Unix(1_800_000_000, 0)
 	var a, b reuseLimiter
 	a.recordBreak(400*time.Millisecond, t0)
-	tell := func(from, to *reuseLimiter, now time.Time) {
+	send := func(from, to *reuseLimiter, now time.Time) {
 		if d := from.current(now); !d.Until.IsZero() {
 			left := d.Until.Sub(now)
-			to.merge(ReuseLimit{d.MaxIdle, now.Add(way + left)}, now.Add(way))
+			to.merge(ReuseLimit{d.MaxIdle, now.Add(delay + left)}, now.Add(delay))
 		}
 	}
 	end := t0.Add(reuseLimitDuration + 2*mergeSlack)
 	for now := t0; now.Before(end); now = now.Add(period) {
-		tell(&a, &b, now)
-		tell(&b, &a, now.Add(way))
+		send(&a, &b, now)
+		send(&b, &a, now.Add(delay))
 	}
 	for name, r := range map[string]*reuseLimiter{"a": &a, "b": &b} {
 		if d := r.current(end); !d.Until.IsZero() {
--- a/internal/forward/split_test.go
+++ b/internal/forward/split_test.go
@@ -37,16 +37,16 @@
 func TestSplitKeepsObjectsTogether(t *testing.T) {
 	r := &model.Route{Name: "r", Services: []model.WeightedService{{Service: "x", Weight: 50}, {Service: "y", Weight: 50}}}
 	s := newSplits()
-	home := make(map[string]string)
+	last := make(map[string]string)
 	moved := 0
 	const requests, objects = 2000, 40
 	for i := range requests {
 		o := fmt.Sprint("o", i*7919%objects)
 		got := s.choose(r, o)
-		if home[o] != "" && home[o] != got {
+		if last[o] != "" && last[o] != got {
 			moved++
 		}
-		home[o] = got
+		last[o] = got
 	}
 	if moved > requests/3 {
 		t.Errorf("%d of %d requests went to another service than the previous request for their object", moved, requests)
--- a/internal/header/header.go
+++ b/internal/header/header.go
@@ -25,6 +25,6 @@
 // StateDraining is the value of State for an upstream that is draining.
 const StateDraining = "draining"
 
-// Prefix starts the names of loomkeel's own headers. Headers with this prefix are not passed on
-// from callers to upstreams or from upstreams to callers.
+// Prefix starts the names of loomkeel's own headers. The native protocol (package forward) removes
+// headers with this prefix from the requests and responses that it passes on, and sets its own.
 const Prefix = "Loomkeel-"
--- a/internal/inflight/exchange.go
+++ b/internal/inflight/exchange.go
@@ -22,8 +22,9 @@
 	localPeriod  = 100 * time.Millisecond
 	remotePeriod = 200 * time.Millisecond
 	// idlePeriod is the time between the reports of an entry with few requests to its hub,
-	// and of the hub to such an entry. Look-ups return few entries of a large fleet; sent
-	// more often, the reports of the other entries made up most of the work of these.
+	// and of the hub to such an entry. Look-ups return only few entries of a large fleet to
+	// callers. If the other entries reported in each localPeriod, reports would be most of
+	// their work.
 	idlePeriod = 500 * time.Millisecond
 	// busyFor is the time for which an entry counts as busy after Busy last returned true.
 	busyFor = 2 * time.Second
@@ -357,7 +358,7 @@
 		}
 		r, err := Decode(buf[:n])
 		if err != nil {
-			klog.V(1).InfoS("report refused", "from", from, "err", err)
+			klog.V(1).InfoS("rejected invalid report", "from", from, "err", err)
 			continue
 		}
 		x.handleReport(r, from, x.opt.Now())
@@ -376,7 +377,7 @@
 			continue
 		}
 		if !sameAddress(p.Address, from) {
-			klog.V(1).InfoS("report refused: sender address is not the entry's", "entry", p.ID, "address", p.Address, "from", from)
+			klog.V(1).InfoS("rejected report from an address other than its entry's", "entry", p.ID, "address", p.Address, "from", from)
 			return
 		}
 		x.noteIncarnation(p, r.Incarnation, fleet)
--- a/internal/inflight/hub.go
+++ b/internal/inflight/hub.go
@@ -118,7 +118,7 @@
 // pick returns the hub of the own failure domain: the first candidate that has sent a
 // report within the timeout and was not given up within hubAvoidTime. A candidate that is
 // picked for the first time has the timeout to send its first report. The own entry, if
-// it is a candidate, never times out.
+// it is a candidate, never times out. The result is the zero Peer if there is no such candidate.
 func (h *hubs) pick(candidates []Peer, timeout time.Duration, now time.Time) Peer {
 	for _, c := range candidates {
 		if c.ID == h.self {
--- a/internal/inflight/presence.go
+++ b/internal/inflight/presence.go
@@ -4,8 +4,9 @@
 
 const (
 	// silentAfter is the time without a report after which an entry counts as absent, which
-	// is five reports of another region. The registration of a lost entry remains for some
-	// seconds, and far longer while the platform's service is unavailable.
+	// is the time of five reports from another region. The registration of a lost entry
+	// remains for some seconds, and far longer while the platform's service that holds the
+	// registrations is unavailable.
 	silentAfter = time.Second
 	// maxSilentShare is the largest share of peers that may count as silent. If more are
 	// silent, this entry is more likely cut off itself.
--- a/internal/inflight/rates.go
+++ b/internal/inflight/rates.go
@@ -29,7 +29,7 @@
 	allRatesPeriods = 10
 	// urgentGap is the shortest time between two urgent reports.
 	urgentGap = 5 * time.Millisecond
-	// maxStarted bounds the queue of restarted peers that are to get all limits.
+	// maxStarted bounds the queue of started peers that are to get all limits.
 	maxStarted = 64
 	// changesGap is the shortest time between two urgent reports of changed limits.
 	changesGap = 50 * time.Millisecond
@@ -45,7 +45,8 @@
 	// LimitSenders returns the ids of the entries that share the limit of an upstream with
 	// this entry.
 	LimitSenders() map[string]bool
-	// ApplyPeerLimits takes what an incarnation of a peer has reported.
+	// ApplyPeerLimits applies the limits and request counts that an incarnation of a peer
+	// has reported.
 	ApplyPeerLimits(peer string, incarnation uint64, rates []balance.LimitUpdate)
 }
 
--- a/internal/inflight/report.go
+++ b/internal/inflight/report.go
@@ -71,7 +71,7 @@
 	// Claims are about requests that crashed upstreams. They are sent in separate reports.
 	Claims []poison.Claim
 	// HasUsages is set if the report has the use of limits, Usages, by the entries that
-	// UsesScope selects. First and Last then bound the hashes of the organisations.
+	// UsagesScope selects. First and Last then bound the hashes of the organisations.
 	HasUsages   bool
 	UsagesScope Scope
 	Usages      []quota.Usage
--- a/internal/inflight/usages.go
+++ b/internal/inflight/usages.go
@@ -12,7 +12,7 @@
 )
 
 // This file has the reports of the use of organisations' limits; see package quota. They go to
-// the peers that also get the reports of requests in flight, as separate reports: UsesScope
+// the peers that also get the reports of requests in flight, as separate reports: UsagesScope
 // selects the entries whose use is reported, First and Last bound the hashes of the
 // organisations.
 
@@ -39,7 +39,7 @@
 	// CoveredWeight returns the weight of the other entries whose use is reported by the
 	// reporters that from selects.
 	CoveredWeight(from func(reporter string) bool, now time.Time) int
-	// HandleReport takes the report of a reporter.
+	// HandleReport applies the report of a reporter.
 	HandleReport(t quota.Report, now time.Time)
 	// SetSources sets the weight of the own entry and the sources from which reports are
 	// expected.
--- a/internal/outage/outage.go
+++ b/internal/outage/outage.go
@@ -16,7 +16,7 @@
 // notices with its next call, and calls are a second apart.
 const recoverySlack = time.Second
 
-// Options sets up a Detector.
+// Options configures a Detector.
 type Options struct {
 	// DetectionTime is the longest time from the start or end of an outage until a heartbeat
 	// shows it: the time between two heartbeats plus the timeout of one.
@@ -70,9 +70,10 @@
 // the peer that it followed. It reports whether the store is considered unreachable from
 // now on.
 //
-// It is not while heartbeats are answered. Nodes that mistook their reader's lost connection
-// for an outage would retain upstreams that have left, in case their records had lapsed. An
-// outage that no heartbeat falls into is too short for records to lapse.
+// While heartbeats are answered, the store is not considered unreachable. Nodes that mistook
+// their reader's lost connection for an outage would retain upstreams that have left, in case
+// their records had lapsed. An outage that no heartbeat falls into is too short for records to
+// lapse.
 func (d *Detector) RecordReadFailure() bool {
 	if d.heartbeatOK || d.unreachable {
 		return false
--- a/internal/relay/cache.go
+++ b/internal/relay/cache.go
@@ -62,7 +62,7 @@
 }
 
 // SetCompleteUntil records that the Cache has every change of the store up to a time. A time
-// before the present one is ignored.
+// before the recorded one is ignored.
 func (c *Cache) SetCompleteUntil(until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -17,7 +17,7 @@
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
-// Options sets up a View.
+// Options configures a View.
 type Options struct {
 	// Self is the local node.
 	Self model.Member
@@ -130,7 +130,7 @@
 }
 
 // PutUpstream adds or replaces an upstream. It reports whether it did: a record of an
-// earlier incarnation than the known one is ignored.
+// earlier incarnation than the known or last removed one is ignored.
 func (v *View) PutUpstream(u model.Upstream) bool {
 	if known, ok := v.upstreams[u.ID]; ok && known.RestartOf(&u) {
 		return false
@@ -335,7 +335,7 @@
 }
 
 // ExpireLapsed deletes the retained upstreams and registrations once the grace period
-// after an outage is over. It reports whether there were any.
+// after an outage is over. It reports whether it deleted any.
 func (v *View) ExpireLapsed(now time.Time) bool {
 	if v.inOutageGrace(now) || len(v.lapsed) == 0 {
 		return false
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -73,9 +73,8 @@
 }
 
 // TestGraceStartsAtFirstSuccess lets a second component reach the store later than the
-// first. If the grace period started anew, the node would send requests to a removed
-// upstream for longer than the grace period; this has happened for three seconds to a node
-// that had been cut off.
+// first. The grace period must not start anew: because it did, a node that had been cut off
+// once sent requests to a removed upstream for three seconds too long.
 func TestGraceStartsAtFirstSuccess(t *testing.T) {
 	v := newView()
 	v.PutUpstream(upstream("u1", "mus-a"))
