--- a/internal/poison/peers.go
+++ b/internal/poison/peers.go
@@ -16,7 +16,8 @@
 	claim    Claim
 }
 
-// HandleClaim processes a Claim from another entry.
+// HandleClaim stores a Claim from another entry and decides again whether the request is held. It
+// ignores this entry's own claims, and those of further entries once maxSources are stored.
 func (t *Tracker) HandleClaim(now time.Time, c Claim) {
 	if c.Source == t.self {
 		return
@@ -63,8 +64,9 @@
 	return p.responded.Sub(previous.responded) > delaySlack
 }
 
-// peerClaimOf converts the ages of a Claim to times. It leaves out crashes and holds that are
-// within responseTrustTime of a response that this entry has seen.
+// peerClaimOf converts the ages of a Claim to times. It leaves out crashes up to
+// responseTrustTime after a response that this entry has seen, holds reported within that time,
+// and holds that end within delaySlack.
 func (t *Tracker) peerClaimOf(now time.Time, c Claim) peerClaim {
 	p := peerClaim{crashes: make(map[uint32]time.Time, len(c.Crashes)), received: now, claim: c}
 	trustedUntil := t.responses.last(c.Key).Add(responseTrustTime)
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -14,8 +14,8 @@
 	// reports to the hub, from hub to hub and to the other entries, and the window over which
 	// the reported rates are averaged.
 	maxReportLag = 600 * time.Millisecond
-	// admittedWindow and requestedWindow are the windows over which the reported rates of
-	// admitted and of requested requests are averaged.
+	// admittedWindow is the window over which the reported rate of admitted requests is
+	// averaged, requestedWindow that for the rate of all received requests.
 	admittedWindow  = 200 * time.Millisecond
 	requestedWindow = time.Second
 	// averageReportAge is the average age of the rates that other entries report.
@@ -42,7 +42,8 @@
 	maxRetryAfter = 5 * time.Second
 )
 
-// usage holds the rates of admitted and of requested requests, in requests per second.
+// usage holds the rate of admitted requests and that of all received requests, in requests per
+// second.
 type usage struct {
 	admitted, requested float64
 }
@@ -79,7 +80,7 @@
 	// reserved is the number of tokens that were taken off the level for missing entries.
 	reserved float64
 	// selfShare is the share of this entry in the limit if all entries have the same demand
-	// for their weight.
+	// in proportion to their weight.
 	selfShare float64
 	// aggregated is set once missing and selfShare have been computed.
 	aggregated bool
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -162,7 +162,8 @@
 	Usages      []Usage
 }
 
-// HandleReport processes a report from another entry.
+// HandleReport replaces the usage from a reporter by that in its report. It ignores reports for
+// sources that are not set.
 func (l *Limiter) HandleReport(report Report, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -140,7 +140,7 @@
 	case incarnation == p.incarnation:
 		unaccounted -= float64(p.sent)
 	case p.incarnation == 0:
-		// Not all of them were sent recently.
+		// This is the first report: not all of the requests were sent recently.
 		unaccounted = math.Min(unaccounted, b.capacity())
 	}
 	if p.unreachable {
@@ -243,7 +243,8 @@
 	return b.share() * float64(reachable)
 }
 
-// capacity returns the highest level, which is the largest burst.
+// capacity returns the highest level, which is the largest burst. At low rates 1+2*rate takes the
+// place of burstTokens.
 func (b *Bucket) capacity() float64 {
 	return math.Min(burstTokens, 1+2*b.rate) + burstSeconds*b.rate
 }
