--- a/cmd/loomkeel-agent/main.go
+++ b/cmd/loomkeel-agent/main.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return eris.Wrap(err, "load operators' token")
 	}
-	byteCounts := new(rpc.Traffic)
+	byteCounts := new(rpc.ByteCounts)
 	dialer := rpc.NewDialer(clientTLS, byteCounts)
 	defer dialer.Close()
 	client := coordination.NewClient(s.Platform.Address, s.Platform.Timeout)
@@ -50,7 +50,7 @@
 		Seeds:       s.Agent.Seeds,
 		Store:       client,
 		List:        client,
-		Peers:       rpc.NewPeers(dialer),
+		Peers:       rpc.NewPeerClient(dialer),
 		Rand:        rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		ProbePeriod: agent.DefaultProbePeriod,
 		BootID:      bootclock.BootID(),
@@ -105,7 +105,7 @@
 }
 
 // operatorHandler publishes the agent's metrics and returns the handler for operators.
-func operatorHandler(a *agent.Agent, s *settings.Settings, token command.Token, byteCounts *rpc.Traffic) http.Handler {
+func operatorHandler(a *agent.Agent, s *settings.Settings, token command.Token, byteCounts *rpc.ByteCounts) http.Handler {
 	r := chi.NewRouter()
 	metrics.Publish("agent", func() any { return a.Counters() })
 	metrics.Publish("peer_bytes_sent", func() any { return byteCounts.Sent.Load() })
@@ -113,9 +113,9 @@
 	process.AddDebugRoutes(r, func() bool { return a.Log().Revision() > 0 }, func() any { return a.Dump() })
 	r.Group(func(r chi.Router) {
 		r.Use(token.Require)
-		query.Routes(r, a)
-		query.DumpRoutes(r, map[string]string{"director": s.Director.DebugAddress, "entry": s.Entry.DebugAddress}, func() any { return a.Dump() })
-		command.Routes(r, a, s.Agent.CommitTimeout)
+		query.AddRoutes(r, a)
+		query.AddDumpRoute(r, map[string]string{"director": s.Director.DebugAddress, "entry": s.Entry.DebugAddress}, func() any { return a.Dump() })
+		command.AddRoutes(r, a, s.Agent.CommitTimeout)
 	})
 	return r
 }
--- a/internal/agent/processes.go
+++ b/internal/agent/processes.go
@@ -43,7 +43,7 @@
 	defer a.countStream(req.GetProcess(), -1)
 	f := viewStream{process: req.GetProcess()}
 	for {
-		newest, _, logChanged := a.log.View()
+		newest, _, logChanged := a.log.Current()
 		list, directoryChanged := a.directory.get()
 		members, membersChanged := a.table.All()
 		_, drainingChanged := a.draining.list(time.Now())
@@ -115,7 +115,7 @@
 // upstream per service and region, because it only needs to know where services
 // exist; for an entry, the upstreams of the regions that it may send requests to.
 func (f *viewStream) neededUpstreams(a *Agent, list model.Directory) model.Directory {
-	_, t, _ := a.log.View()
+	_, t, _ := a.log.Current()
 	switch f.process {
 	case ProcessDirector:
 		return model.OnePerServiceRegion(list)
@@ -133,7 +133,7 @@
 	s.Changes = nil
 	var skip func(string) bool
 	if f.process == ProcessEntry {
-		skip = tree.IsBlocks
+		skip = tree.IsBlocksPath
 	}
 	first := true
 	for p := range s.Parts(skip) {
--- a/internal/agent/start.go
+++ b/internal/agent/start.go
@@ -44,7 +44,7 @@
 	}
 	call, cancel := context.WithTimeout(ctx, 5*startCallTimeout)
 	defer cancel()
-	if err := configlog.NewReader(a.opt.Store, a.log).Start(call); err != nil {
+	if err := configlog.NewReader(a.opt.Store, a.log).Bootstrap(call); err != nil {
 		klog.InfoS("started without configuration", "err", err)
 		return
 	}
--- a/internal/forward/proxy.go
+++ b/internal/forward/proxy.go
@@ -57,7 +57,7 @@
 	Rand func() *rand.Rand
 	// CapShares holds this entry's shares of the in-flight caps. Its times are read from
 	// BootClock, in nanoseconds.
-	CapShares *share.Book
+	CapShares *share.Limiter
 	BootClock func() int64
 	// NewID returns a new request ID.
 	NewID func() string
@@ -126,7 +126,7 @@
 	budget   *balance.RetryBudget
 	// shedBudget limits how often a shed request is retried without waiting in the queue.
 	shedBudget *balance.RetryBudget
-	shift      *shift.Meter
+	shift      *shift.Splitter
 }
 
 // New returns a Proxy that rejects all requests until the first Update.
@@ -231,7 +231,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if state = p.services[service]; state == nil {
-		state = &serviceState{balancer: balance.NewBalancer(), budget: balance.NewRetryBudget(retryBurst), shedBudget: balance.NewRetryBudget(shedBurst), shift: shift.NewMeter()}
+		state = &serviceState{balancer: balance.NewBalancer(), budget: balance.NewRetryBudget(retryBurst), shedBudget: balance.NewRetryBudget(shedBurst), shift: shift.NewSplitter()}
 		state.balancer.OnLimitUpdate(p.notifyRates)
 		p.services[service] = state
 	}
--- a/internal/forward/regions_test.go
+++ b/internal/forward/regions_test.go
@@ -53,7 +53,7 @@
 func newRegionFixture(t *testing.T, regions ...string) *regionFixture {
 	h := &regionFixture{t: t, onRequest: func(int) bool { return false }}
 	h.carrier = New(Options{
-		MaxInFlight: 100, Now: time.Now, Protocol: configRoutes{}, CapShares: share.NewBook(), Domain: "muscat-a",
+		MaxInFlight: 100, Now: time.Now, Protocol: configRoutes{}, CapShares: share.NewLimiter(), Domain: "muscat-a",
 		BootClock: func() int64 { return 0 }, NewID: func() string { return "own" }, Observe: func(Outcome) {},
 	})
 	srv := httptest.NewServer(h.carrier)
--- a/internal/forward/suspended_test.go
+++ b/internal/forward/suspended_test.go
@@ -37,7 +37,7 @@
 // newEntryWithClock returns an entry with the given clock in front of one upstream.
 func newEntryWithClock(t *testing.T, clock *suspendableClock, f *fakeUpstream) *entry {
 	c := New(Options{
-		MaxInFlight: 100, Now: clock.Now, SyncNow: clock.SyncNow, CapShares: share.NewBook(), BootClock: func() int64 { return 0 },
+		MaxInFlight: 100, Now: clock.Now, SyncNow: clock.SyncNow, CapShares: share.NewLimiter(), BootClock: func() int64 { return 0 },
 		NewID: func() string { return "own" }, Observe: func(Outcome) {},
 	})
 	deadline := tree.Edit{Path: "/services/orders", Key: tree.KeyDeadline, Value: "1m"}
