--- a/test/upgrade/main.go
+++ b/test/upgrade/main.go
@@ -115,10 +115,7 @@
 	defer cancel()
 	l := &fleet.LoadGenerator{
 		Name: "upgrade", Service: "orders", Method: "POST", Path: "/orders", Body: "palm", Callers: 4, Pause: 5 * time.Millisecond,
-		Entries: func(caller int) []string {
-			a, b := spec.Nodes[caller%len(spec.Nodes)].ID, spec.Nodes[(caller+1)%len(spec.Nodes)].ID
-			return []string{u.fleet.Nodes[a].Entry, u.fleet.Nodes[b].Entry}
-		},
+		Entries: u.lookup,
 	}
 	if err := u.changeSetting(); err != nil {
 		return err
@@ -135,6 +132,24 @@
 	return u.checkOutcomes(l.Wait())
 }
 
+// lookup returns the addresses of the entries that a caller is to use, from the first
+// director that answers, or nil if none does.
+func (u *upgrade) lookup(caller int) []string {
+	for i := range spec.Nodes {
+		node := spec.Nodes[(caller+i)%len(spec.Nodes)].ID
+		a, err := u.fleet.Lookup(node, "orders", fmt.Sprintf("10.1.2.%d", caller))
+		if err != nil {
+			continue
+		}
+		var out []string
+		for _, e := range a.Entries {
+			out = append(out, e.Address)
+		}
+		return out
+	}
+	return nil
+}
+
 // replaceInstance stops an instance, starts it with the programs of another build, changes
 // a setting and checks that all instances agree on it.
 func (u *upgrade) replaceInstance(node, build string) error {
@@ -213,6 +228,11 @@
 	if faults := fleet.CheckOutcomes(outcomes, fleet.CountRuns(runs), true); len(faults) > 0 {
 		return fmt.Errorf("%d contradictions between verdicts and runs, the first: %s", len(faults), faults[0])
 	}
+	for _, o := range outcomes {
+		if o.Verdict == verdict.MayHaveRun {
+			fmt.Printf("unsure: %s: %+v\n", o.ID, o.LastReply)
+		}
+	}
 	if n[verdict.MayHaveRun] > 0 {
 		return errors.New("a request was cut off by a planned stop")
 	}
