--- a/internal/forward/poison_test.go
+++ b/internal/forward/poison_test.go
@@ -128,7 +128,10 @@
 // different body of the same length to the same path must be served.
 func TestUploadsAreDistinguishedByBody(t *testing.T) {
 	e, fakes := newCrashingEntry(t, 6)
-	for i := range 4 {
+	for i := 0; upstreamsReached(fakes) < 3; i++ {
+		if i > 50 {
+			t.Fatal("50 tries did not reach three upstreams")
+		}
 		e.send(t, "POST", "/x", "deadly", header.Repeat, "unsafe", header.RequestID, fmt.Sprint("d-", i))
 	}
 	if a := e.send(t, "POST", "/x", "deadly", header.Repeat, "unsafe", header.RequestID, "d-9"); a.status != http.StatusServiceUnavailable {
