--- a/internal/forward/rates.go
+++ b/internal/forward/rates.go
@@ -60,8 +60,8 @@
 	return out
 }
 
-// ApplyPeerLimits applies the updates that a peer sent about rate limits of upstreams. The
-// incarnation is that of the peer.
+// ApplyPeerLimits applies the updates that an incarnation of a peer sent about rate limits of
+// upstreams.
 func (p *Proxy) ApplyPeerLimits(peer string, incarnation uint64, updates []balance.LimitUpdate) {
 	now := p.now()
 	for _, state := range p.allServices() {
@@ -70,7 +70,7 @@
 }
 
 // StopRateLimited stops sending requests to upstreams with rate limits. It is called before the
-// entry leaves, after which other entries would not learn of its requests.
+// entry leaves, because it reports no requests to the other entries after that.
 func (p *Proxy) StopRateLimited() {
 	now := p.now()
 	for _, state := range p.allServices() {
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -162,7 +162,8 @@
 	Usages      []Usage
 }
 
-// ApplyReport applies a report from another entry.
+// ApplyReport replaces the usage from a reporter by that in its report. It ignores reports for
+// sources that are not set.
 func (l *Limiter) ApplyReport(report Report, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
