--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -57,7 +57,8 @@
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
 }
 
-// AddRoutes adds the route for changes to a router. A commit takes at most timeout.
+// AddRoutes adds the route POST /v1/changes to a router. A commit takes at most
+// timeout.
 func AddRoutes(r chi.Router, c Committer, timeout time.Duration) {
 	r.Post("/v1/changes", func(w http.ResponseWriter, req *http.Request) {
 		var body Change
--- a/internal/configlog/committer.go
+++ b/internal/configlog/committer.go
@@ -12,7 +12,7 @@
 const (
 	// SnapshotInterval is the number of revisions between snapshots.
 	SnapshotInterval = 256
-	// maxCommitAttempts is the number of tries of one commit. A try fails when
+	// maxCommitAttempts bounds the tries of one commit. A try fails when
 	// another writer takes the slot first or the store returns an error.
 	maxCommitAttempts = 64
 	// commitRetryDelay is the wait after a failed store call.
@@ -94,7 +94,7 @@
 }
 
 // step reads to the end of the log and tries one swap. It returns true with the
-// result when the commit is finished.
+// result when the commit is finished, and false when another try is needed.
 func (a *attempt) step(ctx context.Context) (Result, bool) {
 	free, err := a.readToEnd(ctx)
 	if err != nil {
@@ -132,7 +132,8 @@
 }
 
 // ensureSnapshot stores a snapshot if no stored snapshot includes the record
-// that revision will overwrite.
+// that revision will overwrite. It returns ErrStoreBehind if the stored snapshot
+// is still older than that record.
 func (a *attempt) ensureSnapshot(ctx context.Context, revision uint64) error {
 	if revision <= RingSize || a.snapshot >= revision-RingSize {
 		return nil
--- a/internal/configlog/committer_test.go
+++ b/internal/configlog/committer_test.go
@@ -21,11 +21,13 @@
 	c   *Committer
 }
 
+// newWriter returns a writer to s with an empty log.
 func newWriter(s coordination.Store) *writer {
 	log := NewLog()
 	return &writer{log, NewCommitter(s, log, time.Now)}
 }
 
+// commit commits a change within five seconds.
 func (w *writer) commit(t testing.TB, c Change) Result {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
@@ -33,6 +35,7 @@
 	return w.c.Commit(ctx, c)
 }
 
+// deadlineChange returns a change that sets the deadline of a service.
 func deadlineChange(id, service, value string) Change {
 	return Change{ID: id, Author: "op", Edits: []tree.Edit{{Path: "/services/" + service, Key: tree.KeyDeadline, Value: value}}}
 }
@@ -73,11 +76,11 @@
 
 func TestCommitSurvivesOneLostCall(t *testing.T) {
 	faults := map[string]standin.Fault{
-		"reply lost after effect":    {LoseReply: true},
-		"reply lost without effect":  {Down: true},
-		"slow":                       {Delay: 2 * time.Second},
-		"slow and reply lost":        {Delay: time.Second, LoseReply: true},
-		"outlasts the commit's time": {Delay: 3 * time.Second},
+		"reply lost after effect":     {LoseReply: true},
+		"reply lost without effect":   {Down: true},
+		"slow":                        {Delay: 2 * time.Second},
+		"slow and reply lost":         {Delay: time.Second, LoseReply: true},
+		"slower within commit's time": {Delay: 3 * time.Second},
 	}
 	for name, f := range faults {
 		t.Run(name, func(t *testing.T) {
@@ -214,15 +217,15 @@
 		wg.Go(func() { r = late.c.Commit(context.Background(), deadlineChange("late", "stock", "9s")) })
 		synctest.Wait()
 		others := newWriter(s)
-		const rounds = RingSize + 100
-		for i := range rounds {
+		const commits = RingSize + 100
+		for i := range commits {
 			if got := others.commit(t, deadlineChange(fmt.Sprint("c", i), "orders", "2s")); got.Outcome != Accepted {
 				t.Fatalf("commit %d = %+v", i, got)
 			}
 		}
 		wg.Wait()
-		if r.Outcome != Accepted || r.Revision != rounds+1 {
-			t.Fatalf("late commit = %+v, want accepted at %d", r, rounds+1)
+		if r.Outcome != Accepted || r.Revision != commits+1 {
+			t.Fatalf("late commit = %+v, want accepted at %d", r, commits+1)
 		}
 		if err := NewReader(s, others.log).CatchUp(t.Context()); err != nil {
 			t.Fatal(err)
@@ -261,10 +264,12 @@
 	})
 }
 
+// sameState reports whether two logs have equal snapshots.
 func sameState(a, b *Log) bool {
 	return slices.Equal(partTexts(a), partTexts(b))
 }
 
+// partTexts returns the parts of the log's snapshot as texts.
 func partTexts(l *Log) []string {
 	var out []string
 	for p := range l.Snapshot().Parts(nil) {
--- a/internal/configlog/log.go
+++ b/internal/configlog/log.go
@@ -12,10 +12,12 @@
 const (
 	// maxRecentRecords and maxRecentEdits bound the recent records that a Log
 	// keeps to bring lagging peers up to date: their number, and the edits in them.
+	// Old records are dropped once there is twice as much of either.
 	maxRecentRecords = 512
 	maxRecentEdits   = 8192
-	// maxChangeIDs is the number of change ids that a Log keeps. It covers the
-	// ring, so that every change whose record may still be in the store is found.
+	// maxChangeIDs is the number of newest change ids that a Log keeps at least. It
+	// covers the ring, so that every change whose record may still be in the store
+	// is found.
 	maxChangeIDs = RingSize
 )
 
@@ -29,13 +31,16 @@
 // change ids. The revision never falls. A Log does no I/O and is safe for
 // concurrent use.
 type Log struct {
-	mu          sync.RWMutex
-	revision    uint64
-	tree        *tree.Tree
+	mu       sync.RWMutex
+	revision uint64
+	tree     *tree.Tree
+	// recent holds the newest records, oldest first, and recentEdits the number of
+	// edits in them.
 	recent      []Record
 	recentEdits int
-	changes     []AppliedChange
-	byID        map[string]uint64
+	// changes holds the newest change ids, oldest first, and byID their revisions.
+	changes []AppliedChange
+	byID    map[string]uint64
 	// advanced is closed, and replaced, when the revision rises.
 	advanced chan struct{}
 }
@@ -45,7 +50,8 @@
 	return &Log{tree: &tree.Tree{}, byID: make(map[string]uint64), advanced: make(chan struct{})}
 }
 
-// GapError reports a record that does not follow the log's revision.
+// GapError reports a record whose revision Got is later than the one that follows
+// the log's revision Have.
 type GapError struct{ Have, Got uint64 }
 
 // Error implements error.
@@ -153,8 +159,8 @@
 	return l.revision
 }
 
-// Current returns the current revision with its tree, and a channel that is
-// closed when the revision rises.
+// Current returns the log's revision with its tree, and a channel that is closed
+// when the revision rises.
 func (l *Log) Current() (uint64, *tree.Tree, <-chan struct{}) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -193,7 +199,7 @@
 	return l.byID[id]
 }
 
-// RefusalKind is the class of reason for which a change is refused.
+// RefusalKind classifies the reasons for which a change is refused.
 type RefusalKind string
 
 // The kinds of refusals.
--- a/internal/configlog/reader.go
+++ b/internal/configlog/reader.go
@@ -65,13 +65,14 @@
 type slot struct {
 	// version is the store version of the slot's key.
 	version uint64
-	// revision is that of the record in the slot, 0 if the slot is empty.
+	// revision is the revision of the record in the slot, 0 if the slot is empty.
 	revision uint64
 }
 
 // readNext reads the slot of the next revision and applies its record, or a
 // snapshot if the slot holds a later record. It returns true if there may be more
-// to read. Otherwise the returned slot is free for the next revision.
+// to read. Otherwise the returned slot is free for the next revision: it is empty
+// or holds the record of the round before.
 func readNext(ctx context.Context, store coordination.Store, log *Log) (slot, bool, error) {
 	next := log.Revision() + 1
 	e, err := store.Get(ctx, slotKey(next))
@@ -96,7 +97,8 @@
 }
 
 // checkSlotFree checks that the slot for revision next is empty in the first
-// round and otherwise holds the record of the round before.
+// round and otherwise holds the record of the round before. Any other content is
+// an ErrStoreBehind.
 func checkSlotFree(stored, next uint64) error {
 	if stored == 0 && next <= RingSize || stored+RingSize == next {
 		return nil
@@ -159,8 +161,8 @@
 }
 
 // updateHead writes log's revision and newest records to the head, unless the
-// head is already at that revision. Errors are ignored because readers also read
-// the slots.
+// head is already at that revision or a later one. Errors are ignored because
+// readers also read the slots.
 func updateHead(ctx context.Context, store coordination.Store, log *Log) {
 	e, err := store.Get(ctx, headKey)
 	if err != nil {
@@ -196,5 +198,6 @@
 	return h
 }
 
-// UpdateHead repairs the head when its last writer died before raising it.
+// UpdateHead brings the head up to the log's revision if the head is older, as
+// after a crash of a writer between its record and the head.
 func (r *Reader) UpdateHead(ctx context.Context) { updateHead(ctx, r.store, r.log) }
--- a/internal/configlog/record.go
+++ b/internal/configlog/record.go
@@ -9,7 +9,7 @@
 // deleted: an absent key would let a writer that was paused across the deletion
 // write a revision long past.
 //
-// Log is the state after the records, without I/O. Committer writes records,
+// Log holds the state that results from the records and does no I/O. Committer writes records,
 // Reader applies records from the store, and a Snapshot brings a Log up to date
 // when older records are overwritten.
 package configlog
@@ -71,7 +71,8 @@
 // Error implements error.
 func (e *DecodeError) Error() string { return "configlog: " + e.Object + ": " + e.Reason }
 
-// Encode returns the stored form of a record, at most MaxRecordBytes.
+// Encode returns the stored form of a record, or a DecodeError if it is larger
+// than MaxRecordBytes.
 func (r Record) Encode() ([]byte, error) {
 	b, err := proto.Marshal(r.Proto())
 	if err == nil && len(b) > MaxRecordBytes {
--- a/internal/configlog/snapshot.go
+++ b/internal/configlog/snapshot.go
@@ -15,11 +15,12 @@
 	"github.com/loomkeel/loomkeel/internal/tree"
 )
 
-// targetPartBytes is the size in bytes at which a new snapshot part begins. Only
-// a part with a single larger entry exceeds it.
+// targetPartBytes is the largest sum of the encoded sizes of the entries in one
+// snapshot part, in bytes. Only a part with a single larger entry exceeds it. The
+// encoded part is slightly larger than the sum.
 const targetPartBytes = 200 << 10
 
-// Snapshot is the tree and the newest change ids at one revision.
+// Snapshot is the tree and the newest change ids, oldest first, at one revision.
 type Snapshot struct {
 	Revision uint64
 	Tree     *tree.Tree
@@ -53,7 +54,8 @@
 	revision uint64
 	yield    func(*pb.SnapshotPart) bool
 	part     *pb.SnapshotPart
-	size     int
+	// size is the sum of the sizes of the entries in part, in bytes.
+	size int
 	// stopped is set when yield has returned false.
 	stopped bool
 }
@@ -188,8 +190,8 @@
 	}
 }
 
-// readPointer returns the snapshot pointer and the store version of its key. The
-// pointer is empty if there is no snapshot.
+// readPointer returns the store version of the snapshot pointer's key, and the
+// pointer, which is empty if there is no snapshot.
 func readPointer(ctx context.Context, store coordination.Store) (uint64, *pb.SnapshotPointer, error) {
 	var p pb.SnapshotPointer
 	e, err := store.Get(ctx, snapshotKey)
--- a/internal/query/dump.go
+++ b/internal/query/dump.go
@@ -15,12 +15,14 @@
 const (
 	// dumpTimeout bounds the request for the dump of one process.
 	dumpTimeout = 2 * time.Second
-	// maxDumpBytes bounds the dump of one process; the rest is not read.
+	// maxDumpBytes bounds the dump of one process. A longer dump is cut there and
+	// reported as a dumpError.
 	maxDumpBytes = 64 << 20
 )
 
-// AddDumpRoute adds the route for the dump of all processes of the instance. Agent
-// returns the agent's dump. Others holds the debug addresses of the other
+// AddDumpRoute adds the route GET /v1/dump to a router. Its response body holds the
+// dumps of all processes of the instance by name, or an error in the place of a
+// dump that could not be fetched. Agent returns the agent's dump. Others holds the debug addresses of the other
 // processes by name.
 func AddDumpRoute(r chi.Router, others map[string]string, agent func() any) {
 	r.Get("/v1/dump", func(w http.ResponseWriter, req *http.Request) {
--- a/internal/rpc/conn.go
+++ b/internal/rpc/conn.go
@@ -25,8 +25,8 @@
 	idleTimeout    = 30 * time.Second
 )
 
-// ErrBusy is the error of a peer that is already sending snapshots to as many
-// others as it may.
+// ErrBusy is the error of a peer that is already sending the largest allowed number
+// of snapshots.
 var ErrBusy = errors.New("rpc: peer is busy")
 
 // ByteCounts counts the bytes sent and received on the connections of a process.
--- a/internal/rpc/peer.go
+++ b/internal/rpc/peer.go
@@ -8,7 +8,8 @@
 	"github.com/loomkeel/loomkeel/internal/rpc/pb"
 )
 
-// maxSnapshotParts is the largest number of parts of a received snapshot.
+// maxSnapshotParts bounds the parts of a received snapshot. A snapshot with as many
+// parts or more is an error.
 const maxSnapshotParts = 4096
 
 // PeerClient calls the Peer service of other agents over drpc.
--- a/internal/tree/blocks.go
+++ b/internal/tree/blocks.go
@@ -104,7 +104,8 @@
 	}
 }
 
-// BlockPaths returns the paths under /blocks/, sorted.
+// BlockPaths returns the sorted paths under /blocks/, those whose blocks were all
+// unset later too.
 func (t *Tree) BlockPaths() []string {
 	var paths []string
 	for p := range t.nodes {
--- a/internal/tree/check.go
+++ b/internal/tree/check.go
@@ -87,7 +87,8 @@
 }
 
 // checkDrainedDomains returns an error for each drain at whose start more failure
-// domains of its region would be drained than KeyMaxDrainedDomains allows.
+// domains of its region would be drained than KeyMaxDrainedDomains allows. Drains
+// of a whole region or of one upstream do not count.
 func (t *Tree) checkDrainedDomains(drains []Drain) []error {
 	var faults []error
 	for _, d := range drains {
--- a/internal/tree/key.go
+++ b/internal/tree/key.go
@@ -166,9 +166,9 @@
 	return nil
 }
 
-// CheckQuery returns an error if key has no effective value at path: the path is
-// malformed or the key is unknown. A key that is set only at parent paths is
-// valid, since paths inherit values.
+// CheckQuery returns an error if path is malformed or key is unknown. A key that
+// cannot be set at path itself is valid, since paths inherit values. Keys at paths
+// under /blocks/ are not checked.
 func CheckQuery(path, key string) error {
 	kind, _, err := ParsePath(path)
 	if err != nil || kind == KindBlocks {
@@ -205,8 +205,8 @@
 	return names
 }
 
-// checkBlock checks a key and value at a path under /blocks/: the key is an IP
-// prefix, the value a list of regions.
+// checkBlock checks a key and value at a path under /blocks/: the key is a masked
+// IP prefix, the value a list of regions.
 func checkBlock(path, key, value string) error {
 	p, err := netip.ParsePrefix(key)
 	if err != nil || p.Masked().String() != key {
--- a/internal/tree/path.go
+++ b/internal/tree/path.go
@@ -53,8 +53,8 @@
 // PathPatterns returns the patterns of all paths.
 func PathPatterns() []string { return pathPatterns[:] }
 
-// maxPath is the largest length of a path in bytes.
-const maxPath = 256
+// maxPathBytes is the largest length of a path in bytes.
+const maxPathBytes = 256
 
 // nameRE matches the names in paths and in values.
 var nameRE = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._-]{0,63}$`)
@@ -76,8 +76,8 @@
 	if path == "/" {
 		return KindRoot, nil, nil
 	}
-	if len(path) > maxPath {
-		return 0, nil, &PathError{path, fmt.Sprintf("longer than %d bytes", maxPath)}
+	if len(path) > maxPathBytes {
+		return 0, nil, &PathError{path, fmt.Sprintf("longer than %d bytes", maxPathBytes)}
 	}
 	parts := strings.Split(path, "/")
 	for k := KindRoot + 1; k < kindCount; k++ {
--- a/internal/tree/schedule.go
+++ b/internal/tree/schedule.go
@@ -8,7 +8,8 @@
 )
 
 // Drain is a scheduled drain of an upstream, a failure domain or a region. Empty
-// fields are not set; a drain without End lasts until it is removed.
+// fields are not set: a drain without Service applies to all services, a drain
+// without End lasts until it is removed.
 type Drain struct {
 	Path                              string
 	Service, Region, Domain, Upstream string
@@ -41,7 +42,8 @@
 }
 
 // Share returns the share of the region's traffic to be moved at a time. The share
-// rises in steps from zero at Start to Fraction at Start plus Duration. Every
+// rises from zero at Start to Fraction at Start plus Duration, in multiples of Step
+// or, if Step is 0, linearly. Every
 // instance computes the share from its own clock, so a move continues while the
 // configuration store is unavailable.
 func (m Move) Share(at time.Time) float64 {
--- a/internal/tree/tree.go
+++ b/internal/tree/tree.go
@@ -31,6 +31,7 @@
 
 // Tree is an immutable tree of settings. The zero value is an empty tree.
 type Tree struct {
+	// nodes holds the node of each path at which a key was ever written.
 	nodes map[string]node
 }
 
@@ -66,7 +67,7 @@
 	n.keys[key] = s
 }
 
-// clone returns a copy that shares no keys and blocks with n.
+// clone returns a copy that shares neither keys nor blocks with n.
 func (n node) clone() node {
 	return node{maps.Clone(n.keys), slices.Clone(n.blocks), n.revision}
 }
@@ -159,28 +160,28 @@
 func (t *Tree) String(path, key string) string { return t.Get(path, key).Value }
 
 // Duration returns the effective value of a key that holds a duration, or 0 if the
-// value is none.
+// value is not a duration.
 func (t *Tree) Duration(path, key string) time.Duration {
 	d, _ := time.ParseDuration(t.String(path, key))
 	return d
 }
 
 // Int returns the effective value of a key that holds a whole number, or 0 if the
-// value is none.
+// value is not a whole number.
 func (t *Tree) Int(path, key string) int {
 	n, _ := strconv.Atoi(t.String(path, key))
 	return n
 }
 
 // Float returns the effective value of a key that holds a number, or 0 if the
-// value is none.
+// value is not a number.
 func (t *Tree) Float(path, key string) float64 {
 	f, _ := strconv.ParseFloat(t.String(path, key), 64)
 	return f
 }
 
 // Time returns the effective value of a key that holds a time, or the zero time if
-// the value is none.
+// the value is not a time.
 func (t *Tree) Time(path, key string) time.Time {
 	at, _ := time.Parse(time.RFC3339, t.String(path, key))
 	return at
