--- a/internal/tree/blocks.go
+++ b/internal/tree/blocks.go
@@ -74,7 +74,8 @@
 }
 
 // put returns the list with a block added or replaced; the list itself is
-// modified. A key that is not a prefix is ignored; CheckEdits refuses such keys.
+// modified. A key that is not a prefix is ignored; CheckEdits lets such a key pass
+// only in an edit that unsets it.
 func (l blockList) put(key string, s Setting) blockList {
 	p, err := netip.ParsePrefix(key)
 	if err != nil {
--- a/internal/tree/check.go
+++ b/internal/tree/check.go
@@ -29,7 +29,7 @@
 }
 
 // checkEdit checks the path and key of an edit and, unless it unsets the key, the
-// value.
+// value. The key of an edit that unsets a block is not checked.
 func checkEdit(e Edit) error {
 	if !e.Unset {
 		return CheckValue(e.Path, e.Key, e.Value)
--- a/internal/tree/key.go
+++ b/internal/tree/key.go
@@ -219,9 +219,9 @@
 }
 
 // durationKey returns a key whose values are durations from lo to hi.
-func durationKey(name, def string, lo, hi time.Duration, at []Kind, doc string) Key {
+func durationKey(name, def string, lo, hi time.Duration, kinds []Kind, doc string) Key {
 	allowed := fmt.Sprintf("a duration from %v to %v", lo, hi)
-	return Key{name, def, allowed, doc, at, func(s string) error {
+	return Key{name, def, allowed, doc, kinds, func(s string) error {
 		d, err := time.ParseDuration(s)
 		if err != nil {
 			return fmt.Errorf("not a duration")
@@ -234,13 +234,14 @@
 }
 
 // numberKey returns a key whose values are numbers from lo to hi.
-func numberKey(name, def string, lo, hi float64, at []Kind, doc string) Key {
+func numberKey(name, def string, lo, hi float64, kinds []Kind, doc string) Key {
 	allowed := fmt.Sprintf("a number from %g to %g", lo, hi)
-	return Key{name, def, allowed, doc, at, func(s string) error {
+	return Key{name, def, allowed, doc, kinds, func(s string) error {
 		f, err := strconv.ParseFloat(s, 64)
 		if err != nil {
 			return fmt.Errorf("not a number")
 		}
+		// Unlike f < lo || f > hi, this is true for NaN.
 		if !(f >= lo && f <= hi) {
 			return fmt.Errorf("out of bounds")
 		}
@@ -249,9 +250,9 @@
 }
 
 // integerKey returns a key whose values are whole numbers from lo to hi.
-func integerKey(name, def string, lo, hi int, at []Kind, doc string) Key {
+func integerKey(name, def string, lo, hi int, kinds []Kind, doc string) Key {
 	allowed := fmt.Sprintf("a whole number from %d to %d", lo, hi)
-	return Key{name, def, allowed, doc, at, func(s string) error {
+	return Key{name, def, allowed, doc, kinds, func(s string) error {
 		n, err := strconv.Atoi(s)
 		if err != nil {
 			return fmt.Errorf("not a whole number")
@@ -264,18 +265,18 @@
 }
 
 // fractionKey returns a key whose values are numbers from 0 to 1.
-func fractionKey(name, def string, at []Kind, doc string) Key {
-	return numberKey(name, def, 0, 1, at, doc)
+func fractionKey(name, def string, kinds []Kind, doc string) Key {
+	return numberKey(name, def, 0, 1, kinds, doc)
 }
 
 // nameKey returns a key without a default whose values match nameRE.
-func nameKey(name, allowed string, at []Kind, doc string) Key {
-	return Key{Name: name, Allowed: allowed, Doc: doc, Kinds: at, check: checkName}
+func nameKey(name, allowed string, kinds []Kind, doc string) Key {
+	return Key{Name: name, Allowed: allowed, Doc: doc, Kinds: kinds, check: checkName}
 }
 
 // enumKey returns a key whose values are the given words.
-func enumKey(name, def string, words []string, at []Kind, doc string) Key {
-	return Key{name, def, "one of " + strings.Join(words, ", "), doc, at, func(s string) error {
+func enumKey(name, def string, words []string, kinds []Kind, doc string) Key {
+	return Key{name, def, "one of " + strings.Join(words, ", "), doc, kinds, func(s string) error {
 		if !slices.Contains(words, s) {
 			return fmt.Errorf("not one of the words")
 		}
@@ -285,8 +286,8 @@
 
 // listKey returns a key whose values are lists, separated by commas, of items that
 // pass the check item.
-func listKey(name, def, allowed string, item func(string) error, at []Kind, doc string) Key {
-	return Key{name, def, allowed, doc, at, func(s string) error { return checkEach(s, item) }}
+func listKey(name, def, allowed string, item func(string) error, kinds []Kind, doc string) Key {
+	return Key{name, def, allowed, doc, kinds, func(s string) error { return checkEach(s, item) }}
 }
 
 // checkEach returns the error of the first item of the list s that fails check.
