--- a/internal/tree/blocks.go
+++ b/internal/tree/blocks.go
@@ -74,7 +74,8 @@
 }
 
 // put returns the list with a block added or replaced; the list itself is
-// modified. A key that is not a prefix is ignored; CheckEdits refuses such keys.
+// modified. A key that is not a prefix is ignored; CheckEdits lets such a key pass
+// only in an edit that unsets it.
 func (l blockList) put(key string, s Setting) blockList {
 	p, err := netip.ParsePrefix(key)
 	if err != nil {
@@ -104,7 +105,8 @@
 	}
 }
 
-// BlockPaths returns the paths under /blocks/, sorted.
+// BlockPaths returns the sorted paths under /blocks/, those whose blocks were all
+// unset later too.
 func (t *Tree) BlockPaths() []string {
 	var paths []string
 	for p := range t.nodes {
