--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -179,7 +179,8 @@
 	a.announce(ctx)
 }
 
-// plan returns the own role in the fan-out of the own failure domain.
+// plan returns the own role in the fan-out of the own failure domain. Members of
+// other regions whose failure domain has the same name are left out.
 func (a *Agent) plan() fanout.Plan {
 	self := a.table.Self()
 	return fanout.New(domainKey(self), self.ID, aliveIDs(a.table.DomainMembers(self.Domain), self))
@@ -190,11 +191,11 @@
 func domainKey(m membership.Member) string { return m.Region + "/" + m.Domain }
 
 // aliveIDs returns the ids of the members in state Alive that are in the same region
-// as of and have an agent address.
-func aliveIDs(ms []membership.Member, of membership.Member) []string {
+// as self and have an agent address.
+func aliveIDs(ms []membership.Member, self membership.Member) []string {
 	var ids []string
 	for _, m := range ms {
-		if m.State == membership.Alive && m.Region == of.Region && m.Agent != "" {
+		if m.State == membership.Alive && m.Region == self.Region && m.Agent != "" {
 			ids = append(ids, m.ID)
 		}
 	}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -92,7 +92,7 @@
 		nodes := startGrid(t, n, 3, 2, 2)
 		alone := func(addr string) bool { return strings.HasPrefix(addr, "m2-") }
 		n.setCut(func(from, to string) bool { return alone(from) != alone(to) })
-		time.Sleep(2 * keepDead)
+		time.Sleep(2 * deadRetention)
 		rev := commit(t, nodes[0], change("c1", "2s"))
 		time.Sleep(propagationBound)
 		for _, x := range nodes {
--- a/internal/agent/dump.go
+++ b/internal/agent/dump.go
@@ -23,7 +23,7 @@
 	// Processes is the state of each process of the instance by name: "up",
 	// "leaving" or "down".
 	Processes map[string]string `json:"processes"`
-	// Shares are the caps and their division among entries, by region.
+	// Shares are the caps and their division among instances, by region.
 	Shares map[string]share.RegionStatus `json:"shares"`
 	// Stats are the agent's counters by name.
 	Stats map[string]int64 `json:"stats"`
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -20,9 +20,9 @@
 	maxUpdates = 8
 	// maxRecords is the largest number of records in one message.
 	maxRecords = 64
-	// syncThreshold is the number of consecutive peers with a differing digest that
-	// starts a comparison of whole failure domains. One or two are usual while an
-	// update propagates.
+	// syncThreshold is the number of consecutive peers with a different digest after
+	// which whole failure domains are compared. One or two such peers are usual while
+	// an update propagates.
 	syncThreshold = 3
 	// maxSyncDomains is the largest number of failure domains that one comparison
 	// covers.
@@ -78,7 +78,7 @@
 			differing++
 		case followUps < maxFollowUps:
 			followUps++
-			due = append(due, a.domainNeighbour(m)...)
+			due = append(due, a.randomInDomain(m)...)
 		}
 		if differing >= syncThreshold {
 			differing = 0
@@ -88,9 +88,9 @@
 	return differing
 }
 
-// domainNeighbour returns a random alive member of m's failure domain, or nothing if
+// randomInDomain returns a random alive member of m's failure domain, or nothing if
 // there is none.
-func (a *Agent) domainNeighbour(m membership.Member) []membership.Member {
+func (a *Agent) randomInDomain(m membership.Member) []membership.Member {
 	a.proberMu.Lock()
 	defer a.proberMu.Unlock()
 	if next, ok := a.prober.RandomInDomain(m); ok {
--- a/internal/agent/network_test.go
+++ b/internal/agent/network_test.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// keepDead is the retention time of dead members in tests.
-	keepDead = time.Minute
+	// deadRetention is the retention time of dead members in tests.
+	deadRetention = time.Minute
 	// linkDelay is the duration of a call between agents.
 	linkDelay = time.Millisecond
 	// stablePeriod is how long a test waits to detect an unwanted change of state.
@@ -127,7 +127,7 @@
 		Rand:        rand.New(rand.NewPCG(uint64(len(id)), hash(id))),
 		ProbePeriod: DefaultProbePeriod,
 		BootClock:   func() int64 { return time.Now().UnixNano() },
-		Membership:  membership.Config{SuspicionTimeout: 4 * time.Second, DeadRetention: keepDead, RetransmitLimit: 8},
+		Membership:  membership.Config{SuspicionTimeout: 4 * time.Second, DeadRetention: deadRetention, RetransmitLimit: 8},
 	})
 	n.mu.Lock()
 	n.agents[id] = a
--- a/internal/agent/processes.go
+++ b/internal/agent/processes.go
@@ -125,9 +125,9 @@
 	return list
 }
 
-// sendSnapshot sends a snapshot in parts and returns its revision. For an entry the
-// blocks of client addresses are left out: it does not use them, and they are by far
-// the largest part.
+// sendSnapshot sends a snapshot in parts, without the ids of applied changes, and
+// returns its revision. For an entry the blocks of client addresses are left out as
+// well: it does not use them, and they are by far the largest part.
 func (f *viewStream) sendSnapshot(a *Agent, send func(*pb.View) error) (uint64, error) {
 	s := a.log.Snapshot()
 	s.Changes = nil
--- a/internal/agent/push.go
+++ b/internal/agent/push.go
@@ -49,9 +49,9 @@
 }
 
 // push sends the records after revision, and the upstreams if their version is
-// higher than listVersion, to the targets of the plan. It returns the revision up to
-// which records were sent. If a snapshot was restored in between, the records before
-// it are not available; peers detect the gap and fetch the snapshot.
+// higher than listVersion, to the targets of the plan. It returns the revision after
+// which the next push starts. If a snapshot was restored in between, the records before
+// it are not available and are not sent; peers detect the gap and fetch the snapshot.
 func (a *Agent) push(ctx context.Context, revision, listVersion uint64) uint64 {
 	req := &pb.PushRequest{From: a.table.Self().Agent}
 	newest := a.log.Revision()
@@ -132,7 +132,7 @@
 	return ids
 }
 
-// readersOf returns the readers among the members ids of a failure domain.
+// readersOf returns the ids of the readers of a failure domain whose members are ids.
 func readersOf(domain string, ids []string) []string {
 	order := fanout.Order(domain, ids)
 	return order[:min(fanout.ReadersPerDomain, len(order))]
--- a/internal/agent/shares.go
+++ b/internal/agent/shares.go
@@ -26,12 +26,12 @@
 // shareLoop renews the instance's shares of the caps at intervals until ctx ends.
 func (a *Agent) shareLoop(ctx context.Context) {
 	for wait.For(ctx, a.jitter(shareInterval)) {
-		configs, hold := a.capConfigs()
+		configs, maxRequestTime := a.capConfigs()
 		if len(configs) == 0 {
 			continue
 		}
 		call, cancel := context.WithTimeout(ctx, shareTimeout)
-		if err := a.allocator.Reconcile(call, configs, hold); err != nil && ctx.Err() == nil {
+		if err := a.allocator.Reconcile(call, configs, maxRequestTime); err != nil && ctx.Err() == nil {
 			a.stats.StoreFailed.Add(1)
 			klog.V(1).InfoS("renewal of shares failed", "err", err)
 		}
@@ -40,13 +40,14 @@
 }
 
 // capConfigs returns the configured caps on requests in flight, by region, and the
-// longest deadline of a request to any listed service.
+// longest deadline of a request to any listed service, which bounds how long a request
+// may take.
 func (a *Agent) capConfigs() ([]share.CapConfig, time.Duration) {
 	_, t, _ := a.log.Current()
 	list, _ := a.directory.get()
 	byRegion := make(map[string]*share.CapConfig)
 	seen := make(map[[2]string]bool)
-	var hold time.Duration
+	var maxRequestTime time.Duration
 	for _, u := range list.Upstreams {
 		key := [2]string{u.Service, u.Region}
 		if seen[key] {
@@ -54,7 +55,7 @@
 		}
 		seen[key] = true
 		path := tree.ServicePath(u.Service) + "/regions/" + u.Region
-		hold = max(hold, t.Duration(path, tree.KeyDeadline))
+		maxRequestTime = max(maxRequestTime, t.Duration(path, tree.KeyDeadline))
 		if total := t.Int(path, tree.KeyMaxInFlight); total > 0 {
 			addCap(byRegion, t, u, total)
 		}
@@ -65,7 +66,7 @@
 		out = append(out, *config)
 	}
 	slices.SortFunc(out, func(a, b share.CapConfig) int { return cmp.Compare(a.Region, b.Region) })
-	return out, hold
+	return out, maxRequestTime
 }
 
 // addCap adds the cap total for the upstream's service to its region's configuration.
--- a/internal/agent/start.go
+++ b/internal/agent/start.go
@@ -13,9 +13,10 @@
 )
 
 const (
-	// startCallTimeout is the timeout of one call during the start.
+	// startCallTimeout is the timeout of one call during the start. Loading the state
+	// from a peer or the store may take five times as long.
 	startCallTimeout = time.Second
-	// maxSnapshotPeers is the number of peers that are asked for a snapshot.
+	// maxSnapshotPeers is the largest number of peers that are asked for a snapshot.
 	maxSnapshotPeers = 4
 	// maxActiveSnapshots is the number of snapshots that an agent sends at one time,
 	// so that when a whole rack starts, its requests spread over many peers.
--- a/internal/membership/prober.go
+++ b/internal/membership/prober.go
@@ -22,7 +22,7 @@
 
 // Next returns the member to probe in this period, or false if there is none.
 // Each round covers every peer in the probe scope once, in a new random order, so
-// that a failure is detected within one round at the latest.
+// that a member that fails is probed again less than two rounds later.
 func (p *Prober) Next() (Member, bool) {
 	for range 2 {
 		for len(p.round) > 0 {
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -41,7 +41,8 @@
 // entry is a member with its local bookkeeping.
 type entry struct {
 	Member
-	// changedAt is the local time of the last state change.
+	// changedAt is the local time at which the member's present state was received or
+	// set.
 	changedAt time.Time
 	// transmitsLeft is the number of messages that still have to carry the state.
 	transmitsLeft int
@@ -136,7 +137,8 @@
 // Merge applies the member states that the peer from has sent. It returns the
 // updates that it rejected because a peer outside the probe scope states that an
 // alive member inside the scope has failed. That peer may only be partitioned from
-// the member, so the caller sends the update to the member, which then refutes it.
+// the member, so the caller should send the update to the member, which then refutes
+// it.
 func (t *Table) Merge(now time.Time, from Member, updates ...Member) (disputed []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -335,7 +337,7 @@
 }
 
 // DeadMembers returns the members in state Dead: those that stopped answering
-// without announcing that they leave.
+// without announcing that they leave. They are sorted by id.
 func (t *Table) DeadMembers() []Member {
 	return t.Select(func(m Member) bool { return m.State == Dead })
 }
--- a/internal/share/allocator.go
+++ b/internal/share/allocator.go
@@ -15,12 +15,12 @@
 	LeaseTTL = 10 * time.Second
 	// leaseMargin is how long before the expiry of its lease a holder stops using its
 	// grants. It covers the difference in speed between the holder's clock and the
-	// store's.
+	// store's clock.
 	leaseMargin = 2 * time.Second
 	// leaseRenewPeriod is how often a lease is renewed.
 	leaseRenewPeriod = 3 * time.Second
-	// reclaimMargin is added to the longest time that a request may take; after both
-	// the grants of a lapsed lease are removed.
+	// reclaimMargin is added to the longest time that a request may take. The grants of
+	// a lapsed lease are removed once the lease has been seen as lapsed for the sum.
 	reclaimMargin = 2 * time.Second
 	// lapseCheckPeriod is how often a holder looks for lapsed leases of others while
 	// its own demand is met.
@@ -36,7 +36,8 @@
 	store     coordination.Store
 	id        string
 	ownRegion string
-	// bootClock returns the nanoseconds since the machine's boot, now the wall clock.
+	// bootClock returns the nanoseconds since the machine's boot, and now returns the
+	// wall clock time.
 	bootClock func() int64
 	now       func() time.Time
 
@@ -69,7 +70,7 @@
 
 // NewAllocator returns an Allocator for an instance in ownRegion. Two machines that
 // run under the same instance name must have different ids. bootClock returns the
-// nanoseconds since the machine's boot, now the wall clock time.
+// nanoseconds since the machine's boot, and now returns the wall clock time.
 func NewAllocator(store coordination.Store, id, ownRegion string, bootClock func() int64, now func() time.Time) *Allocator {
 	return &Allocator{
 		store: store, id: id, ownRegion: ownRegion, bootClock: bootClock, now: now,
@@ -144,7 +145,8 @@
 }
 
 // renew extends the own lease if that is due, or takes a new one. The lease's usable
-// time is counted from before the call to the store.
+// time is counted from before the call to the store, so that it ends before the lease
+// expires there.
 func (a *Allocator) renew(ctx context.Context) error {
 	a.mu.Lock()
 	lease, due := a.lease, a.bootClock()-a.renewedAt >= int64(leaseRenewPeriod) || a.lease == 0
@@ -208,7 +210,8 @@
 }
 
 // swap replaces the current ledger, stored at a version, by the next. It returns false
-// without an error on a version conflict.
+// without an error on a version conflict. After any other error the swap may still take
+// effect, so the next ledger is kept as pending.
 func (a *Allocator) swap(ctx context.Context, cfg CapConfig, current, next Ledger, version uint64) (bool, error) {
 	body, err := next.Encode()
 	if err != nil {
@@ -231,7 +234,7 @@
 }
 
 // installLedger records the ledger that the store holds at a version. While an earlier
-// swap may still replace it there, the own grants are the smaller ones of both ledgers.
+// swap may still replace it there, each own grant is the smaller one of both ledgers.
 func (a *Allocator) installLedger(cfg CapConfig, l Ledger, version uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -391,8 +394,8 @@
 	return 0
 }
 
-// RegionStatus is the configuration and the last installed ledger of one region's caps, for
-// dumps.
+// RegionStatus is the configuration and the last installed ledger of one region's caps,
+// for dumps.
 type RegionStatus struct {
 	Config CapConfig `json:"terms"`
 	Ledger Ledger    `json:"ledger"`
--- a/internal/share/limiter.go
+++ b/internal/share/limiter.go
@@ -44,7 +44,9 @@
 	return &Limiter{limits: make(map[capKey]Limit), refused: make(map[capKey]int)}
 }
 
-// Set replaces all limits, including their expiry times.
+// Set replaces all limits, including their expiry times, whether the new ones are larger
+// or smaller. The limits of different replies of the agent should be set in the order of
+// the replies: an older reply may include a part of a grant that was returned since.
 func (l *Limiter) Set(limits []Limit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,8 +104,8 @@
 	return out
 }
 
-// LimitStatus is the valid limit of one cap and the number of requests it refused
-// since the counts were last reset.
+// LimitStatus is the valid limit of one cap, in requests in flight, and the number of
+// requests refused at it since the counts were last reset.
 type LimitStatus struct {
 	Service, Region string
 	Limit           int
--- a/internal/share/plan.go
+++ b/internal/share/plan.go
@@ -41,8 +41,8 @@
 }
 
 // Plan returns the ledger that the holder wants to store next, and whether it differs
-// from l. The holder takes or confirms its seat, removes reclaimable grants of others
-// and adjusts its own grants to its demand.
+// from l. The holder takes or confirms its seat, removes the reclaimable grants of other
+// leases and adjusts the grants of its own lease to its demand.
 func Plan(l Ledger, cfg CapConfig, h Holder, d Demand) (Ledger, bool) {
 	next := l.clone()
 	changed := next.claimSeat(cfg, h)
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -185,9 +185,9 @@
 	return counter
 }
 
-// injectFault injects one random fault: a frozen agent, entry or both, a store that is
-// down, loses replies or delays them. Or it repairs the store and, up to 12 instances,
-// starts a replacement.
+// injectFault injects one random fault: a frozen agent, entry or both, or a store that is
+// down, loses replies or delays them. In one of seven cases it instead repairs the store
+// and, if there are fewer than 12 instances, starts another one.
 func injectFault(rng *rand.Rand, store *standin.Store, inst *instance, n int, startInstance func(id, region string)) {
 	until := time.Now().Add(time.Duration(rng.IntN(30)) * time.Second)
 	switch rng.IntN(7) {
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -2,9 +2,9 @@
 // region.
 //
 // A Splitter serves one service at one entry. It spreads the moved requests evenly, so
-// that at most share*n+1 of any n consecutive requests are moved. Each entry keeps the
-// cap on the moved share for its own requests; the sum over all entries therefore keeps
-// the cap without communication between them.
+// that at most share*n+1 of any n consecutive requests are moved. Each entry enforces the
+// cap on the moved share for its own requests. The sum over all entries is therefore
+// within the cap too, without communication between them.
 package shift
 
 import (
