--- a/internal/agent/network_test.go
+++ b/internal/agent/network_test.go
@@ -85,24 +85,24 @@
 	self string
 }
 
-func (l peerClient) Exchange(ctx context.Context, addr string, req *pb.ExchangeRequest) (*pb.ExchangeReply, error) {
-	a, err := l.net.call(ctx, l.self, addr)
+func (c peerClient) Exchange(ctx context.Context, addr string, req *pb.ExchangeRequest) (*pb.ExchangeReply, error) {
+	a, err := c.net.call(ctx, c.self, addr)
 	if err != nil {
 		return nil, err
 	}
 	return a.HandleExchange(ctx, req), nil
 }
 
-func (l peerClient) Push(ctx context.Context, addr string, req *pb.PushRequest) (*pb.PushReply, error) {
-	a, err := l.net.call(ctx, l.self, addr)
+func (c peerClient) Push(ctx context.Context, addr string, req *pb.PushRequest) (*pb.PushReply, error) {
+	a, err := c.net.call(ctx, c.self, addr)
 	if err != nil {
 		return nil, err
 	}
 	return a.HandlePush(ctx, req), nil
 }
 
-func (l peerClient) Snapshot(ctx context.Context, addr string, above uint64, each func(*pb.SnapshotPart) error) error {
-	a, err := l.net.call(ctx, l.self, addr)
+func (c peerClient) Snapshot(ctx context.Context, addr string, above uint64, each func(*pb.SnapshotPart) error) error {
+	a, err := c.net.call(ctx, c.self, addr)
 	if err != nil {
 		return err
 	}
--- a/internal/agent/processes.go
+++ b/internal/agent/processes.go
@@ -41,13 +41,13 @@
 func (a *Agent) HandleFollow(ctx context.Context, req *pb.FollowRequest, send func(*pb.View) error) error {
 	a.countStream(req.GetProcess(), 1)
 	defer a.countStream(req.GetProcess(), -1)
-	f := viewStream{process: req.GetProcess()}
+	vs := viewStream{process: req.GetProcess()}
 	for {
 		newest, _, logChanged := a.log.Current()
 		list, directoryChanged := a.directory.get()
 		members, membersChanged := a.table.All()
 		_, drainingChanged := a.draining.list(time.Now())
-		if err := f.send(a, newest, list, members, send); err != nil {
+		if err := vs.send(a, newest, list, members, send); err != nil {
 			return err
 		}
 		select {
@@ -78,35 +78,35 @@
 // send sends a view with everything that has changed since the last one, and repeats
 // this until the stream has reached the revision newest. It sends a snapshot first
 // on a new stream, or if the records since the last view are no longer available.
-func (f *viewStream) send(a *Agent, newest uint64, list model.Directory, members []membership.Member, send func(*pb.View) error) error {
-	v := &pb.View{Revision: f.revision, Members: rpc.MembersToProto(members), Draining: a.drainingIDs()}
-	records, complete := a.log.Since(f.revision, maxRecords)
-	if f.started && complete {
+func (vs *viewStream) send(a *Agent, newest uint64, list model.Directory, members []membership.Member, send func(*pb.View) error) error {
+	v := &pb.View{Revision: vs.revision, Members: rpc.MembersToProto(members), Draining: a.drainingIDs()}
+	records, complete := a.log.Since(vs.revision, maxRecords)
+	if vs.started && complete {
 		v.Records = rpc.RecordsToProto(records)
 		if n := len(records); n > 0 {
 			v.Revision = records[n-1].Revision
 		}
 	} else {
-		revision, err := f.sendSnapshot(a, send)
+		revision, err := vs.sendSnapshot(a, send)
 		if err != nil {
 			return err
 		}
 		v.Revision = revision
 	}
 	// The needed upstreams depend on the list and the configuration only.
-	if !f.started || list.Version > f.listVersion || v.Revision > f.revision {
-		needed := f.neededUpstreams(a, list)
-		if !f.started || list.Version > f.listVersion || len(needed.Upstreams) != f.upstreamCount {
+	if !vs.started || list.Version > vs.listVersion || v.Revision > vs.revision {
+		needed := vs.neededUpstreams(a, list)
+		if !vs.started || list.Version > vs.listVersion || len(needed.Upstreams) != vs.upstreamCount {
 			v.Directory = rpc.DirectoryToProto(needed)
 		}
-		f.upstreamCount = len(needed.Upstreams)
+		vs.upstreamCount = len(needed.Upstreams)
 	}
-	f.started, f.revision, f.listVersion = true, v.Revision, list.Version
+	vs.started, vs.revision, vs.listVersion = true, v.Revision, list.Version
 	if err := send(v); err != nil {
 		return err
 	}
-	if f.revision < newest {
-		return f.send(a, newest, list, members, send)
+	if vs.revision < newest {
+		return vs.send(a, newest, list, members, send)
 	}
 	return nil
 }
@@ -114,9 +114,9 @@
 // neededUpstreams returns the part of list that the process uses: for a director, one
 // upstream per service and region, because it only needs to know where services
 // exist; for an entry, the upstreams of the regions that it may send requests to.
-func (f *viewStream) neededUpstreams(a *Agent, list model.Directory) model.Directory {
+func (vs *viewStream) neededUpstreams(a *Agent, list model.Directory) model.Directory {
 	_, t, _ := a.log.Current()
-	switch f.process {
+	switch vs.process {
 	case ProcessDirector:
 		return model.OnePerServiceRegion(list)
 	case ProcessEntry:
@@ -128,11 +128,11 @@
 // sendSnapshot sends a snapshot in parts, without the ids of applied changes, and
 // returns its revision. For an entry the blocks of client addresses are left out as
 // well: it does not use them, and they are by far the largest part.
-func (f *viewStream) sendSnapshot(a *Agent, send func(*pb.View) error) (uint64, error) {
+func (vs *viewStream) sendSnapshot(a *Agent, send func(*pb.View) error) (uint64, error) {
 	s := a.log.Snapshot()
 	s.Changes = nil
 	var skip func(string) bool
-	if f.process == ProcessEntry {
+	if vs.process == ProcessEntry {
 		skip = tree.IsBlocksPath
 	}
 	first := true
