--- a/cmd/loomkeel-node/main.go
+++ b/cmd/loomkeel-node/main.go
@@ -36,7 +36,7 @@
 const (
 	name = "loomkeel-node"
 	// memoryLimitShare is the share of the instance's memory that is set as Go's memory
-	// limit, near which the garbage collector runs as often as it must.
+	// limit. Near the limit the garbage collector runs as often as needed to stay below it.
 	memoryLimitShare = 0.6
 	// maxInFlight is the largest number of requests that the node handles at one time.
 	maxInFlight = 4096
@@ -199,8 +199,8 @@
 	return nil
 }
 
-// serveRelay starts the server from which other nodes get what this node has read from the
-// store. It stops when ctx ends.
+// serveRelay starts the server through which other nodes follow the data that this node has
+// read from the store. The server stops when ctx ends.
 func serveRelay(ctx context.Context, addr string, srv *relay.Server) error {
 	lis, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -218,8 +218,8 @@
 	return nil
 }
 
-// stateDump is the state on which the process's decisions depend, with the state of the feed
-// that keeps it current.
+// stateDump is the state on which the process's decisions depend, with the status of the feed
+// that updates it, which includes the age of the data.
 type stateDump struct {
 	node.Dump
 	Feed platform.FeedStatus `json:"feed"`
--- a/cmd/loomkeel-standin/main.go
+++ b/cmd/loomkeel-standin/main.go
@@ -81,7 +81,7 @@
 }
 
 // runUpstreams serves the simulated upstreams until a signal to stop. The upstreams of one
-// service and region share a Gauge.
+// service and region share an InFlightGauge.
 func runUpstreams(ctx context.Context, c *cli.Command) error {
 	ctx, stop := process.SignalContext(ctx)
 	defer stop()
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -20,7 +20,7 @@
 )
 
 // callTimeout limits one call. An agent responds to a change within its setting
-// commit_timeout.
+// commit_timeout, which is at most one minute.
 const callTimeout = 70 * time.Second
 
 // Client calls the HTTP interface for operators of one agent.
@@ -100,8 +100,9 @@
 	return r, err
 }
 
-// call makes one request and decodes the JSON of the response into out, also if the status
-// is that of a refused change.
+// call makes one request and decodes the JSON of the response into out, also for the status
+// codes of refused changes. Without a valid token, and for an invalid GET request, it returns
+// the text of the response as the error.
 func (c *Client) call(ctx context.Context, method, path string, body []byte, out any) error {
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
--- a/internal/ctl/treefile.go
+++ b/internal/ctl/treefile.go
@@ -19,10 +19,10 @@
 }
 
 // Error implements error.
-func (f *TreeFileError) Error() string {
-	lines := make([]string, len(f.Errors))
-	for i, e := range f.Errors {
-		lines[i] = f.File + ": " + e.Error()
+func (e *TreeFileError) Error() string {
+	lines := make([]string, len(e.Errors))
+	for i, err := range e.Errors {
+		lines[i] = e.File + ": " + err.Error()
 	}
 	return strings.Join(lines, "\n")
 }
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -26,8 +26,8 @@
 	counts struct{ answered, refused atomic.Int64 }
 }
 
-// New returns a Director that rejects look-ups until the first Update. Now returns the
-// current time.
+// New returns a Director that rejects look-ups until the first Update. The function now
+// returns the current time.
 func New(now func() time.Time) *Director { return &Director{now: now} }
 
 // Update puts a newer snapshot into force. It must not be called concurrently.
@@ -60,7 +60,7 @@
 	Entries []Entry `json:"entries"`
 	// Lifetime is the time for which a caller may cache the answer, in seconds.
 	Lifetime float64 `json:"lifetime_s"`
-	// Revision is that of the configuration.
+	// Revision is the revision of the configuration.
 	Revision uint64 `json:"revision"`
 }
 
@@ -116,8 +116,8 @@
 	return out
 }
 
-// callerAddr returns the address client or, if that is empty, the one of the remote
-// IP:PORT.
+// callerAddr returns the IP address in client or, if client is empty, the one in remote,
+// which has the form IP:PORT.
 func callerAddr(client, remote string) (netip.Addr, error) {
 	if client != "" {
 		return netip.ParseAddr(client)
@@ -127,12 +127,12 @@
 }
 
 // writeError counts a rejected look-up and writes its response.
-func (d *Director) writeError(w http.ResponseWriter, status int, f ErrorResponse) {
+func (d *Director) writeError(w http.ResponseWriter, status int, e ErrorResponse) {
 	d.counts.refused.Add(1)
-	if f.RetryAfter > 0 {
+	if e.RetryAfter > 0 {
 		w.Header().Set("Retry-After", "1")
 	}
-	process.WriteJSON(w, status, f)
+	process.WriteJSON(w, status, e)
 }
 
 // Dump is the state on which the director's answers depend, for debugging.
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -103,14 +103,14 @@
 	if k == kindSecondReplica {
 		limiter = e.routineLimiter
 	}
-	left, ok := limiter.Allow(time.Now(), k)
+	suppressed, ok := limiter.Allow(time.Now(), k)
 	if !ok {
 		return
 	}
 	klog.InfoS("request", "kind", k, "id", o.ID, "organisation", o.Organisation, "service", o.Service, "route", o.Route, "version", o.Version,
 		"status", o.Status, "verdict", o.Verdict, "reason", o.Reason, "detail", o.Detail, "took", o.Duration, "attempts", o.Attempts,
 		"upstream", o.Choice.ID, "region", o.Choice.Region, "rank", o.Choice.Rank, "warm", o.Choice.Warm,
-		"ahead", o.Choice.Outstanding, "expected", o.Choice.ExpectedLatency, "load", o.Response.Load, "waiting", o.Response.Waiting, "left_out", left)
+		"ahead", o.Choice.Outstanding, "expected", o.Choice.ExpectedLatency, "load", o.Response.Load, "waiting", o.Response.Waiting, "left_out", suppressed)
 }
 
 // kindSecondReplica is the kind of the requests that were served in time, but not by the
@@ -206,11 +206,11 @@
 	Agent Reporter
 }
 
-// Stop performs a planned stop. It reports to the agent that the entry is leaving, so that
-// look-ups no longer return the entry; accepts requests for the time Linger from callers
-// with older answers; then rejects new requests as not run, and shuts the server down once
-// the requests in flight have ended. It returns the error of the shutdown, for example that
-// requests were still in flight after Timeout.
+// Stop performs a planned stop. It reports to the agent that the entry is leaving, so
+// that look-ups no longer return the entry. For the time Linger it still accepts
+// requests, from callers with older answers; then it rejects new requests as not run, and
+// shuts the server down once the requests in flight have ended. It returns the error of
+// the shutdown, for example that requests were still in flight after Timeout.
 func (e *Entry) Stop(ctx context.Context, srv Shutdowner, opt StopOptions) error {
 	klog.InfoS("stopping", "linger", opt.Linger)
 	e.leaving.Store(true)
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -18,8 +18,8 @@
 }
 
 // RunReports periodically reports the entry's use of the in-flight caps to the agent and
-// applies the limits in the replies, until ctx ends. Failed reports are skipped: while the
-// agent is unreachable, grants expire at their times and the floors stay in force.
+// applies the limits in the replies, until ctx ends. A failed report is not retried: while
+// the agent is unreachable, grants expire at their times and the floors stay in force.
 func (e *Entry) RunReports(ctx context.Context, r Reporter) {
 	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -66,7 +66,7 @@
 }
 
 // run writes the buffered lines. Errors of the output are ignored, because there is no other place
-// to report them.
+// to report them, and lines that the output rejects are lost to its reader in any case.
 func (w *Writer) run() {
 	for line := range w.lines {
 		_, _ = w.out.Write(line)
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -30,7 +30,7 @@
 
 // buildFleet returns the fleet of the members that have a valid peer address. The first
 // candidate for hub of a failure domain is the member that also reads the key-value store
-// for the domain.
+// for the domain; a later one becomes the hub only while those before it are silent.
 func buildFleet(self model.Member, members []model.Member) inflight.Fleet {
 	var f inflight.Fleet
 	advertised := make(map[string]bool)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
 // Package node serves the look-ups and forwards the requests of an instance in
-// one process. It is for instances so small that separate processes would cost
-// more than they give.
+// one process. It is meant for instances so small that the overhead of separate
+// processes would outweigh their benefit.
 //
 // Changes of state come in through Apply. Each change is compiled into a
 // snapshot, which the proxy and the look-ups use from then on.
@@ -186,12 +186,12 @@
 	n.Entry.Proxy.Tick()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	kept := n.view.Retained()
+	retained := n.view.Retained()
 	if !n.view.ExpireLapsed(n.now()) {
 		return
 	}
 	n.publish()
-	klog.InfoS("removed lapsed records after the grace period", "count", len(kept), "first", logs.TruncateIDs(kept))
+	klog.InfoS("removed lapsed records after the grace period", "count", len(retained), "first", logs.TruncateIDs(retained))
 }
 
 // Handler returns the handler of callers' requests. While the node is stopping, its
@@ -205,10 +205,11 @@
 	})
 }
 
-// Stop performs a planned stop within the time grace. Look-ups no longer return the node.
-// Requests are still accepted for the time linger, or half of grace if that is shorter, and
-// later ones are rejected as not run. Stop returns when the last request has ended, at the
-// latest killMargin before the end of grace.
+// Stop performs a planned stop within the time grace. Look-ups no longer return the node,
+// and upstreams with rate limits get no more requests from it. Requests are still
+// accepted for the time linger, or half of grace if that is shorter, and later ones are
+// rejected as not run. Stop returns when the last request has ended, at the latest
+// killMargin before the end of grace.
 func (n *Node) Stop(grace time.Duration) {
 	klog.InfoS("stopping", "grace", grace)
 	began := n.now()
@@ -325,20 +326,20 @@
 
 // busy reports whether other nodes need the node's reports without delay.
 func (n *Node) busy() bool {
-	c := n.Entry.Proxy
-	return c.InFlight() > idleMaxInFlight || c.OrganisationLimits().InUse(n.now()) || len(c.LimitSenders()) > 0
+	p := n.Entry.Proxy
+	return p.InFlight() > idleMaxInFlight || p.OrganisationLimits().InUse(n.now()) || len(p.LimitSenders()) > 0
 }
 
-// requestCounts returns the load at each upstream from the entries selected by whose.
-func (n *Node) requestCounts(whose balance.EntryFilter) []inflight.Count {
+// requestCounts returns the load at each upstream from the entries that filter selects.
+func (n *Node) requestCounts(filter balance.EntryFilter) []inflight.Count {
 	var out []inflight.Count
-	n.Entry.Proxy.VisitLoads(whose, func(upstream uint32, l balance.Load) {
+	n.Entry.Proxy.VisitLoads(filter, func(upstream uint32, l balance.Load) {
 		out = append(out, inflight.Count{Upstream: upstream, Requests: l.Requests, Failed: l.Failed, Total: l.Total})
 	})
 	return out
 }
 
-// handleReport applies a report that peer sent into the state of the proxy.
+// handleReport applies a report from a peer to the state of the proxy.
 func (n *Node) handleReport(peer string, r *inflight.Report) {
 	n.Entry.Proxy.ApplyPoisonClaims(r.Claims)
 	if r.Scope == inflight.ScopeNone {
@@ -356,13 +357,13 @@
 
 // maxConnIdle returns the longest idle time of a connection that may be reused for a
 // request that may run only once, and for how long that limit still holds. Both are 0 if
-// there is no limit.
+// there is no limit. Upstreams may have lost the state of connections idle for longer.
 func (n *Node) maxConnIdle() (idle, left time.Duration) {
-	d := n.Entry.Proxy.ReuseLimit()
-	if d.Until.IsZero() {
+	limit := n.Entry.Proxy.ReuseLimit()
+	if limit.Until.IsZero() {
 		return 0, 0
 	}
-	return d.MaxConnIdle, d.Until.Sub(n.now())
+	return limit.MaxConnIdle, limit.Until.Sub(n.now())
 }
 
 // Self returns the local node as the member that it registers. Its incarnation is the time
--- a/internal/node/suspended_test.go
+++ b/internal/node/suspended_test.go
@@ -12,8 +12,8 @@
 
 // TestLapsedRecordsExpireAfterSuspension suspends a machine after an upstream's record has
 // lapsed in an outage of the store. The grace period for the record runs by the boot clock;
-// the monotonic clock stands still during the suspension, and would retain the record too
-// long.
+// the monotonic clock stops during the suspension, and by it the record would be retained
+// too long.
 func TestLapsedRecordsExpireAfterSuspension(t *testing.T) {
 	const grace = 2 * time.Second
 	start := time.Now()
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -30,20 +30,20 @@
 
 // Error returns one line with the file, section, key, value, reason, valid values and
 // suggestion.
-func (f ValidationError) Error() string {
-	s := fmt.Sprintf("%s: [%s]", f.File, f.Section)
-	if f.Key != "" {
-		s += " " + f.Key
+func (e ValidationError) Error() string {
+	s := fmt.Sprintf("%s: [%s]", e.File, e.Section)
+	if e.Key != "" {
+		s += " " + e.Key
 	}
-	if f.Value != "" {
-		s += fmt.Sprintf(" = %q", f.Value)
+	if e.Value != "" {
+		s += fmt.Sprintf(" = %q", e.Value)
 	}
-	s += ": " + f.Reason
-	if f.Allowed != "" {
-		s += "; allowed: " + f.Allowed
+	s += ": " + e.Reason
+	if e.Allowed != "" {
+		s += "; allowed: " + e.Allowed
 	}
-	if f.Suggestion != "" {
-		s += "; did you mean " + f.Suggestion + "?"
+	if e.Suggestion != "" {
+		s += "; did you mean " + e.Suggestion + "?"
 	}
 	return s
 }
@@ -52,16 +52,17 @@
 type ValidationErrors []ValidationError
 
 // Error returns the errors, one per line.
-func (fs ValidationErrors) Error() string {
-	lines := make([]string, len(fs))
-	for i, f := range fs {
-		lines[i] = f.Error()
+func (es ValidationErrors) Error() string {
+	lines := make([]string, len(es))
+	for i, e := range es {
+		lines[i] = e.Error()
 	}
 	return strings.Join(lines, "\n")
 }
 
 // Load reads an INI file, applies the defaults and validates the values. The error is of type
-// ValidationErrors and holds every error found, or the one of reading or parsing the file.
+// ValidationErrors. It holds every error found, or only the error of reading or parsing the
+// file.
 func Load(file string) (*Settings, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{AllowShadows: false}, file)
 	if err != nil {
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -74,7 +74,8 @@
 }
 
 // SetFault installs the function that returns the fault for each call; nil means no faults. The
-// Store calls f with its lock held. Watches that are waiting get a new fault as well.
+// Store calls f with its lock held. Down and LoseReply of the new fault also apply to watches that
+// are waiting.
 func (s *Store) SetFault(f func(op Op, key string) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/upstream.go
+++ b/internal/standin/upstream.go
@@ -31,7 +31,7 @@
 // requests that it executes, rejects requests when all slots are in use, reports its load, and can
 // inject failures. It is safe for concurrent use.
 type Upstream struct {
-	// ID is the name of the upstream, part of its responses.
+	// ID is the name of the upstream, which its responses contain.
 	ID    string
 	Slots int
 	// ServiceTime is how long the execution of a request takes.
@@ -153,7 +153,7 @@
 	u.respond(w, r, mode)
 }
 
-// execute waits for ServiceTime and reports whether the request was not cancelled meanwhile. It
+// execute waits for ServiceTime. It reports false if the request is cancelled before that. It
 // returns before the response is written, so that the gauge never exceeds the number of requests
 // that the callers have in flight.
 func (u *Upstream) execute(ctx context.Context) bool {
