--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -41,7 +41,7 @@
 	linger = 3 * time.Second
 	// idleMaxInFlight is the number of requests in flight up to which a node counts as
 	// idle in reports. Nodes that look-ups do not return still receive single requests,
-	// from callers with an old look-up answer and from checks of the configuration in
+	// from callers with an old look-up answer and from checks of which configuration is in
 	// force. For so few requests it makes no difference to other nodes whether the report
 	// arrives at once or half a second later.
 	idleMaxInFlight = 2
@@ -166,8 +166,9 @@
 	return slices.DeleteFunc(slices.Clone(members), func(m model.Member) bool { return absent[m.ID] })
 }
 
-// RunExpiry periodically removes records that have lapsed and state of the proxy that has
-// expired, until ctx ends.
+// RunExpiry periodically removes records that lapsed during an outage of the key-value store
+// or soon after it and were not written again within the grace period, and state of the proxy
+// that has expired. It returns when ctx ends.
 func (n *Node) RunExpiry(ctx context.Context) {
 	tick := time.NewTicker(expireInterval)
 	defer tick.Stop()
