--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -46,8 +46,7 @@
 	shedBackoff = 50 * time.Millisecond
 	// peerReportTTL is the time without a report after which the reports of a peer are dropped.
 	peerReportTTL = time.Second
-	// drainTTL is how long an upstream counts as draining after an answer in which it announced
-	// this.
+	// drainTTL is how long an upstream counts as draining after it announced this in an answer.
 	drainTTL = 5 * time.Minute
 )
 
@@ -80,8 +79,7 @@
 	// lastAnswer is the time of the last answer, or the time at which the oldest request in flight
 	// was sent if that is later.
 	lastAnswer time.Time
-	// shedUntil is the end of the time for which the upstream is treated as full after it shed
-	// load.
+	// shedUntil is the time until which the upstream is treated as full after it shed load.
 	shedUntil time.Time
 	// coldSince is when the upstream was added; zero for upstreams of the first update.
 	coldSince time.Time
@@ -109,8 +107,7 @@
 	// reported.
 	outcomes     decayedOutcomes
 	peerOutcomes map[string]Outcomes
-	// outlierUntil is the end of the time for which the upstream is skipped because of its
-	// failures.
+	// outlierUntil is the time until which the upstream is skipped because of its failures.
 	outlierUntil time.Time
 	// coldTokens is the number of requests that may be sent while the upstream is cold, as of
 	// coldAt.
@@ -413,8 +410,7 @@
 	ServerError bool
 	// Bytes is the total size of the bodies of the request and the answer, 0 if unknown.
 	Bytes int64
-	// ConnectTime is the time that it took to establish the connection; 0 if an existing one was
-	// used.
+	// ConnectTime is the time it took to open the connection; 0 if an existing one was used.
 	ConnectTime time.Duration
 }
 
--- a/internal/balance/cold.go
+++ b/internal/balance/cold.go
@@ -25,7 +25,7 @@
 }
 
 // allowCold reports whether this entry may send one more request to a cold upstream. The upstream's
-// rate limit is divided evenly among a few entries, which all entries compute alike. Each of them
+// rate limit is divided evenly among a few entries; every entry computes the same few. Each of them
 // may send one request at once and further ones at its part of the rate, so that the total in any
 // second stays within the limit.
 func (b *Balancer) allowCold(u *upstreamState, now time.Time) bool {
@@ -57,7 +57,7 @@
 	return slices.ContainsFunc(b.nearestEntries(u)[:senders], func(e model.Member) bool { return e.ID == b.self })
 }
 
-// nearestEntries returns the entries in an order that all entries compute alike: those in the
+// nearestEntries returns the entries in an order that is the same at every entry: those in the
 // upstream's failure domain, then those in its region, then the others; within each group, ordered
 // by a hash of both ids.
 func (b *Balancer) nearestEntries(u *upstreamState) []model.Member {
--- a/internal/balance/late.go
+++ b/internal/balance/late.go
@@ -71,8 +71,8 @@
 	return b.roundTrip[u.Region]+wait+warm > req.Objective
 }
 
-// assumedServiceTime returns the service time assumed before any was measured, for example after a
-// restart, when all callers return at once.
+// assumedServiceTime returns the service time assumed until the first one is observed, for example
+// after a restart, when all callers return at once.
 func (r *ObjectRequest) assumedServiceTime() time.Duration {
 	return time.Duration(assumedServiceShare * float64(r.Objective))
 }
--- a/internal/configlog/record.go
+++ b/internal/configlog/record.go
@@ -42,7 +42,7 @@
 // Change is a set of edits that an operator submits. The edits are accepted or
 // refused together.
 type Change struct {
-	// ID is chosen by the author and stays the same when the change is sent again,
+	// ID is set by the author and stays the same when the change is sent again,
 	// so that the change is not applied twice.
 	ID     string
 	Author string
--- a/internal/forward/pool_test.go
+++ b/internal/forward/pool_test.go
@@ -134,7 +134,7 @@
 }
 
 // TestEarlyResponseClosesConnection responds before a long body was read. The rest of the body
-// must not be taken for the next request.
+// must not be read as the next request.
 func TestEarlyResponseClosesConnection(t *testing.T) {
 	s := newScriptedUpstream(t, func(n int, c net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
--- a/internal/forward/writetracker.go
+++ b/internal/forward/writetracker.go
@@ -12,7 +12,7 @@
 // errSealed is returned by writes to a sealed connection.
 var errSealed = errors.New("forward: request given up before it was written")
 
-// trackedConn records whether anything was written since the connection was taken for a
+// trackedConn records whether anything was written since the connection was assigned to a
 // request.
 type trackedConn struct {
 	net.Conn
--- a/internal/sim/scenario.go
+++ b/internal/sim/scenario.go
@@ -42,7 +42,7 @@
 	Entries      int
 }
 
-// Service is a set of upstreams that are alike.
+// Service is a set of upstreams with the same parameters.
 type Service struct {
 	Name string
 	// Upstreams is the number of upstreams in each failure domain.
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -73,7 +73,7 @@
 }
 
 // TestGraceStartsAtFirstSuccess lets a second component reach the store later than the
-// first. The grace period must not start anew: because it did, a node that had been cut off
+// first. The grace period must not start again: because it did, a node that had been cut off
 // once sent requests to a removed upstream for three seconds too long.
 func TestGraceStartsAtFirstSuccess(t *testing.T) {
 	v := newView()
