--- a/internal/eventsim/eventsim.go
+++ b/internal/eventsim/eventsim.go
@@ -17,7 +17,8 @@
 // New returns a Scheduler without events whose virtual time starts at a given time.
 func New(start time.Time) *Scheduler { return &Scheduler{now: start} }
 
-// Now returns the virtual time: that of the event that runs or ran last.
+// Now returns the virtual time: that of the event that runs or ran last, or the start time
+// before the first event.
 func (s *Scheduler) Now() time.Time { return s.now }
 
 // At schedules a call of fn at a virtual time.
--- a/internal/sim/loomkeel.go
+++ b/internal/sim/loomkeel.go
@@ -21,8 +21,9 @@
 	balancers [][]*balance.Balancer
 	// index maps the id of an upstream to its index in the simulation.
 	index map[string]int
+	// ticks is the number of calls of Tick so far.
 	ticks int
-	// drained holds, for each failure domain, whether the balancers have it as drained.
+	// drained holds the drained failure domains that were last passed to the balancers.
 	drained  []bool
 	services []*model.Service
 	members  []model.Member
@@ -177,7 +178,8 @@
 	}
 }
 
-// sendLoads sends the loads of one entry to the entries that are due at this tick.
+// sendLoads sends the loads of one entry to the other entries of its region, and at every
+// second tick also to those of other regions.
 func (l *loomkeel) sendLoads(from, service int, load balance.PeerLoad) {
 	for to := range l.balancers {
 		sameRegion := l.members[to].Region == l.members[from].Region
--- a/internal/sim/named_scenarios.go
+++ b/internal/sim/named_scenarios.go
@@ -43,7 +43,7 @@
 	return s
 }
 
-// emptiedDomainScenario drains a failure domain with a quarter of the upstreams, in a region
+// emptiedDomainScenario returns a scenario that drains a failure domain with a quarter of the upstreams, in a region
 // with twice the capacity that its own callers need.
 func emptiedDomainScenario() *Scenario {
 	s := regionalScenario(0.6)
@@ -51,7 +51,7 @@
 	return s
 }
 
-// idleShedsScenario makes every second upstream refuse half of its requests although it has
+// idleShedsScenario returns a scenario in which every second upstream refuses half of its requests although it has
 // free slots.
 func idleShedsScenario() *Scenario {
 	s := regionalScenario(0.5)
@@ -59,14 +59,14 @@
 	return s
 }
 
-// burstScenario raises the load to 1.5 times its rate for 6 s.
+// burstScenario returns a scenario that raises the load to 1.5 times its rate for 6 s.
 func burstScenario() *Scenario {
 	s := regionalScenario(0.6)
 	s.Events = []Event{{At: 6 * time.Second, Duration: 6 * time.Second, Kind: Burst, Factor: 1.5}}
 	return s
 }
 
-// limitScenario makes a share of the upstreams report rate limits below half of their load.
+// limitScenario returns a scenario in which a share of the upstreams report rate limits below half of their load.
 // The other upstreams have slots for the remaining requests, but their caches can't hold the
 // objects of these as well.
 func limitScenario(share float64) *Scenario {
--- a/internal/sim/result.go
+++ b/internal/sim/result.go
@@ -80,8 +80,8 @@
 	r.count(q.Class, q.firstSent, Tally{Late: 1, EarnedValue: c.LateValue * c.Value})
 }
 
-// recordRefused counts a request that was refused in the end. A refused retry costs part of
-// the value, since its caller waited in vain.
+// recordRefused counts a request that was refused in the end. A refused retry costs
+// refusedRetryCost of the value, because the caller waited without getting an answer.
 func (r *Result) recordRefused(q *Request) {
 	t := Tally{Refused: 1}
 	if q.isRetry {
--- a/internal/sim/scenario.go
+++ b/internal/sim/scenario.go
@@ -59,7 +59,8 @@
 	Name string
 	// Service is the index of the service that handles the requests.
 	Service int
-	// Rate is the mean number of requests per second from each failure domain.
+	// Rate is the mean number of requests per second from the callers of each failure
+	// domain.
 	Rate float64
 	// Objects is how many objects the callers of a region request. The rate of the nth
 	// object is proportional to n to the power of minus Skew.
@@ -80,7 +81,8 @@
 
 // Event is a disturbance of a deployment or a change of its load.
 type Event struct {
-	// At is the start, from the start of the simulation.
+	// At is the time from the start of the simulation to the start of the event, Duration
+	// that from there to its end.
 	At, Duration time.Duration
 	Kind         EventKind
 	// Service is the index of the affected service, Domain that of the affected failure
--- a/internal/sim/simulation.go
+++ b/internal/sim/simulation.go
@@ -82,7 +82,7 @@
 	attempts     int
 	// entry is the index of the entry that the request was sent to.
 	entry int
-	// finished is set once nothing waits for the response any more.
+	// finished is set once the entry waits for no response any more.
 	finished bool
 }
 
@@ -342,8 +342,8 @@
 	})
 }
 
-// startNext starts the first queued attempt that is not finished, and drops those before
-// it.
+// startNext starts the first queued attempt whose request is not finished, and drops the
+// attempts before it.
 func (s *Simulation) startNext(u *upstream) {
 	for len(u.queue) > 0 {
 		next := u.queue[0]
--- a/internal/sim/upstream.go
+++ b/internal/sim/upstream.go
@@ -10,7 +10,8 @@
 // arrivalWindow is the time over which an upstream measures its rate of arrivals.
 const arrivalWindow = 4 * time.Second
 
-// recordArrival records the arrival of a request and drops those before arrivalWindow.
+// recordArrival records the arrival of a request, and drops the arrivals that are more than
+// arrivalWindow ago.
 func (u *upstream) recordArrival(now time.Time) {
 	u.arrivals = append(u.arrivals, now)
 	for now.Sub(u.arrivals[0]) > arrivalWindow {
@@ -74,8 +75,8 @@
 // load returns the number of requests that run or wait at the upstream.
 func (u *upstream) load() int { return u.running + len(u.queue) }
 
-// serviceTime returns how long a request takes at this upstream that needs uncachedTime
-// without its object in the cache.
+// serviceTime returns how long this upstream takes for a request. uncachedTime is the time
+// without the object in the cache and without slowdown.
 func (u *upstream) serviceTime(c *Class, object uint64, uncachedTime time.Duration) time.Duration {
 	t := float64(uncachedTime) * u.slowdown
 	if u.hasCached(object) {
--- a/test/ablate/main.go
+++ b/test/ablate/main.go
@@ -1,6 +1,6 @@
 // Command ablate checks that tests depend on the mechanism that they are for. In
 // a copy of the source tree it switches off one mechanism at a time by replacing
-// text, and runs the tests for it, which must then fail.
+// text in a file, and runs the tests of this mechanism, which must then fail.
 package main
 
 import (
@@ -52,7 +52,7 @@
 	if err := os.CopyFS(dir, os.DirFS(".")); err != nil {
 		return err
 	}
-	fmt.Println("| mechanism switched off | proof | outcome |\n| --- | --- | --- |")
+	fmt.Println("| mechanism switched off | tests | outcome |\n| --- | --- | --- |")
 	passed := 0
 	for _, a := range ablations {
 		if !only.MatchString(a.mechanism) {
@@ -64,7 +64,7 @@
 		}
 		outcome := "fails, as it must"
 		if !failed {
-			outcome = "PASSES: the proof does not depend on the mechanism"
+			outcome = "PASSES: the tests do not depend on the mechanism"
 			passed++
 		}
 		fmt.Printf("| %s | %s %s | %s |\n", a.mechanism, a.pkg, a.test, outcome)
--- a/test/fleet/client.go
+++ b/test/fleet/client.go
@@ -55,8 +55,8 @@
 }
 
 // CallerVerdict returns what the caller can conclude about the execution of its request:
-// not run after a failed dial, may have run after any other error or an invalid
-// verdict header, ran on an answer without a verdict header, else the verdict itself.
+// NotRun after a failed dial, MayHaveRun after any other error or an invalid verdict
+// header, Ran for an answer without a verdict header, else the verdict of that header.
 func (r Reply) CallerVerdict() verdict.Verdict {
 	var dial *net.OpError
 	if errors.As(r.Err, &dial) && dial.Op == "dial" {
@@ -94,7 +94,7 @@
 		return Reply{Err: err}
 	}
 	// net/http itself sends a request again if it can rewind the body or the body is
-	// empty. A body of a type that it does not know, even an empty one, prevents that.
+	// empty. A body of a type unknown to net/http, even an empty one, prevents that.
 	req.Body = io.NopCloser(struct{ io.Reader }{strings.NewReader(r.Body)})
 	req.ContentLength = int64(len(r.Body))
 	req.Header.Set(header.Service, r.Service)
--- a/test/measure/bench.go
+++ b/test/measure/bench.go
@@ -21,7 +21,7 @@
 	phase int
 }
 
-// callers is the number of client addresses. Each does one look-up per phase.
+// callers is the number of client addresses. One look-up is made for each in every phase.
 const callers = 240
 
 // configure sets the services' settings and the client blocks of the regions, and waits
@@ -46,7 +46,8 @@
 	return b.fleet.WaitRevision(uint64(len(b.deployment.services)+len(b.deployment.regions)), ids...)
 }
 
-// phases runs all phases. Load is the load as a share of all slots.
+// phases runs all phases. In the table of steps, load is the request rate relative to what
+// all slots can serve.
 func (b *bench) phases(length time.Duration) error {
 	first := b.deployment.regions[0]
 	steps := []struct {
--- a/test/proofs/proofs_test.go
+++ b/test/proofs/proofs_test.go
@@ -1,4 +1,4 @@
-// Package proofs has fault-injection tests: a deployment of real processes serves
+// Package proofs contains fault-injection tests: a deployment of real processes serves
 // requests while processes are killed or stopped, connections are blocked and the
 // platform's store fails. Each test checks an invariant on the verdicts that callers
 // received and the requests that upstreams ran.
@@ -59,8 +59,8 @@
 	return s
 }
 
-// deploy starts a deployment, waits until its members know each other, and stops it at
-// the end of the test.
+// deploy starts a deployment, waits until every agent lists the entries of all instances,
+// and stops the deployment at the end of the test.
 func deploy(t *testing.T, spec fleet.Spec) *fleet.Fleet {
 	t.Helper()
 	dir := t.TempDir()
--- a/test/quickstart/main.go
+++ b/test/quickstart/main.go
@@ -152,7 +152,7 @@
 // describe returns the numbers of outcomes by verdict.
 func describe(outcomes []fleet.Outcome) string {
 	n := fleet.CountVerdicts(outcomes)
-	return fmt.Sprintf("%d sent, %d ran, %d not run, %d unsure", len(outcomes), n[verdict.Ran], n[verdict.NotRun], n[verdict.MayHaveRun])
+	return fmt.Sprintf("%d sent, %d ran, %d not run, %d may have run", len(outcomes), n[verdict.Ran], n[verdict.NotRun], n[verdict.MayHaveRun])
 }
 
 // drain drains a failure domain under load. No request may be refused or lost.
--- a/test/sessions/simulation_test.go
+++ b/test/sessions/simulation_test.go
@@ -39,9 +39,10 @@
 type upstream struct {
 	model.Upstream
 	serviceTime time.Duration
-	// Faults: with closesUnanswered the connection closes after a request ran, with
-	// truncates in the middle of the answer. With reportsIdle the upstream reports no
-	// load, with down it refuses connections. Slowdown multiplies the service time.
+	// The next fields are faults. With closesUnanswered the connection closes after a
+	// request ran, with truncates in the middle of the answer. With reportsIdle the
+	// upstream always reports a load of 0, with down it refuses connections. slowdown
+	// multiplies the service time.
 	closesUnanswered, truncates, reportsIdle, down bool
 	slowdown                                       int
 	// inFlight is the number of requests now, peak its maximum so far, ranCount the number
@@ -197,9 +198,9 @@
 	w.logf("caller %s: %s %s %s at entry-%s: %s after %v", r.caller, r.method, r.service, r.path, r.region, a.describe(), time.Since(start).Round(time.Millisecond))
 }
 
-// result is the answer to a request. From is the id of the upstream that answered; without
-// one, reason is the entry's reason for refusing the request and retry the value of
-// Retry-After.
+// result is the answer to a request. from is the id of the upstream that answered; if it is
+// empty, reason is the entry's reason for refusing the request and retry the value of
+// Retry-After. aborted is set if the connection ended in the middle of the answer.
 type result struct {
 	status  int
 	verdict verdict.Verdict
--- a/test/slopes/fleet.go
+++ b/test/slopes/fleet.go
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// usage is what a cluster has used up to a time: processor time, bytes by kind and member,
-// and calls of the store.
+// usage is what a cluster has used up to the time at: processor time, bytes sent and received
+// by kind ("all") and member, and calls of the store.
 type usage struct {
 	at    time.Time
 	cpu   time.Duration
--- a/test/upgrade/main.go
+++ b/test/upgrade/main.go
@@ -224,13 +224,13 @@
 		return err
 	}
 	n := fleet.CountVerdicts(outcomes)
-	fmt.Printf("%d sent, %d ran, %d not run, %d unsure\n", len(outcomes), n[verdict.Ran], n[verdict.NotRun], n[verdict.MayHaveRun])
+	fmt.Printf("%d sent, %d ran, %d not run, %d may have run\n", len(outcomes), n[verdict.Ran], n[verdict.NotRun], n[verdict.MayHaveRun])
 	if faults := fleet.CheckOutcomes(outcomes, fleet.CountRuns(runs), true); len(faults) > 0 {
 		return fmt.Errorf("%d contradictions between verdicts and runs, the first: %s", len(faults), faults[0])
 	}
 	for _, o := range outcomes {
 		if o.Verdict == verdict.MayHaveRun {
-			fmt.Printf("unsure: %s: %+v\n", o.ID, o.LastReply)
+			fmt.Printf("may have run: %s: %+v\n", o.ID, o.LastReply)
 		}
 	}
 	if n[verdict.MayHaveRun] > 0 {
