--- a/test/fleet/client.go
+++ b/test/fleet/client.go
@@ -83,7 +83,7 @@
 }
 
 // callerClient has a transport of its own, so that callers share no connections with
-// other clients of the process.
+// other clients of the process. Do prevents its automatic retries.
 var callerClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 128}}
 
 // Do sends a request to its entry once and reads the whole answer.
--- a/test/measure/bench.go
+++ b/test/measure/bench.go
@@ -59,7 +59,7 @@
 		{"calm, 30%", 0.3, nil},
 		{"rush, 90%", 0.9, nil},
 		{"overload, 150%", 1.5, nil},
-		{"at rest again, 60%", 0.6, nil},
+		{"after the overload, 60%", 0.6, nil},
 		{"drain of a failure domain, 60%", 0.6, func() error { return b.drain(first, first+"-a") }},
 		{"failure domain's instances killed, 60%", 0.6, func() error { return b.kill(first + "-b") }},
 		{"region's upstreams killed, 50%", 0.5, func() error { b.fleet.Proc("upstreams-" + first).Kill(); return nil }},
@@ -157,8 +157,8 @@
 	}
 }
 
-// send sends a request to one entry after the other while entries cannot be reached, and
-// counts its result.
+// send sends a request to one entry after the other until the connection to one of them can
+// be opened, and counts the result.
 func (t *tally) send(s service, id string, entries []string) {
 	start := time.Now()
 	var r fleet.Reply
--- a/test/play/main.go
+++ b/test/play/main.go
@@ -40,9 +40,9 @@
 // names returns the keys of a map, sorted.
 func names[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// columns are the column heads of a row: the value of the answers, then shares of all
-// requests.
-const columns = "worth | in time | late | refused | failed"
+// columns are the column heads of a row: the earned part of the total value, then shares of
+// all requests.
+const columns = "value ratio | in time | late | refused | failed"
 
 // row returns the cells of a tally in a table row.
 func row(t sim.Tally) string {
@@ -68,7 +68,7 @@
 		return nil
 	}
 	fmt.Printf("\n### %d random deployments from seed %d: means, and the mean of the worst tenth\n\n", s.Deployments, s.FirstSeed)
-	fmt.Printf("| policy | mean worth | worst tenth | %s |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n", columns)
+	fmt.Printf("| policy | mean value ratio | worst tenth | %s |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n", columns)
 	for _, policy := range s.Policies {
 		tallies := make([]sim.Tally, s.Deployments)
 		var simulations errgroup.Group
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// summary returns the mean of the tallies' values, the mean of the lowest tenth of them,
+// summary returns the mean of the tallies' value ratios, the mean of the lowest tenth of them,
 // and the sum of the tallies.
 func summary(tallies []sim.Tally) (mean, worst float64, all sim.Tally) {
 	values := make([]float64, len(tallies))
