--- a/internal/sim/named_scenarios.go
+++ b/internal/sim/named_scenarios.go
@@ -17,8 +17,8 @@
 }
 
 // regionalScenario returns a deployment of three regions with two failure domains each. One
-// region has only about a fifth of the upstreams of each other. load is relative to what all
-// slots could serve if all objects were cached.
+// region has only 2 upstreams, the others have 8 and 10. load is relative to what all slots
+// could serve if all objects were cached.
 func regionalScenario(load float64) *Scenario {
 	s := &Scenario{
 		Name: fmt.Sprint("regional-", load), InterRegionLatency: 20 * time.Millisecond, IntraRegionLatency: time.Millisecond, ClientLatency: 5 * time.Millisecond,
@@ -44,7 +44,7 @@
 }
 
 // emptiedDomainScenario returns a scenario that drains a failure domain with a quarter of the upstreams, in a region
-// with twice the capacity that its own callers need.
+// with 2.5 times the capacity that its own callers need.
 func emptiedDomainScenario() *Scenario {
 	s := regionalScenario(0.6)
 	s.Events = []Event{{At: 6 * time.Second, Duration: 10 * time.Second, Kind: Drain, Domain: 4}}
