--- a/internal/sim/named_scenarios.go
+++ b/internal/sim/named_scenarios.go
@@ -43,8 +43,8 @@
 	return s
 }
 
-// emptiedDomainScenario returns a scenario that drains a failure domain with a quarter of the upstreams, in a region
-// with 2.5 times the capacity that its own callers need.
+// emptiedDomainScenario returns a scenario that drains a failure domain with a quarter of the
+// upstreams, in a region with 2.5 times the capacity that its own callers need.
 func emptiedDomainScenario() *Scenario {
 	s := regionalScenario(0.6)
 	s.Events = []Event{{At: 6 * time.Second, Duration: 10 * time.Second, Kind: Drain, Domain: 4}}
