--- a/internal/sim/named_scenarios.go
+++ b/internal/sim/named_scenarios.go
@@ -51,8 +51,8 @@
 	return s
 }
 
-// idleShedsScenario returns a scenario in which every second upstream refuses half of its requests although it has
-// free slots.
+// idleShedsScenario returns a scenario in which every second upstream refuses half of its
+// requests although it has free slots.
 func idleShedsScenario() *Scenario {
 	s := regionalScenario(0.5)
 	s.Events = []Event{{At: 6 * time.Second, Duration: 10 * time.Second, Kind: ShedIdle, UpstreamShare: 0.5, Factor: 0.5}}
@@ -66,9 +66,9 @@
 	return s
 }
 
-// limitScenario returns a scenario in which a share of the upstreams report rate limits below half of their load.
-// The other upstreams have slots for the remaining requests, but their caches can't hold the
-// objects of these as well.
+// limitScenario returns a scenario in which a share of the upstreams report rate limits
+// below half of their load. The other upstreams have slots for the remaining requests, but
+// their caches can't hold the objects of these as well.
 func limitScenario(share float64) *Scenario {
 	s := &Scenario{
 		Name: fmt.Sprint("limits-", share), InterRegionLatency: 50 * time.Millisecond, IntraRegionLatency: time.Millisecond, ClientLatency: time.Millisecond,
