--- a/internal/sim/named_scenarios.go
+++ b/internal/sim/named_scenarios.go
@@ -17,8 +17,8 @@
 }
 
 // regionalScenario returns a deployment of three regions with two failure domains each. One
-// region has only about a fifth of the upstreams of each other. load is relative to what all
-// slots could serve if all objects were cached.
+// region has only 2 upstreams, the others have 8 and 10. load is relative to what all slots
+// could serve if all objects were cached.
 func regionalScenario(load float64) *Scenario {
 	s := &Scenario{
 		Name: fmt.Sprint("regional-", load), InterRegionLatency: 20 * time.Millisecond, IntraRegionLatency: time.Millisecond, ClientLatency: 5 * time.Millisecond,
@@ -43,32 +43,32 @@
 	return s
 }
 
-// emptiedDomainScenario drains a failure domain with a quarter of the upstreams, in a region
-// with twice the capacity that its own callers need.
+// emptiedDomainScenario returns a scenario that drains a failure domain with a quarter of the
+// upstreams, in a region with 2.5 times the capacity that its own callers need.
 func emptiedDomainScenario() *Scenario {
 	s := regionalScenario(0.6)
 	s.Events = []Event{{At: 6 * time.Second, Duration: 10 * time.Second, Kind: Drain, Domain: 4}}
 	return s
 }
 
-// idleShedsScenario makes every second upstream refuse half of its requests although it has
-// free slots.
+// idleShedsScenario returns a scenario in which every second upstream refuses half of its
+// requests although it has free slots.
 func idleShedsScenario() *Scenario {
 	s := regionalScenario(0.5)
 	s.Events = []Event{{At: 6 * time.Second, Duration: 10 * time.Second, Kind: ShedIdle, UpstreamShare: 0.5, Factor: 0.5}}
 	return s
 }
 
-// burstScenario raises the load to 1.5 times its rate for 6 s.
+// burstScenario returns a scenario that raises the load to 1.5 times its rate for 6 s.
 func burstScenario() *Scenario {
 	s := regionalScenario(0.6)
 	s.Events = []Event{{At: 6 * time.Second, Duration: 6 * time.Second, Kind: Burst, Factor: 1.5}}
 	return s
 }
 
-// limitScenario makes a share of the upstreams report rate limits below half of their load.
-// The other upstreams have slots for the remaining requests, but their caches can't hold the
-// objects of these as well.
+// limitScenario returns a scenario in which a share of the upstreams report rate limits
+// below half of their load. The other upstreams have slots for the remaining requests, but
+// their caches can't hold the objects of these as well.
 func limitScenario(share float64) *Scenario {
 	s := &Scenario{
 		Name: fmt.Sprint("limits-", share), InterRegionLatency: 50 * time.Millisecond, IntraRegionLatency: time.Millisecond, ClientLatency: time.Millisecond,
--- a/test/measure/bench.go
+++ b/test/measure/bench.go
@@ -21,7 +21,7 @@
 	phase int
 }
 
-// callers is the number of client addresses. Each does one look-up per phase.
+// callers is the number of client addresses. One look-up is made for each in every phase.
 const callers = 240
 
 // configure sets the services' settings and the client blocks of the regions, and waits
@@ -46,7 +46,8 @@
 	return b.fleet.WaitRevision(uint64(len(b.deployment.services)+len(b.deployment.regions)), ids...)
 }
 
-// phases runs all phases. Load is the load as a share of all slots.
+// phases runs all phases. In the table of steps, load is the request rate relative to what
+// all slots can serve.
 func (b *bench) phases(length time.Duration) error {
 	first := b.deployment.regions[0]
 	steps := []struct {
@@ -58,7 +59,7 @@
 		{"calm, 30%", 0.3, nil},
 		{"rush, 90%", 0.9, nil},
 		{"overload, 150%", 1.5, nil},
-		{"at rest again, 60%", 0.6, nil},
+		{"after the overload, 60%", 0.6, nil},
 		{"drain of a failure domain, 60%", 0.6, func() error { return b.drain(first, first+"-a") }},
 		{"failure domain's instances killed, 60%", 0.6, func() error { return b.kill(first + "-b") }},
 		{"region's upstreams killed, 50%", 0.5, func() error { b.fleet.Proc("upstreams-" + first).Kill(); return nil }},
@@ -156,8 +157,8 @@
 	}
 }
 
-// send sends a request to one entry after the other while entries cannot be reached, and
-// counts its result.
+// send sends a request to one entry after the other until the connection to one of them can
+// be opened, and counts the result.
 func (t *tally) send(s service, id string, entries []string) {
 	start := time.Now()
 	var r fleet.Reply
