--- a/test/fleet/client.go
+++ b/test/fleet/client.go
@@ -41,6 +41,24 @@
 	return a, json.NewDecoder(resp.Body).Decode(&a)
 }
 
+// LookupEntries returns the entry addresses that the first director that answers names for a
+// caller, or nil if none answers. Callers start with different directors.
+func (f *Fleet) LookupEntries(service string, caller int) []string {
+	nodes := f.Spec.Nodes
+	var out []string
+	for i := range nodes {
+		a, err := f.Lookup(nodes[(caller+i)%len(nodes)].ID, service, fmt.Sprintf("10.0.0.%d", caller))
+		if err != nil {
+			continue
+		}
+		for _, e := range a.Entries {
+			out = append(out, e.Address)
+		}
+		break
+	}
+	return out
+}
+
 // Reply is the answer that a caller got to one request.
 type Reply struct {
 	Status int
--- a/test/proofs/proofs_test.go
+++ b/test/proofs/proofs_test.go
@@ -306,7 +306,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	l := &fleet.LoadGenerator{Name: "notice", Service: "orders", Method: "POST", Path: "/notices", Body: "notice", Callers: 8, Pause: time.Millisecond,
-		Entries: func(caller int) []string { return lookUpEntries(f, caller) }}
+		Entries: func(caller int) []string { return f.LookupEntries("orders", caller) }}
 	l.Start(ctx)
 	for _, id := range nodeIDs(f) {
 		for _, process := range []string{fleet.Entry, fleet.Director, fleet.Agent} {
@@ -331,24 +331,6 @@
 	}
 }
 
-// lookUpEntries returns the entry addresses that the first director that answers names
-// for a caller. Callers start with different directors.
-func lookUpEntries(f *fleet.Fleet, caller int) []string {
-	ids := nodeIDs(f)
-	var out []string
-	for i := range ids {
-		a, err := f.Lookup(ids[(caller+i)%len(ids)], "orders", fmt.Sprintf("10.0.0.%d", caller))
-		if err != nil {
-			continue
-		}
-		for _, e := range a.Entries {
-			out = append(out, e.Address)
-		}
-		break
-	}
-	return out
-}
-
 // TestAcceptedRevisionsStayInForce: the configuration changes while one agent is killed and
 // another stopped by SIGSTOP, the store loses replies and is killed. Every accepted
 // revision must get into force, and no entry may return to an older one.
--- a/test/upgrade/main.go
+++ b/test/upgrade/main.go
@@ -115,7 +115,7 @@
 	defer cancel()
 	l := &fleet.LoadGenerator{
 		Name: "upgrade", Service: "orders", Method: "POST", Path: "/orders", Body: "palm", Callers: 4, Pause: 5 * time.Millisecond,
-		Entries: u.lookup,
+		Entries: func(caller int) []string { return u.fleet.LookupEntries("orders", caller) },
 	}
 	if err := u.changeSetting(); err != nil {
 		return err
@@ -132,24 +132,6 @@
 	return u.checkOutcomes(l.Wait())
 }
 
-// lookup returns the addresses of the entries that a caller is to use, from the first
-// director that answers, or nil if none does.
-func (u *upgrade) lookup(caller int) []string {
-	for i := range spec.Nodes {
-		node := spec.Nodes[(caller+i)%len(spec.Nodes)].ID
-		a, err := u.fleet.Lookup(node, "orders", fmt.Sprintf("10.1.2.%d", caller))
-		if err != nil {
-			continue
-		}
-		var out []string
-		for _, e := range a.Entries {
-			out = append(out, e.Address)
-		}
-		return out
-	}
-	return nil
-}
-
 // replaceInstance stops an instance, starts it with the programs of another build, changes
 // a setting and checks that all instances agree on it.
 func (u *upgrade) replaceInstance(node, build string) error {
