--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -149,23 +149,50 @@
 // pastTime is used as a deadline that has already passed.
 var pastTime = time.Unix(1, 0)
 
-// interruptRead makes a blocked read of the caller's body fail when ctx ends. The returned
-// function cancels this. net/http writes no response while a read of the request body blocks,
-// so without the interrupt the caller of a stalled upload would get its response only after
-// sending more bytes.
-func (b *replayBody) interruptRead(ctx context.Context, w http.ResponseWriter) (stop func() bool) {
+// interruptRead makes reads of the caller's body fail once ctx ends, so that a stalled upload
+// ends at its deadline. The returned function cancels this; it must be called before the handler
+// returns.
+func (b *replayBody) interruptRead(ctx context.Context, w http.ResponseWriter) (cancel func()) {
 	if b.length == 0 {
-		return func() bool { return true }
+		return func() {}
 	}
-	return context.AfterFunc(ctx, func() {
-		if b.mu.TryLock() {
-			b.mu.Unlock()
+	done := make(chan struct{})
+	stop := context.AfterFunc(ctx, func() {
+		defer close(done)
+		if b.ended() {
 			return
 		}
 		if err := http.NewResponseController(w).SetReadDeadline(pastTime); err != nil {
 			klog.V(1).InfoS("interrupting the read of a stalled request body failed", "err", err)
 		}
 	})
+	return func() {
+		if !stop() {
+			<-done
+		}
+	}
+}
+
+// ended reports whether no further read of the caller's body can block, because a read has
+// returned an error or the end of the body.
+func (b *replayBody) ended() bool {
+	if !b.mu.TryLock() {
+		return false
+	}
+	defer b.mu.Unlock()
+	return b.err != nil
+}
+
+// allowEarlyResponse lets the response to r be written before its body has been read to the
+// end. By default net/http reads the rest of the body first, so a caller that has stopped
+// sending would get no response.
+func allowEarlyResponse(w http.ResponseWriter, r *http.Request) {
+	if r.ContentLength == 0 {
+		return
+	}
+	if err := http.NewResponseController(w).EnableFullDuplex(); err != nil {
+		klog.V(1).InfoS("early responses to uploads are not supported", "err", err)
+	}
 }
 
 // callerError returns the error of reading the caller's body. It returns nil at the end of the
--- a/internal/forward/proxy.go
+++ b/internal/forward/proxy.go
@@ -243,6 +243,7 @@
 	p.inFlight.Add(1)
 	defer p.inFlight.Add(-1)
 	start := p.opt.SyncNow()
+	allowEarlyResponse(w, r)
 	out := Outcome{}
 	defer func() {
 		out.Duration = p.now().Sub(start)
--- /dev/null
+++ b/internal/forward/stalled_test.go
@@ -0,0 +1,92 @@
+package forward
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/loomkeel/loomkeel/internal/header"
+)
+
+// The tests in this file guard against responses that wait for a request body. net/http reads
+// the rest of a body before it writes the response, so a caller that has stopped sending would
+// get no response at all.
+
+// stalledUpload sends the head of an upload without its body and returns the response, or nil
+// if none arrives.
+func stalledUpload(t *testing.T, e *entry, framing string, fields ...string) *http.Response {
+	t.Helper()
+	conn, err := net.Dial("tcp", strings.TrimPrefix(e.url, "http://"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	head := "POST /photo HTTP/1.1\r\nHost: x\r\n" + framing + "\r\n"
+	for i := 0; i < len(fields); i += 2 {
+		head += fields[i] + ": " + fields[i+1] + "\r\n"
+	}
+	if _, err := fmt.Fprint(conn, head+"\r\n"); err != nil {
+		t.Fatal(err)
+	}
+	_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil {
+		t.Errorf("%s: no response: %v", framing, err)
+		return nil
+	}
+	resp.Body.Close()
+	return resp
+}
+
+var uploadFramings = []string{"Content-Length: 1000", "Content-Length: 1000000", "Transfer-Encoding: chunked"}
+
+// TestRejectedStalledUpload sends uploads that are rejected without reading their bodies.
+func TestRejectedStalledUpload(t *testing.T) {
+	e := newEntry(t, []*fakeUpstream{newFakeUpstream(t)})
+	for _, framing := range uploadFramings {
+		resp := stalledUpload(t, e, framing, header.Service, "nosuch")
+		if resp != nil && resp.StatusCode != http.StatusNotFound {
+			t.Errorf("%s: status %d", framing, resp.StatusCode)
+		}
+	}
+}
+
+// TestStalledUploadAtShortDeadline sends uploads whose deadlines pass about when the entry starts
+// to read their bodies.
+func TestStalledUploadAtShortDeadline(t *testing.T) {
+	f := newFakeUpstream(t)
+	e := newEntry(t, []*fakeUpstream{f})
+	for _, framing := range uploadFramings {
+		for _, millis := range []string{"1", "2", "3", "5", "20"} {
+			resp := stalledUpload(t, e, framing, header.Service, "orders", header.Deadline, millis)
+			if resp != nil && resp.StatusCode != http.StatusServiceUnavailable && resp.StatusCode != http.StatusGatewayTimeout {
+				t.Errorf("%s, deadline %s ms: status %d", framing, millis, resp.StatusCode)
+			}
+		}
+	}
+	if n := len(f.received()); n != 0 {
+		t.Errorf("%d incomplete uploads ran", n)
+	}
+}
+
+// TestEarlyResponseToStalledUpload makes an upstream respond before it has read the body, of
+// which the caller sends nothing. The caller gets the response at its deadline.
+func TestEarlyResponseToStalledUpload(t *testing.T) {
+	s := newScriptedUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
+		req, err := http.ReadRequest(r)
+		if err != nil {
+			return
+		}
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 2\r\n\r\nok", header.RequestID, req.Header.Get(header.RequestID))
+		_, _ = io.Copy(io.Discard, r)
+	})
+	e := newEntry(t, []*fakeUpstream{{lis: s.lis}})
+	for _, framing := range uploadFramings {
+		stalledUpload(t, e, framing, header.Service, "orders", header.Deadline, "100")
+	}
+}
--- a/test/ablate/table.go
+++ b/test/ablate/table.go
@@ -204,6 +204,8 @@
 		"if !now.Before(e.deadline) {", "if false {", pkgForward, "DeadlinePasses", nil},
 	{"reads of stalled bodies are interrupted", "internal/forward/proxy.go",
 		"defer cl.body.interruptRead(ctx, w)()", "_ = cl.body.interruptRead", pkgForward, "StalledUpload", nil},
+	{"responses do not wait for the bodies of uploads", "internal/forward/proxy.go",
+		"\tallowEarlyResponse(w, r)\n", "", pkgForward, "StalledUpload", nil},
 	{"an organisation's limit is divided among entries", "internal/quota/bucket.go",
 		"return math.Max(b.share(now)*total, floor) - unreported", "return math.Max(total, floor) - unreported", pkgQuota, "Surges", nil},
 	{"an entry has a minimum allowance whatever its share", "internal/quota/bucket.go",
