--- a/internal/inflight/claim.go
+++ b/internal/inflight/claim.go
@@ -10,13 +10,13 @@
 
 // Field numbers of the encoding of a poison.Claim, a protobuf message.
 const (
-	fieldKey       = 1
-	fieldHead      = 2
-	fieldSource    = 3
-	fieldCrashes   = 4
-	fieldHeldLeft  = 5
-	fieldResponded = 6
-	fieldHeldAge   = 7
+	fieldKey           = 1
+	fieldHead          = 2
+	fieldSource        = 3
+	fieldCrashes       = 4
+	fieldHoldRemaining = 5
+	fieldResponseAge   = 6
+	fieldHoldAge       = 7
 )
 
 const (
@@ -45,21 +45,21 @@
 	b = protowire.AppendFixed32(b, c.Source)
 	if len(c.Crashes) > 0 {
 		var crashes []byte
-		for _, s := range c.Crashes {
-			crashes = protowire.AppendFixed32(crashes, s.Upstream)
-			crashes = protowire.AppendVarint(crashes, millis(s.Age))
+		for _, crash := range c.Crashes {
+			crashes = protowire.AppendFixed32(crashes, crash.Upstream)
+			crashes = protowire.AppendVarint(crashes, millis(crash.Age))
 		}
 		b = protowire.AppendTag(b, fieldCrashes, protowire.BytesType)
 		b = protowire.AppendBytes(b, crashes)
 	}
 	if c.HoldRemaining > 0 {
-		b = protowire.AppendTag(b, fieldHeldLeft, protowire.VarintType)
+		b = protowire.AppendTag(b, fieldHoldRemaining, protowire.VarintType)
 		b = protowire.AppendVarint(b, millis(c.HoldRemaining))
-		b = protowire.AppendTag(b, fieldHeldAge, protowire.VarintType)
+		b = protowire.AppendTag(b, fieldHoldAge, protowire.VarintType)
 		b = protowire.AppendVarint(b, millis(c.HoldAge))
 	}
 	if c.Responded {
-		b = protowire.AppendTag(b, fieldResponded, protowire.VarintType)
+		b = protowire.AppendTag(b, fieldResponseAge, protowire.VarintType)
 		b = protowire.AppendVarint(b, millis(c.ResponseAge))
 	}
 	return b
@@ -71,7 +71,7 @@
 // decodeClaim decodes the output of appendClaim. Unknown fields are skipped.
 func decodeClaim(b []byte) (poison.Claim, error) {
 	var c poison.Claim
-	var key, head, heldLeft, heldAge, answered uint64
+	var key, head, holdRemaining, holdAge, responseAge uint64
 	var crashes []byte
 	hasHead := false
 	err := eachField(b, func(field protowire.Number, kind protowire.Type, b []byte) (n int) {
@@ -85,12 +85,12 @@
 			c.Source, n = protowire.ConsumeFixed32(b)
 		case field == fieldCrashes && kind == protowire.BytesType:
 			crashes, n = protowire.ConsumeBytes(b)
-		case field == fieldHeldLeft && kind == protowire.VarintType:
-			heldLeft, n = protowire.ConsumeVarint(b)
-		case field == fieldHeldAge && kind == protowire.VarintType:
-			heldAge, n = protowire.ConsumeVarint(b)
-		case field == fieldResponded && kind == protowire.VarintType:
-			answered, n = protowire.ConsumeVarint(b)
+		case field == fieldHoldRemaining && kind == protowire.VarintType:
+			holdRemaining, n = protowire.ConsumeVarint(b)
+		case field == fieldHoldAge && kind == protowire.VarintType:
+			holdAge, n = protowire.ConsumeVarint(b)
+		case field == fieldResponseAge && kind == protowire.VarintType:
+			responseAge, n = protowire.ConsumeVarint(b)
 			c.Responded = true
 		default:
 			n = protowire.ConsumeFieldValue(field, kind, b)
@@ -100,15 +100,15 @@
 	if err != nil {
 		return c, err
 	}
-	if heldLeft > maxClaimTime || heldAge > maxClaimTime || answered > maxClaimTime {
+	if holdRemaining > maxClaimTime || holdAge > maxClaimTime || responseAge > maxClaimTime {
 		return c, errMalformed
 	}
 	c.Key, c.Head = poison.Key(key), poison.Key(key)
 	if hasHead {
 		c.Head = poison.Key(head)
 	}
-	c.HoldRemaining, c.HoldAge = time.Duration(heldLeft)*time.Millisecond, time.Duration(heldAge)*time.Millisecond
-	c.ResponseAge = time.Duration(answered) * time.Millisecond
+	c.HoldRemaining, c.HoldAge = time.Duration(holdRemaining)*time.Millisecond, time.Duration(holdAge)*time.Millisecond
+	c.ResponseAge = time.Duration(responseAge) * time.Millisecond
 	return c, decodeCrashes(crashes, &c)
 }
 
--- a/internal/inflight/claim_test.go
+++ b/internal/inflight/claim_test.go
@@ -11,14 +11,14 @@
 
 // longClaim returns a Claim with an encoding of the largest size.
 func longClaim(i int) poison.Claim {
-	w := poison.Claim{
+	c := poison.Claim{
 		Key: 1<<63 + poison.Key(i), Head: 1<<62 + poison.Key(i), Source: 1 << 31,
 		HoldRemaining: time.Hour, HoldAge: time.Hour, Responded: true, ResponseAge: time.Minute,
 	}
 	for j := range 4 {
-		w.Crashes = append(w.Crashes, poison.Crash{Upstream: uint32(j) << 29, Age: 9 * time.Minute})
+		c.Crashes = append(c.Crashes, poison.Crash{Upstream: uint32(j) << 29, Age: 9 * time.Minute})
 	}
-	return w
+	return c
 }
 
 func TestClaimsRoundTrip(t *testing.T) {
@@ -69,12 +69,12 @@
 		OnReport:        func(_ string, r *Report) { accepted += len(r.Claims) },
 		OnUnknownSender: func(netip.AddrPort) {},
 	}}
-	claim := func(of string) poison.Claim { return poison.Claim{Key: 1, Head: 1, Source: poison.HashEntry(of)} }
-	x.handleReport(&Report{Entry: "p", Scope: ScopeNone, Claims: []poison.Claim{claim("p"), claim("q"), claim("self")}}, peer.Address, t0)
+	claimOf := func(entry string) poison.Claim { return poison.Claim{Key: 1, Head: 1, Source: poison.HashEntry(entry)} }
+	x.handleReport(&Report{Entry: "p", Scope: ScopeNone, Claims: []poison.Claim{claimOf("p"), claimOf("q"), claimOf("self")}}, peer.Address, t0)
 	if accepted != 1 {
 		t.Errorf("%d claims accepted, want the one of the sender", accepted)
 	}
-	x.handleReport(&Report{Entry: "p", Scope: ScopeNone, Claims: []poison.Claim{claim("p")}}, netip.MustParseAddrPort("10.0.0.9:7200"), t0)
+	x.handleReport(&Report{Entry: "p", Scope: ScopeNone, Claims: []poison.Claim{claimOf("p")}}, netip.MustParseAddrPort("10.0.0.9:7200"), t0)
 	if accepted != 1 {
 		t.Error("a report from another address is accepted")
 	}
@@ -84,21 +84,21 @@
 // of a fleet that is too large for direct reports. All entries hold the request then, including
 // idle entries.
 func TestClaimsReachAllThroughHubs(t *testing.T) {
-	const each = maxDirect/2 + 2
-	all := startFleet(t, each)
+	const perDomain = maxDirect/2 + 2
+	all := startFleet(t, perDomain)
 	for i, e := range all {
 		e.idle.Store(i%3 == 0)
 	}
 	req := poison.Request{Method: "GET", Host: "a", Target: "/deadly"}
 	keys := req.HeadKeys()
-	for i, at := range []int{1, each + 1, each + 2} {
+	for i, at := range []int{1, perDomain + 1, perDomain + 2} {
 		all[at].tracker.RecordCrash(time.Now(), keys, keys, uint32(i))
 	}
-	bound := time.Now().Add(waitTimeout)
+	deadline := time.Now().Add(waitTimeout)
 	for _, e := range all {
 		for !e.tracker.Begin(time.Now(), keys).Held {
 			e.tracker.End(keys)
-			if time.Now().After(bound) {
+			if time.Now().After(deadline) {
 				t.Fatalf("request is not held at %s", e.peer.ID)
 			}
 			time.Sleep(pollEvery)
--- a/internal/inflight/exchange.go
+++ b/internal/inflight/exchange.go
@@ -50,10 +50,11 @@
 	// Claims returns up to n Claims to report about requests that crashed upstreams; nil
 	// means none. With relay set, on hubs, these include Claims of other entries.
 	Claims func(n int, relay bool) []poison.Claim
-	// Limits holds the use of the organisations' limits; nil means that none is reported.
-	Limits Limits
-	// Rates holds the limits that upstreams announce; nil means that none is reported.
-	Rates Rates
+	// OrganisationLimits holds the use of the organisations' limits; nil means that none is
+	// reported.
+	OrganisationLimits OrganisationLimits
+	// UpstreamLimits holds the limits that upstreams announce; nil means that none is reported.
+	UpstreamLimits UpstreamLimits
 	// Leaving reports whether the own entry is stopping.
 	Leaving func() bool
 	// Now returns the current time; nil means time.Now.
@@ -88,11 +89,11 @@
 	hasHub bool
 	// weight is the own entry's weight in the limits; see weights.
 	weight int
-	// ratePeers are the peers to which limits of upstreams are sent, changesSentAt is the
-	// time at which changed limits were last sent to them at once.
-	ratePeers     []Peer
+	// limitPeers are the peers to which limits of upstreams are sent, changesSentAt is the
+	// time at which changed limits were last sent to them without delay.
+	limitPeers    []Peer
 	changesSentAt time.Time
-	// started receives peers when a new incarnation is first seen. Such a peer has no limits yet.
+	// started receives each peer of which a new incarnation is seen; it has no limits yet.
 	started chan Peer
 
 	mu       sync.Mutex
@@ -168,16 +169,16 @@
 	tick := time.NewTicker(period)
 	defer tick.Stop()
 	var urgent <-chan struct{}
-	if x.opt.Rates != nil {
-		urgent = x.opt.Rates.UrgentUpdates()
+	if x.opt.UpstreamLimits != nil {
+		urgent = x.opt.UpstreamLimits.UrgentUpdates()
 	}
 	for {
 		select {
 		case <-urgent:
-			x.sendUrgentRates(x.opt.Now())
-			time.Sleep(urgentGap)
+			x.sendUrgentLimitUpdates(x.opt.Now())
+			time.Sleep(minUrgentInterval)
 		case p := <-x.started:
-			x.sendRatesToStarted(p)
+			x.sendLimitUpdatesToStarted(p)
 		case <-tick.C:
 			now := x.opt.Now()
 			x.sendDue(now)
@@ -227,7 +228,7 @@
 	case len(fleet.Peers) <= maxDirect:
 		x.sendReport(fleet.Peers, Report{Scope: ScopeOwn}, balance.EntryFilter{Own: true})
 		x.sendClaims(fleet.Peers, false)
-		x.sendPeriodicRates(fleet, fleet.Peers)
+		x.sendPeriodicLimitUpdates(fleet, fleet.Peers)
 		x.sendUsagesToAll(fleet, now)
 	default:
 		x.sendByHubs(fleet, now)
@@ -262,12 +263,12 @@
 		x.sendReport([]Peer{p}, toReporters, balance.EntryFilter{Own: true, Peers: func(peer string) bool { return peer != p.ID && peer != allOthers }})
 	}
 	if len(idle) > 0 && now.Sub(x.idleSentAt) >= idlePeriod-localPeriod/2 {
-		// Idle entries have little use for the loads of upstreams. An entry that becomes
+		// Idle entries seldom need the loads of upstreams. An entry that becomes
 		// busy gets all counts within one period.
 		x.idleSentAt = now
 		x.sendReport(idle, toReporters, balance.EntryFilter{})
 	}
-	x.sendPeriodicRates(fleet, ratePeersByHubs(x.opt.Entry, hub, busy, idle, remote))
+	x.sendPeriodicLimitUpdates(fleet, limitPeersByHubs(x.opt.Entry, hub, busy, idle, remote))
 	if !isHub && len(busy)+len(idle) == 0 {
 		x.sendClaims([]Peer{hub}, false)
 	}
@@ -299,8 +300,8 @@
 }
 
 // sendReport sends a report to those of the peers that are due for one, with the counts
-// that counted selects. Send errors are ignored, as a later report replaces a lost one.
-func (x *Exchange) sendReport(peers []Peer, template Report, counted balance.EntryFilter) {
+// of the entries that filter selects. Send errors are ignored, as a later report replaces a lost one.
+func (x *Exchange) sendReport(peers []Peer, template Report, filter balance.EntryFilter) {
 	remoteDue := x.remoteDue()
 	due := make([]netip.AddrPort, 0, len(peers))
 	for _, p := range peers {
@@ -312,7 +313,7 @@
 		return
 	}
 	template.Entry, template.Incarnation, template.Sequence = x.opt.Entry, x.opt.Incarnation, x.seq
-	template.Counts = x.opt.Counts(counted)
+	template.Counts = x.opt.Counts(filter)
 	template.Leaving = x.opt.Leaving()
 	template.MaxConnIdle, template.MaxConnIdleLeft = x.opt.MaxConnIdle()
 	for _, r := range template.split() {
@@ -380,10 +381,10 @@
 			klog.V(1).InfoS("rejected report from an address other than its entry's", "entry", p.ID, "address", p.Address, "from", from)
 			return
 		}
-		x.noteIncarnation(p, r.Incarnation, fleet)
-		if r.HasRates {
-			if x.opt.Rates != nil {
-				x.opt.Rates.ApplyPeerLimits(r.Entry, r.Incarnation, r.Rates)
+		x.recordIncarnation(p, r.Incarnation, fleet)
+		if r.HasLimitUpdates {
+			if x.opt.UpstreamLimits != nil {
+				x.opt.UpstreamLimits.ApplyPeerLimits(r.Entry, r.Incarnation, r.LimitUpdates)
 			}
 			return
 		}
@@ -416,14 +417,14 @@
 }
 
 // acceptedClaims returns the Claims of a report that its sender may report: the Claims of
-// the sender itself, and in a fleet with hubs also relayed ones. So in a fleet without hubs
-// no entry can send Claims in the name of others.
+// the sender itself, and in a fleet with hubs also relayed ones. In a fleet without hubs, no
+// entry can therefore send Claims in the name of others.
 func acceptedClaims(r *Report, byHubs bool) []poison.Claim {
 	if byHubs {
 		return r.Claims
 	}
 	sender := poison.HashEntry(r.Entry)
-	return slices.DeleteFunc(r.Claims, func(w poison.Claim) bool { return w.Source != sender })
+	return slices.DeleteFunc(r.Claims, func(c poison.Claim) bool { return c.Source != sender })
 }
 
 // peerNameOf returns the name under which the counts of a report are kept. An entry that is
--- a/internal/inflight/hub_test.go
+++ b/internal/inflight/hub_test.go
@@ -65,7 +65,8 @@
 	}
 }
 
-// A hub that took over gets the reports even while the member list names its predecessor.
+// TestRemoteHubIsLastReporter checks that a hub that took over gets the reports even while the
+// member list names its predecessor.
 func TestRemoteHubIsLastReporter(t *testing.T) {
 	h := newHubs("self")
 	first, second := Peer{ID: "a", Domain: "far"}, Peer{ID: "b", Domain: "far"}
@@ -127,25 +128,25 @@
 	tracker *poison.Tracker
 	// idle is set if the entry has no requests.
 	idle atomic.Bool
-	// limits are the limits of upstreams.
-	limits *fakeRates
+	// upstreamLimits are the limits of upstreams.
+	upstreamLimits *fakeUpstreamLimits
 }
 
 // testUpstream is the hash of the only upstream.
 const testUpstream = 7
 
 // counts implements Options.Counts.
-func (e *entry) counts(counted balance.EntryFilter) []Count {
+func (e *entry) counts(filter balance.EntryFilter) []Count {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n := 0
-	if counted.Own && !e.idle.Load() {
+	if filter.Own && !e.idle.Load() {
 		n = 1
 	}
 	e.dropSilent()
-	for peer, at := range e.reported {
-		if counted.Peers != nil && counted.Peers(peer) {
-			n += at
+	for peer, requests := range e.reported {
+		if filter.Peers != nil && filter.Peers(peer) {
+			n += requests
 		}
 	}
 	return []Count{{Upstream: testUpstream, Requests: n}}
@@ -192,7 +193,7 @@
 
 // dropSilent drops the counts of peers that have been silent for peerTimeout. While hubs change,
 // the counts of a hub that was given up are also in the counts of its successor. Without
-// dropSilent a count stayed too high for ever in 4 of 30 runs, each time by the counts of a hub
+// dropSilent a count stayed too high permanently in 4 of 30 runs, each time by the counts of a hub
 // that had been silent for 1.6 s to 3.1 s, or by the sum of a hub that included these. The
 // caller holds e.mu.
 func (e *entry) dropSilent() {
@@ -205,7 +206,7 @@
 }
 
 // dropHub drops the counts of a stopped hub, as package balance does for a silent one, and
-// ignores reports of it that are still under way: no later report would replace them.
+// ignores reports from it that arrive later: no further report would replace them.
 func (e *entry) dropHub(hub string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -231,27 +232,27 @@
 const pollEvery = 10 * time.Millisecond
 
 // startFleet starts a number of entries in each of two failure domains of one region.
-func startFleet(t *testing.T, each int) []*entry {
-	all, _ := startExchanges(t, each)
+func startFleet(t *testing.T, perDomain int) []*entry {
+	all, _ := startExchanges(t, perDomain)
 	return all
 }
 
 // startExchanges is like startFleet and also returns the exchanges.
-func startExchanges(t *testing.T, each int) ([]*entry, []*Exchange) {
+func startExchanges(t *testing.T, perDomain int) ([]*entry, []*Exchange) {
 	var all []*entry
 	var exchanges []*Exchange
 	for _, domain := range []string{"d1", "d2"} {
-		for i := range each {
+		for i := range perDomain {
 			e := &entry{reported: make(map[string]int), reportedAt: make(map[string]time.Time), ignored: make(map[string]bool), changed: make(chan struct{}, 1)}
 			e.peer = Peer{ID: fmt.Sprint(domain, "-", i), Domain: domain, SameRegion: true}
 			e.tracker = poison.NewTracker(e.peer.ID)
-			e.limits = newFakeRates()
+			e.upstreamLimits = newFakeUpstreamLimits()
 			x, err := Listen(Options{
 				Address: "127.0.0.1:0", Entry: e.peer.ID, Counts: e.counts, OnReport: e.onReport, MaxConnIdle: noMaxConnIdle, Leaving: func() bool { return false }, OnUnknownSender: func(netip.AddrPort) {},
-				Fleet:  func() Fleet { return fleetFor(e, all) },
-				Claims: func(n int, relay bool) []poison.Claim { return e.tracker.Claims(time.Now(), n, relay) },
-				Busy:   func() bool { return !e.idle.Load() },
-				Rates:  e.limits,
+				Fleet:          func() Fleet { return fleetFor(e, all) },
+				Claims:         func(n int, relay bool) []poison.Claim { return e.tracker.Claims(time.Now(), n, relay) },
+				Busy:           func() bool { return !e.idle.Load() },
+				UpstreamLimits: e.upstreamLimits,
 			})
 			if err != nil {
 				t.Fatal(err)
@@ -296,12 +297,12 @@
 // waitForRequests waits until the entry has reports of a number of requests of other entries.
 func (e *entry) waitForRequests(t *testing.T, want int) {
 	t.Helper()
-	bound := time.After(waitTimeout)
+	timeout := time.After(waitTimeout)
 	for e.knownRequests() != want {
 		select {
 		case <-e.changed:
 		case <-time.After(pollEvery):
-		case <-bound:
+		case <-timeout:
 			t.Fatalf("%s has reports of %d requests, want %d", e.peer.ID, e.knownRequests(), want)
 		}
 	}
@@ -311,27 +312,27 @@
 // direct reports gets the counts of all requests, also after the hub of its failure domain has
 // stopped.
 func TestHubsReportAllRequestsToAllEntries(t *testing.T) {
-	const each = maxDirect/2 + 2
-	all := startFleet(t, each)
+	const perDomain = maxDirect/2 + 2
+	all := startFleet(t, perDomain)
 	for _, e := range all {
-		e.waitForRequests(t, 2*each-1)
+		e.waitForRequests(t, 2*perDomain-1)
 	}
 	stopped := all[0]
 	stopped.stop()
 	for _, e := range all {
 		e.dropHub(stopped.peer.ID)
 	}
-	for _, e := range all[1:each] {
-		e.waitForRequests(t, 2*each-2)
+	for _, e := range all[1:perDomain] {
+		e.waitForRequests(t, 2*perDomain-2)
 	}
 }
 
 // TestIdleEntryGetsAllCountsOnceBusy has most entries of a large fleet idle. An entry that
 // becomes busy gets the counts of all others, and they get its counts.
 func TestIdleEntryGetsAllCountsOnceBusy(t *testing.T) {
-	const each = maxDirect/2 + 2
-	all := startFleet(t, each)
-	busy := []*entry{all[1], all[each+1]}
+	const perDomain = maxDirect/2 + 2
+	all := startFleet(t, perDomain)
+	busy := []*entry{all[1], all[perDomain+1]}
 	for _, e := range all {
 		e.idle.Store(true)
 	}
@@ -350,9 +351,9 @@
 // TestHubReportsAbsentEntries stops an entry of a large fleet, idle or not: the hub reports its
 // absence to all entries of its failure domain, though the entry is still registered.
 func TestHubReportsAbsentEntries(t *testing.T) {
-	const each = maxDirect/2 + 2
+	const perDomain = maxDirect/2 + 2
 	for _, idle := range []bool{false, true} {
-		all, exchanges := startExchanges(t, each)
+		all, exchanges := startExchanges(t, perDomain)
 		for _, e := range all {
 			e.idle.Store(idle)
 		}
@@ -361,10 +362,10 @@
 			if idle {
 				break
 			}
-			e.waitForRequests(t, 2*each-1)
+			e.waitForRequests(t, 2*perDomain-1)
 		}
 		stopped.stop()
-		for i, x := range exchanges[:each] {
+		for i, x := range exchanges[:perDomain] {
 			for i != 3 && !x.Absent(time.Now())[stopped.peer.ID] {
 				time.Sleep(pollEvery)
 			}
--- a/internal/inflight/rates_test.go
+++ b/internal/inflight/rates_test.go
@@ -12,78 +12,80 @@
 	"github.com/loomkeel/loomkeel/internal/ratelimit"
 )
 
-// fakeRates implements Rates for one upstream to which no entry sends.
-type fakeRates struct {
+// fakeUpstreamLimits implements UpstreamLimits for one upstream to which no entry sends.
+type fakeUpstreamLimits struct {
 	mu       sync.Mutex
 	register ratelimit.Register
 	unsent   bool
 	urgent   chan struct{}
 }
 
-func newFakeRates() *fakeRates { return &fakeRates{urgent: make(chan struct{}, 1)} }
+func newFakeUpstreamLimits() *fakeUpstreamLimits {
+	return &fakeUpstreamLimits{urgent: make(chan struct{}, 1)}
+}
 
-func (b *fakeRates) UrgentUpdates() <-chan struct{} { return b.urgent }
+func (l *fakeUpstreamLimits) UrgentUpdates() <-chan struct{} { return l.urgent }
 
-func (b *fakeRates) LimitUpdates(scope balance.UpdateScope) []balance.LimitUpdate {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.register.Version() == 0 || scope == balance.UnsentUpdates && !b.unsent {
+func (l *fakeUpstreamLimits) LimitUpdates(scope balance.UpdateScope) []balance.LimitUpdate {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.register.Version() == 0 || scope == balance.UnsentUpdates && !l.unsent {
 		return nil
 	}
-	n := balance.LimitUpdate{Upstream: testUpstream, PerSecond: b.register.PerSecond(), Version: b.register.Version(), Changed: b.unsent}
-	b.unsent = false
-	return []balance.LimitUpdate{n}
+	u := balance.LimitUpdate{Upstream: testUpstream, PerSecond: l.register.PerSecond(), Version: l.register.Version(), Changed: l.unsent}
+	l.unsent = false
+	return []balance.LimitUpdate{u}
 }
 
-func (b *fakeRates) LimitSenders() map[string]bool { return nil }
+func (l *fakeUpstreamLimits) LimitSenders() map[string]bool { return nil }
 
-func (b *fakeRates) ApplyPeerLimits(_ string, _ uint64, updates []balance.LimitUpdate) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, n := range updates {
-		if b.register.Merge(n.PerSecond, n.Version, time.Now()) == ratelimit.MergeAdopted {
-			b.limitChanged()
+func (l *fakeUpstreamLimits) ApplyPeerLimits(_ string, _ uint64, updates []balance.LimitUpdate) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, u := range updates {
+		if l.register.Merge(u.PerSecond, u.Version, time.Now()) == ratelimit.MergeAdopted {
+			l.limitChanged()
 		}
 	}
 }
 
-// setLimit has a response of the upstream announce a limit.
-func (b *fakeRates) setLimit(perSecond float64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// setLimit records a response in which the upstream announces a limit.
+func (l *fakeUpstreamLimits) setLimit(perSecond float64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	now := time.Now()
-	if b.register.Observe(perSecond, now, now) {
-		b.limitChanged()
+	if l.register.Observe(perSecond, now, now) {
+		l.limitChanged()
 	}
 }
 
-// limitChanged requests an urgent report. The caller holds b.mu.
-func (b *fakeRates) limitChanged() {
-	b.unsent = true
+// limitChanged requests an urgent report. The caller holds l.mu.
+func (l *fakeUpstreamLimits) limitChanged() {
+	l.unsent = true
 	select {
-	case b.urgent <- struct{}{}:
+	case l.urgent <- struct{}{}:
 	default:
 	}
 }
 
-func (b *fakeRates) limit() float64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.register.PerSecond()
+func (l *fakeUpstreamLimits) limit() float64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.register.PerSecond()
 }
 
 // TestLimitsReachAllEntries has one entry receive a limit, and another the end of the limit, in
 // a fleet with direct reports and in a fleet with hubs.
 func TestLimitsReachAllEntries(t *testing.T) {
-	for _, each := range []int{4, maxDirect} {
-		all := startFleet(t, each)
+	for _, perDomain := range []int{4, maxDirect} {
+		all := startFleet(t, perDomain)
 		for _, step := range []struct {
-			learns    int
+			observer  int
 			perSecond float64
-		}{{each - 1, 6.2}, {0, 2.5}, {2*each - 1, ratelimit.Unlimited}} {
-			all[step.learns].limits.setLimit(step.perSecond)
+		}{{perDomain - 1, 6.2}, {0, 2.5}, {2*perDomain - 1, ratelimit.Unlimited}} {
+			all[step.observer].upstreamLimits.setLimit(step.perSecond)
 			for _, e := range all {
-				for e.limits.limit() != step.perSecond {
+				for e.upstreamLimits.limit() != step.perSecond {
 					time.Sleep(pollEvery)
 				}
 			}
@@ -93,8 +95,8 @@
 
 func TestRatesRoundTrip(t *testing.T) {
 	want := &Report{
-		Entry: "edge-1", Scope: ScopeNone, Last: allUpstreams, HasRates: true,
-		Rates: []balance.LimitUpdate{
+		Entry: "edge-1", Scope: ScopeNone, Last: allUpstreams, HasLimitUpdates: true,
+		LimitUpdates: []balance.LimitUpdate{
 			{Upstream: 0xfedcba98, PerSecond: 6.2, Version: 3, Sent: 70_000},
 			{Upstream: 1, PerSecond: 0, Version: math.MaxUint32},
 			{Upstream: 2, PerSecond: 2.346, Version: 1, Sent: math.MaxUint32},
@@ -109,22 +111,22 @@
 
 func TestRatesFitADatagram(t *testing.T) {
 	worst := balance.LimitUpdate{Upstream: allUpstreams, PerSecond: 1e6, Version: 1 << 20, Sent: math.MaxUint32}
-	r := Report{Entry: "an entry with a name of some length", Incarnation: 1 << 60, Sequence: 1 << 40, HasRates: true}
-	r.Rates = slices.Repeat([]balance.LimitUpdate{worst}, maxRates)
+	r := Report{Entry: "an entry with a name of some length", Incarnation: 1 << 60, Sequence: 1 << 40, HasLimitUpdates: true}
+	r.LimitUpdates = slices.Repeat([]balance.LimitUpdate{worst}, maxLimitUpdates)
 	if n := len(r.Append(nil)); n > maxDatagram {
 		t.Errorf("report has %d bytes, more than a datagram", n)
 	}
 }
 
 func TestMalformedRates(t *testing.T) {
-	whole := appendRates(nil, []balance.LimitUpdate{{Upstream: 1, PerSecond: 5, Version: 1, Sent: 2}})
+	whole := appendLimitUpdates(nil, []balance.LimitUpdate{{Upstream: 1, PerSecond: 5, Version: 1, Sent: 2}})
 	for name, b := range map[string][]byte{
 		"cut":       whole[:len(whole)-1],
 		"half":      whole[:3],
-		"too many":  slices.Repeat(whole, maxRates+1),
+		"too many":  slices.Repeat(whole, maxLimitUpdates+1),
 		"too large": append(slices.Clone(whole[:4]), 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f, 1, 1),
 	} {
-		if got, err := decodeRates(b); err == nil {
+		if got, err := decodeLimitUpdates(b); err == nil {
 			t.Errorf("%s is accepted: %v", name, got)
 		}
 	}
--- a/internal/inflight/report.go
+++ b/internal/inflight/report.go
@@ -40,7 +40,7 @@
 	ScopeDomain
 	// ScopeOthers is the requests of all entries except the receiver.
 	ScopeOthers
-	// ScopeNone is no requests: the report has only Claims, Usages or Rates.
+	// ScopeNone is no requests: the report has only Claims, Usages or LimitUpdates.
 	ScopeNone
 )
 
@@ -79,9 +79,9 @@
 	CoveredWeight int
 	// Relayed is set if the sender has the usages from another hub.
 	Relayed bool
-	// HasRates is set if the report has limits of upstreams, Rates.
-	HasRates bool
-	Rates    []balance.LimitUpdate
+	// HasLimitUpdates is set if the report has limits of upstreams, LimitUpdates.
+	HasLimitUpdates bool
+	LimitUpdates    []balance.LimitUpdate
 }
 
 // Field numbers of the encoding of a Report, a protobuf message.
@@ -105,7 +105,7 @@
 	fieldUsages          = 17
 	fieldCovered         = 18
 	fieldRelayed         = 19
-	fieldRates           = 20
+	fieldLimitUpdates    = 20
 )
 
 const (
@@ -208,9 +208,9 @@
 		b = protowire.AppendTag(b, fieldUsages, protowire.BytesType)
 		b = protowire.AppendBytes(b, appendUsages(nil, r.Usages))
 	}
-	if r.HasRates {
-		b = protowire.AppendTag(b, fieldRates, protowire.BytesType)
-		b = protowire.AppendBytes(b, appendRates(nil, r.Rates))
+	if r.HasLimitUpdates {
+		b = protowire.AppendTag(b, fieldLimitUpdates, protowire.BytesType)
+		b = protowire.AppendBytes(b, appendLimitUpdates(nil, r.LimitUpdates))
 	}
 	for _, claim := range r.Claims[:min(len(r.Claims), maxClaims)] {
 		b = protowire.AppendTag(b, fieldClaim, protowire.BytesType)
@@ -265,7 +265,7 @@
 // Decode decodes a report and checks the ranges of its values. Unknown fields are skipped.
 func Decode(b []byte) (*Report, error) {
 	r := &Report{Last: allUpstreams}
-	var upstreams, requests, failures, absent, claim, usages, rates []byte
+	var upstreams, requests, failures, absent, claim, usages, limitUpdates []byte
 	var claims [][]byte
 	var relayed, covered, usagesScope, scope, maxConnIdle, maxConnIdleLeft, leaving, idle uint64
 	err := eachField(b, func(field protowire.Number, kind protowire.Type, b []byte) (n int) {
@@ -306,9 +306,9 @@
 			relayed, n = protowire.ConsumeVarint(b)
 		case field == fieldUsages && kind == protowire.BytesType:
 			usages, n = protowire.ConsumeBytes(b)
-		case field == fieldRates && kind == protowire.BytesType:
-			rates, n = protowire.ConsumeBytes(b)
-			r.HasRates = true
+		case field == fieldLimitUpdates && kind == protowire.BytesType:
+			limitUpdates, n = protowire.ConsumeBytes(b)
+			r.HasLimitUpdates = true
 		case field == fieldFirst && kind == protowire.Fixed32Type:
 			r.First, n = protowire.ConsumeFixed32(b)
 		case field == fieldLast && kind == protowire.Fixed32Type:
@@ -333,7 +333,7 @@
 	if r.Usages, err = decodeUsages(usages); err != nil {
 		return nil, err
 	}
-	if r.Rates, err = decodeRates(rates); err != nil {
+	if r.LimitUpdates, err = decodeLimitUpdates(limitUpdates); err != nil {
 		return nil, err
 	}
 	if err := r.decodeAbsent(absent); err != nil {
--- a/internal/inflight/usages.go
+++ b/internal/inflight/usages.go
@@ -28,11 +28,11 @@
 	maxCovered    = 1 << 24
 )
 
-// Limits holds the use of organisations' limits that an Exchange reports, and takes what
-// peers report. Reports are kept under the name of their reporter; see sourceOf.
-type Limits interface {
-	// Usages returns the sum of the use that the reporters selected by from have reported, and,
-	// if own is set, the use by the own entry.
+// OrganisationLimits holds the use of organisations' limits that an Exchange reports, and applies
+// the reports of peers. Reports are kept under the name of their reporter; see sourceOf.
+type OrganisationLimits interface {
+	// Usages returns the sum of the use that the reporters selected by from have reported,
+	// plus the use by the own entry if own is set.
 	Usages(own bool, from func(reporter string) bool, now time.Time) []quota.Usage
 	// HasLimits reports whether any organisation has a limit whose use is to be reported.
 	HasLimits() bool
@@ -40,7 +40,7 @@
 	// reporters that from selects.
 	CoveredWeight(from func(reporter string) bool, now time.Time) int
 	// ApplyReport applies the report of a reporter.
-	ApplyReport(t quota.Report, now time.Time)
+	ApplyReport(r quota.Report, now time.Time)
 	// SetSources sets the weight of the own entry and the sources from which reports are
 	// expected.
 	SetSources(self int, sources []quota.Source, now time.Time)
@@ -91,13 +91,13 @@
 	template := Report{
 		Entry: x.opt.Entry, Incarnation: x.opt.Incarnation, Sequence: x.seq,
 		Scope: ScopeNone, HasUsages: true, UsagesScope: scope,
-		CoveredWeight: x.opt.Limits.CoveredWeight(fromReporter, now), Idle: x.idle(now),
+		CoveredWeight: x.opt.OrganisationLimits.CoveredWeight(fromReporter, now), Idle: x.idle(now),
 		Relayed: scope == ScopeOthers && x.hasHub,
 	}
 	if own {
 		template.CoveredWeight += x.weight
 	}
-	for _, r := range splitUsages(template, x.opt.Limits.Usages(own, fromReporter, now)) {
+	for _, r := range splitUsages(template, x.opt.OrganisationLimits.Usages(own, fromReporter, now)) {
 		x.buf = r.Append(x.buf[:0])
 		for _, p := range peers {
 			_, _ = x.conn.WriteToUDPAddrPort(x.buf, p.Address)
@@ -105,17 +105,19 @@
 	}
 }
 
-// hasLimits reports whether the use of limits is to be reported.
-func (x *Exchange) hasLimits() bool { return x.opt.Limits != nil && x.opt.Limits.HasLimits() }
+// hasOrganisationLimits reports whether the use of limits is to be reported.
+func (x *Exchange) hasOrganisationLimits() bool {
+	return x.opt.OrganisationLimits != nil && x.opt.OrganisationLimits.HasLimits()
+}
 
 // sendUsagesToAll reports the own entry's use to all peers of a small fleet.
 func (x *Exchange) sendUsagesToAll(fleet Fleet, now time.Time) {
-	if !x.hasLimits() {
+	if !x.hasOrganisationLimits() {
 		return
 	}
-	w := fleet.weigh()
+	w := fleet.weights()
 	x.weight = w.self
-	x.opt.Limits.SetSources(w.self, []quota.Source{{Name: peersSource, Weight: w.all()}}, now)
+	x.opt.OrganisationLimits.SetSources(w.self, []quota.Source{{Name: peersSource, Weight: w.all()}}, now)
 	x.sendUsages(fleet.Peers, ScopeOwn, true, noReporter, now)
 }
 
@@ -125,13 +127,13 @@
 //
 // Entries may disagree for a while on which entry is the hub. An entry that some use as their
 // hub, but which has a hub itself, reports to its hub the sum of these entries, and to them
-// the sum that its hub reported. No sum includes sums that were made in the same way: such
-// sums would go round between hubs and grow.
+// the sum that its hub reported. No sum includes another sum that was made in the same
+// way: such sums would circulate between hubs and grow.
 func (x *Exchange) sendUsagesByHubs(fleet Fleet, hub Peer, busy, idle, remote []Peer, now time.Time) {
-	if !x.hasLimits() {
+	if !x.hasOrganisationLimits() {
 		return
 	}
-	w := fleet.weigh()
+	w := fleet.weights()
 	x.weight = w.self
 	inDomain := make(map[string]bool, 2*len(fleet.HubCandidates))
 	for _, p := range fleet.HubCandidates {
@@ -143,11 +145,11 @@
 	}
 	x.hasHub = hub.ID != x.opt.Entry
 	if !x.hasHub {
-		x.opt.Limits.SetSources(w.self, fleet.hubSources(w), now)
-		fromDomainOrSum := func(reporter string) bool { return inDomain[strings.TrimSuffix(reporter, sumSuffix)] }
+		x.opt.OrganisationLimits.SetSources(w.self, fleet.hubSources(w), now)
+		fromDomainOrSum := func(reporter string) bool { return inDomain[strings.TrimSuffix(reporter, domainSuffix)] }
 		x.sendUsages(remote, ScopeDomain, true, fromDomainOrSum, now)
 	} else {
-		x.opt.Limits.SetSources(w.self, []quota.Source{{Name: allOthers, Weight: w.all(), Complete: true}, {Name: peersSource}}, now)
+		x.opt.OrganisationLimits.SetSources(w.self, []quota.Source{{Name: allOthers, Weight: w.all(), Complete: true}, {Name: peersSource}}, now)
 		x.sendUsages([]Peer{hub}, ScopeOwn, true, noReporter, now)
 		if len(busy)+len(idle) > 0 {
 			x.sendUsages([]Peer{hub}, ScopeDomain, false, fromDomain, now)
@@ -159,16 +161,18 @@
 	}
 }
 
-// Suffixes of reporter names. The own use of an entry has the entry's id as its name; a sum
-// over several entries has the id of the entry that reports it and one of these suffixes.
+// Suffixes of reporter names. The name of an entry's own use is the entry's ID. The name of a sum
+// over several entries is the ID of the entry that reports it with a suffix: domainSuffix for a
+// sum over the reporter's failure domain, othersSuffix and relayedSuffix for a sum over all
+// other entries, which a hub has computed or another entry relays.
 const (
-	sumSuffix     = "+"
-	wholeSuffix   = "*"
+	domainSuffix  = "+"
+	othersSuffix  = "*"
 	relayedSuffix = "~"
 )
 
 // fromHub selects the hub's sum over all other entries, except a relayed one.
-func fromHub(reporter string) bool { return strings.HasSuffix(reporter, wholeSuffix) }
+func fromHub(reporter string) bool { return strings.HasSuffix(reporter, othersSuffix) }
 
 // peersSource is the name of the source for the entries that report to this one.
 const peersSource = "peers"
@@ -183,11 +187,11 @@
 	case r.UsagesScope == ScopeOthers && r.Relayed:
 		return allOthers, from.ID + relayedSuffix
 	case r.UsagesScope == ScopeOthers:
-		return allOthers, from.ID + wholeSuffix
+		return allOthers, from.ID + othersSuffix
 	case r.UsagesScope == ScopeDomain && own[from.ID]:
-		return peersSource, from.ID + sumSuffix
+		return peersSource, from.ID + domainSuffix
 	case r.UsagesScope == ScopeDomain:
-		return allOthers + from.Domain, from.ID + sumSuffix
+		return allOthers + from.Domain, from.ID + domainSuffix
 	}
 	return peersSource, from.ID
 }
@@ -222,8 +226,8 @@
 	peers              []Peer
 }
 
-// weigh returns the weights of the entries of a fleet.
-func (f *Fleet) weigh() weights {
+// weights returns the weights of the entries of a fleet.
+func (f *Fleet) weights() weights {
 	w := weights{self: advertisedWeight, unadvertised: advertisedWeight, peers: f.Peers}
 	unadvertised := 0
 	for _, p := range f.Peers {
@@ -284,16 +288,16 @@
 	return out
 }
 
-// handleUsages passes a peer's report of usages to Limits.
+// handleUsages passes a peer's report of usages to OrganisationLimits.
 func (x *Exchange) handleUsages(r *Report, from Peer, fleet Fleet, now time.Time) {
-	if x.opt.Limits == nil {
+	if x.opt.OrganisationLimits == nil {
 		return
 	}
 	own := make(map[string]bool, len(fleet.HubCandidates))
 	for _, p := range fleet.HubCandidates {
 		own[p.ID] = true
 	}
-	t := quota.Report{CoveredWeight: r.CoveredWeight, Idle: r.Idle, First: r.First, Last: r.Last, Usages: r.Usages}
-	t.Source, t.Reporter = x.sourceOf(r, from, own)
-	x.opt.Limits.ApplyReport(t, now)
+	report := quota.Report{CoveredWeight: r.CoveredWeight, Idle: r.Idle, First: r.First, Last: r.Last, Usages: r.Usages}
+	report.Source, report.Reporter = x.sourceOf(r, from, own)
+	x.opt.OrganisationLimits.ApplyReport(report, now)
 }
--- a/internal/inflight/usages_hub_test.go
+++ b/internal/inflight/usages_hub_test.go
@@ -15,9 +15,9 @@
 	"github.com/loomkeel/loomkeel/internal/quota"
 )
 
-// fakeLimits implements Limits: it keeps the reports, and the own use is one request per second
-// of one organisation.
-type fakeLimits struct {
+// fakeOrganisationLimits implements OrganisationLimits: it keeps the reports, and the own use is
+// one request per second of one organisation.
+type fakeOrganisationLimits struct {
 	mu sync.Mutex
 	// reports has the last report by reporter.
 	reports map[string]quota.Report
@@ -25,54 +25,55 @@
 	changed chan struct{}
 }
 
-func (l *fakeLimits) HasLimits() bool { return true }
+func (l *fakeOrganisationLimits) HasLimits() bool { return true }
 
-func (l *fakeLimits) Usages(own bool, from func(string) bool, _ time.Time) []quota.Usage {
+func (l *fakeOrganisationLimits) Usages(own bool, from func(string) bool, _ time.Time) []quota.Usage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sum := 0.0
 	if own {
 		sum = 1
 	}
-	for reporter, t := range l.reports {
-		if from(reporter) && len(t.Usages) > 0 {
-			sum += t.Usages[0].Admitted
+	for reporter, r := range l.reports {
+		if from(reporter) && len(r.Usages) > 0 {
+			sum += r.Usages[0].Admitted
 		}
 	}
 	return []quota.Usage{{Organisation: 7, Admitted: sum, Requested: sum}}
 }
 
-func (l *fakeLimits) CoveredWeight(from func(string) bool, _ time.Time) int {
+func (l *fakeOrganisationLimits) CoveredWeight(from func(string) bool, _ time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
-	for reporter, t := range l.reports {
+	for reporter, r := range l.reports {
 		if from(reporter) {
-			n += t.CoveredWeight
+			n += r.CoveredWeight
 		}
 	}
 	return n
 }
 
-func (l *fakeLimits) ApplyReport(t quota.Report, _ time.Time) {
+func (l *fakeOrganisationLimits) ApplyReport(r quota.Report, _ time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.reports[t.Reporter] = t
+	l.reports[r.Reporter] = r
 	select {
 	case l.changed <- struct{}{}:
 	default:
 	}
 }
 
-func (l *fakeLimits) SetSources(int, []quota.Source, time.Time) {}
+func (l *fakeOrganisationLimits) SetSources(int, []quota.Source, time.Time) {}
 
-// Three entries of a fleet with hubs use each other as hubs, in a ring. The reported sums must
+// TestSumsDoNotCirculateBetweenHubs has three entries of a fleet with hubs use each other as hubs,
+// in a ring. The reported sums must
 // not grow by circulating: when they did, requests of all organisations were refused for four
 // seconds.
 func TestSumsDoNotCirculateBetweenHubs(t *testing.T) {
 	ids := []string{"a", "b", "c"}
 	exchanges := make(map[string]*Exchange)
-	limits := make(map[string]*fakeLimits)
+	limits := make(map[string]*fakeOrganisationLimits)
 	peers := make(map[string]Peer)
 	fleet := func(self string) func() Fleet {
 		return func() Fleet {
@@ -92,9 +93,9 @@
 		}
 	}
 	for _, id := range ids {
-		limits[id] = &fakeLimits{reports: make(map[string]quota.Report), changed: make(chan struct{}, 1)}
+		limits[id] = &fakeOrganisationLimits{reports: make(map[string]quota.Report), changed: make(chan struct{}, 1)}
 		x, err := Listen(Options{
-			Address: "127.0.0.1:0", Entry: id, Fleet: fleet(id), Limits: limits[id],
+			Address: "127.0.0.1:0", Entry: id, Fleet: fleet(id), OrganisationLimits: limits[id],
 			Counts: func(balance.EntryFilter) []Count { return nil }, MaxConnIdle: func() (idle, left time.Duration) { return 0, 0 },
 			Leaving: func() bool { return false }, OnReport: func(string, *Report) {}, OnUnknownSender: func(netip.AddrPort) {},
 		})
@@ -124,8 +125,8 @@
 	}
 }
 
-// An entry that was cut off from all others, and whose registrations then expired, is the only
-// one: no part of a limit is reserved for other entries.
+// TestSingleEntryHasWholeLimit has an entry cut off from all others, whose registrations then
+// expire: no part of a limit is reserved for other entries.
 func TestSingleEntryHasWholeLimit(t *testing.T) {
 	peers := []Peer{{ID: "b", Advertised: true}}
 	x := &Exchange{hubs: newHubs("a"), presence: newPresence()}
@@ -136,7 +137,7 @@
 	}
 	limits.Update(table, 0, t0)
 	x.opt = Options{
-		Entry: "a", Limits: limits, Fleet: func() Fleet { return Fleet{Peers: peers, Advertised: true} }, Busy: func() bool { return false },
+		Entry: "a", OrganisationLimits: limits, Fleet: func() Fleet { return Fleet{Peers: peers, Advertised: true} }, Busy: func() bool { return false },
 		Counts: func(balance.EntryFilter) []Count { return nil }, MaxConnIdle: func() (idle, left time.Duration) { return 0, 0 },
 		Leaving: func() bool { return false }, Claims: func(int, bool) []poison.Claim { return nil },
 	}
--- a/internal/inflight/usages_test.go
+++ b/internal/inflight/usages_test.go
@@ -54,8 +54,9 @@
 	}
 }
 
-// In a fleet with direct reports all peers are one source; a hub has the entries of its failure
-// domain as one source and each of the other domains as another.
+// TestSourcesOfAHub checks that a hub has the entries of its failure domain as one source and each
+// of the other domains as another, whereas all peers are one source in a fleet with direct
+// reports, and checks the weights.
 func TestSourcesOfAHub(t *testing.T) {
 	f := Fleet{
 		Peers: []Peer{
@@ -65,17 +66,17 @@
 		HubCandidates: []Peer{{ID: "self"}, {ID: "a1"}, {ID: "a2"}},
 	}
 	got := make(map[string]int)
-	for _, s := range f.hubSources(f.weigh()) {
+	for _, s := range f.hubSources(f.weights()) {
 		got[s.Name] = s.Weight
 	}
 	if want := map[string]int{"peers": 1333, "*b": 2000, "*c": 333}; !reflect.DeepEqual(got, want) {
 		t.Errorf("%v", got)
 	}
-	if w := f.weigh(); w.self != 333 || w.all() != 3666 {
+	if w := f.weights(); w.self != 333 || w.all() != 3666 {
 		t.Errorf("weights are %d and %d", w.self, w.all())
 	}
 	f.Advertised = true
-	if w := f.weigh(); w.self != advertisedWeight || w.unadvertised != 666 {
+	if w := f.weights(); w.self != advertisedWeight || w.unadvertised != 666 {
 		t.Errorf("weights are %d and %d", w.self, w.unadvertised)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -308,20 +308,20 @@
 // and the other nodes.
 func (n *Node) ReportOptions(self model.Member) inflight.Options {
 	return inflight.Options{
-		Address:         self.Agent,
-		Entry:           self.ID,
-		Incarnation:     self.Incarnation,
-		Fleet:           func() inflight.Fleet { return n.fleet.get(self, n.members.Load()) },
-		Counts:          n.requestCounts,
-		MaxConnIdle:     n.maxConnIdle,
-		Claims:          n.Entry.Proxy.PoisonClaims,
-		Limits:          n.Entry.Proxy.OrganisationLimits(),
-		Rates:           n.Entry.Proxy,
-		Leaving:         n.stopping.Load,
-		Busy:            n.busy,
-		OnReport:        n.handleReport,
-		Now:             n.syncNow,
-		OnUnknownSender: func(from netip.AddrPort) { n.UnknownSenders.RecordReport(from.String(), n.now()) },
+		Address:            self.Agent,
+		Entry:              self.ID,
+		Incarnation:        self.Incarnation,
+		Fleet:              func() inflight.Fleet { return n.fleet.get(self, n.members.Load()) },
+		Counts:             n.requestCounts,
+		MaxConnIdle:        n.maxConnIdle,
+		Claims:             n.Entry.Proxy.PoisonClaims,
+		OrganisationLimits: n.Entry.Proxy.OrganisationLimits(),
+		UpstreamLimits:     n.Entry.Proxy,
+		Leaving:            n.stopping.Load,
+		Busy:               n.busy,
+		OnReport:           n.handleReport,
+		Now:                n.syncNow,
+		OnUnknownSender:    func(from netip.AddrPort) { n.UnknownSenders.RecordReport(from.String(), n.now()) },
 	}
 }
 
--- a/test/ablate/table.go
+++ b/test/ablate/table.go
@@ -199,7 +199,7 @@
 	{"hubs relay claims of other entries", "internal/poison/claims.go",
 		"if !relay {", "if true || !relay {", pkgInFlight, "ClaimsReach", nil},
 	{"claims in the name of other entries are refused", "internal/inflight/exchange.go",
-		"return w.Source != sender", "return false && w.Source != sender", pkgInFlight, "ClaimsInNameOfOthers", nil},
+		"return c.Source != sender", "return false && c.Source != sender", pkgInFlight, "ClaimsInNameOfOthers", nil},
 	{"a deadline that passes during a suspension of the machine takes effect", "internal/forward/deadline.go",
 		"if !now.Before(e.deadline) {", "if false {", pkgForward, "DeadlinePasses", nil},
 	{"reads of stalled bodies are interrupted", "internal/forward/proxy.go",
