--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -65,11 +65,11 @@
 		dec := json.NewDecoder(http.MaxBytesReader(w, req.Body, maxBodyBytes))
 		dec.DisallowUnknownFields()
 		if err := dec.Decode(&body); err != nil {
-			fault := fmt.Sprintf("body: %v", err)
-			process.WriteJSON(w, http.StatusBadRequest, Result{Outcome: configlog.Refused, Kind: configlog.RefusedInvalid, Faults: []string{fault}})
+			reason := fmt.Sprintf("body: %v", err)
+			process.WriteJSON(w, http.StatusBadRequest, Result{Outcome: configlog.Refused, Kind: configlog.RefusedInvalid, Faults: []string{reason}})
 			return
 		}
-		// The commit continues if the operator disconnects: if it stopped after the
+		// The commit continues if the operator disconnects: if it were canceled after the
 		// write to the store was sent, the outcome would be unknown.
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(req.Context()), timeout)
 		defer cancel()
@@ -79,7 +79,7 @@
 	})
 }
 
-// change returns the change for the configuration log.
+// change converts the request body to a change of the configuration log.
 func (c Change) change() configlog.Change {
 	out := configlog.Change{ID: c.ID, Author: c.Author, Note: c.Note, Base: c.Base}
 	for _, e := range c.Edits {
@@ -88,7 +88,7 @@
 	return out
 }
 
-// resultOf returns the response body for the result of a commit.
+// resultOf returns the response body for the result of the commit of change id.
 func resultOf(id string, r configlog.Result) Result {
 	out := Result{Outcome: r.Outcome, ID: id, Revision: r.Revision}
 	if r.Refusal != nil {
--- a/internal/command/token.go
+++ b/internal/command/token.go
@@ -17,8 +17,8 @@
 // minTokenLength is the smallest length of a token in bytes.
 const minTokenLength = 16
 
-// LoadToken reads a token from a file and trims white space around it. Without a
-// file name it returns the empty Token.
+// LoadToken reads a token from a file and trims white space around it. If the file
+// name is empty it returns the empty Token.
 func LoadToken(file string) (Token, error) {
 	if file == "" {
 		return "", nil
@@ -35,7 +35,7 @@
 }
 
 // Require returns a handler that passes requests with the bearer token to next and
-// answers others with status 401. With an empty Token it returns next.
+// answers all others with status 401. With an empty Token it returns next.
 func (t Token) Require(next http.Handler) http.Handler {
 	if t == "" {
 		return next
--- a/internal/query/dump.go
+++ b/internal/query/dump.go
@@ -15,15 +15,15 @@
 const (
 	// dumpTimeout bounds the request for the dump of one process.
 	dumpTimeout = 2 * time.Second
-	// maxDumpBytes bounds the dump of one process. A longer dump is cut there and
-	// reported as a dumpError.
+	// maxDumpBytes bounds the dump of one process. A longer dump is truncated, and
+	// reported as a dumpError because it is no longer valid JSON.
 	maxDumpBytes = 64 << 20
 )
 
 // AddDumpRoute adds the route GET /v1/dump to a router. Its response body holds the
-// dumps of all processes of the instance by name, or an error in the place of a
-// dump that could not be fetched. Agent returns the agent's dump. Others holds the debug addresses of the other
-// processes by name.
+// dumps of all processes of the instance by name, with an error in place of a dump
+// that could not be fetched. agent returns the agent's dump; others holds the debug
+// addresses of the other processes by name.
 func AddDumpRoute(r chi.Router, others map[string]string, agent func() any) {
 	r.Get("/v1/dump", func(w http.ResponseWriter, req *http.Request) {
 		out := map[string]any{"agent": agent()}
@@ -34,12 +34,13 @@
 	})
 }
 
-// dumpError replaces the dump of a process that could not be fetched.
+// dumpError stands in the response body for a dump that could not be fetched.
 type dumpError struct {
 	Error string `json:"error"`
 }
 
-// fetchDump returns the dump of the process with a debug address, or a dumpError.
+// fetchDump returns the dump of the process whose debug address is addr, or a
+// dumpError.
 func fetchDump(ctx context.Context, addr string) any {
 	ctx, cancel := context.WithTimeout(ctx, dumpTimeout)
 	defer cancel()
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -22,7 +22,7 @@
 	Table() *membership.Table
 }
 
-// Setting is one key that is set in the tree.
+// Setting is one key that is set in the tree, with its value.
 type Setting struct {
 	Path     string `json:"path"`
 	Key      string `json:"key"`
@@ -69,8 +69,8 @@
 	Unset bool   `json:"unset,omitempty"`
 }
 
-// defaultHistoryLimit is the number of changes in a history if the request has no
-// valid limit.
+// defaultHistoryLimit is the largest number of changes in a history if the request
+// has no valid limit.
 const defaultHistoryLimit = 20
 
 // AddRoutes adds the routes of the queries to a router.
@@ -78,7 +78,7 @@
 	r.Get("/v1/tree", func(w http.ResponseWriter, req *http.Request) {
 		process.WriteJSON(w, http.StatusOK, treeOf(s.Log(), req.URL.Query().Get("path")))
 	})
-	r.Get("/v1/value", func(w http.ResponseWriter, req *http.Request) { value(w, req, s.Log()) })
+	r.Get("/v1/value", func(w http.ResponseWriter, req *http.Request) { serveValue(w, req, s.Log()) })
 	r.Get("/v1/history", func(w http.ResponseWriter, req *http.Request) {
 		n, err := strconv.Atoi(req.URL.Query().Get("limit"))
 		if err != nil || n <= 0 {
@@ -86,7 +86,7 @@
 		}
 		process.WriteJSON(w, http.StatusOK, historyOf(s.Log().History(n)))
 	})
-	r.Get("/v1/changes/{id}", func(w http.ResponseWriter, req *http.Request) { change(w, req, s.Log()) })
+	r.Get("/v1/changes/{id}", func(w http.ResponseWriter, req *http.Request) { serveChange(w, req, s.Log()) })
 	r.Get("/v1/members", func(w http.ResponseWriter, _ *http.Request) {
 		all, _ := s.Table().All()
 		process.WriteJSON(w, http.StatusOK, all)
@@ -118,8 +118,8 @@
 	return out
 }
 
-// value answers a query for the effective value of a key.
-func value(w http.ResponseWriter, req *http.Request, log *configlog.Log) {
+// serveValue answers a query for the effective value of a key.
+func serveValue(w http.ResponseWriter, req *http.Request, log *configlog.Log) {
 	path, key := req.URL.Query().Get("path"), req.URL.Query().Get("key")
 	if err := tree.CheckQuery(path, key); err != nil {
 		process.WriteJSON(w, http.StatusBadRequest, map[string]string{"error": err.Error()})
@@ -130,7 +130,7 @@
 	process.WriteJSON(w, http.StatusOK, Value{revision, path, key, v.Value, v.From, v.Revision, v.From == path})
 }
 
-// historyOf returns the history entries of records.
+// historyOf converts records of the configuration log to the changes of a history.
 func historyOf(records []configlog.Record) []Change {
 	out := make([]Change, 0, len(records))
 	for _, r := range records {
@@ -143,9 +143,9 @@
 	return out
 }
 
-// change answers a query for a change id: accepted with its revision, or unknown if
-// the log holds no such id.
-func change(w http.ResponseWriter, req *http.Request, log *configlog.Log) {
+// serveChange answers a query for the change with an ID: accepted with its revision,
+// or unknown if the log holds no such ID.
+func serveChange(w http.ResponseWriter, req *http.Request, log *configlog.Log) {
 	id := chi.URLParam(req, "id")
 	revision := log.FindChange(id)
 	if revision == 0 {
--- a/internal/rpc/conn.go
+++ b/internal/rpc/conn.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	// dialTimeout bounds the set-up of a connection, the TLS handshake included.
+	// dialTimeout bounds the time to open a connection, including the TLS handshake.
 	dialTimeout = 2 * time.Second
 	// maxIdleConns and maxIdlePerPeer bound the idle connections kept open for
-	// reuse, idleTimeout the time for which they are kept.
+	// reuse; idleTimeout is the time for which they are kept.
 	maxIdleConns   = 24
 	maxIdlePerPeer = 1
 	idleTimeout    = 30 * time.Second
 )
 
-// ErrBusy is the error of a peer that is already sending the largest allowed number
-// of snapshots.
+// ErrBusy is returned by a peer that is already sending the maximum number of
+// snapshots.
 var ErrBusy = errors.New("rpc: peer is busy")
 
 // ByteCounts counts the bytes sent and received on the connections of a process.
@@ -72,7 +72,7 @@
 	return drpcconn.New(&countingConn{conn, d.counts}), nil
 }
 
-// open opens a connection, with TLS if the Dialer has a configuration.
+// open opens a connection, with TLS if the Dialer has a TLS configuration.
 func (d *Dialer) open(ctx context.Context, addr string) (net.Conn, error) {
 	var nd net.Dialer
 	if d.tls == nil {
@@ -85,7 +85,7 @@
 // Close closes the idle connections.
 func (d *Dialer) Close() error { return d.pool.Close() }
 
-// Serve answers calls on lis until ctx is done. The bytes on its connections are
+// Serve serves calls on the connections of lis until ctx is done. The bytes on its connections are
 // added to counts, which may be nil.
 func Serve(ctx context.Context, lis net.Listener, mux *drpcmux.Mux, counts *ByteCounts) error {
 	if counts == nil {
--- a/internal/rpc/convert.go
+++ b/internal/rpc/convert.go
@@ -1,6 +1,7 @@
-// Package rpc carries the messages between loomkeel's own processes over drpc. It
-// has the connections, the client and server of an agent, and the conversion of
-// messages from and to the types of other packages. The generated code is in pb.
+// Package rpc implements the calls between loomkeel's own processes over drpc. It
+// contains the connections, the client and server of an agent, and the conversion
+// of messages from and to the types of other packages. The generated code is in
+// package pb.
 package rpc
 
 import (
--- a/internal/rpc/peer.go
+++ b/internal/rpc/peer.go
@@ -8,8 +8,8 @@
 	"github.com/loomkeel/loomkeel/internal/rpc/pb"
 )
 
-// maxSnapshotParts bounds the parts of a received snapshot. A snapshot with as many
-// parts or more is an error.
+// maxSnapshotParts bounds the parts of a received snapshot, which must have fewer
+// parts.
 const maxSnapshotParts = 4096
 
 // PeerClient calls the Peer service of other agents over drpc.
@@ -18,24 +18,24 @@
 // NewPeerClient returns a PeerClient that connects with dialer.
 func NewPeerClient(dialer *Dialer) *PeerClient { return &PeerClient{dialer} }
 
-// Exchange calls Exchange at the agent with an address.
+// Exchange calls Exchange on the agent at addr.
 func (p *PeerClient) Exchange(ctx context.Context, addr string, req *pb.ExchangeRequest) (*pb.ExchangeReply, error) {
 	conn := p.dialer.Conn(addr)
 	defer conn.Close()
 	return pb.NewDRPCPeerClient(conn).Exchange(ctx, req)
 }
 
-// Push calls Push at the agent with an address.
+// Push calls Push on the agent at addr.
 func (p *PeerClient) Push(ctx context.Context, addr string, req *pb.PushRequest) (*pb.PushReply, error) {
 	conn := p.dialer.Conn(addr)
 	defer conn.Close()
 	return pb.NewDRPCPeerClient(conn).Push(ctx, req)
 }
 
-// Snapshot calls Snapshot at the agent with an address and calls each for every
-// part of its state, in order. If the state is not newer than revision above, there
-// are no parts. An error of each ends the call.
-func (p *PeerClient) Snapshot(ctx context.Context, addr string, above uint64, each func(*pb.SnapshotPart) error) error {
+// Snapshot calls Snapshot on the agent at addr and calls visit with every part of
+// its state, in order. If the state is not newer than revision above, there are no
+// parts. If visit returns an error, Snapshot stops and returns that error.
+func (p *PeerClient) Snapshot(ctx context.Context, addr string, above uint64, visit func(*pb.SnapshotPart) error) error {
 	conn := p.dialer.Conn(addr)
 	defer conn.Close()
 	stream, err := pb.NewDRPCPeerClient(conn).Snapshot(ctx, &pb.SnapshotRequest{Above: above})
@@ -51,7 +51,7 @@
 		if err != nil {
 			return err
 		}
-		if err := each(part); err != nil {
+		if err := visit(part); err != nil {
 			return err
 		}
 	}
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -17,42 +17,42 @@
 	HandleReport(req *pb.ReportRequest) *pb.ReportReply
 }
 
-// NewMux returns a mux with the Peer and Node services, whose calls go to a.
-func NewMux(a Handler) (*drpcmux.Mux, error) {
+// NewMux returns a mux with the Peer and Node services, whose calls h handles.
+func NewMux(h Handler) (*drpcmux.Mux, error) {
 	mux := drpcmux.New()
-	if err := pb.DRPCRegisterPeer(mux, &peerServer{a}); err != nil {
+	if err := pb.DRPCRegisterPeer(mux, &peerServer{h}); err != nil {
 		return nil, err
 	}
-	return mux, pb.DRPCRegisterNode(mux, &nodeServer{a})
+	return mux, pb.DRPCRegisterNode(mux, &nodeServer{h})
 }
 
 // peerServer implements the Peer service.
-type peerServer struct{ agent Handler }
+type peerServer struct{ handler Handler }
 
 // Exchange implements pb.DRPCPeerServer.
 func (s *peerServer) Exchange(ctx context.Context, req *pb.ExchangeRequest) (*pb.ExchangeReply, error) {
-	return s.agent.HandleExchange(ctx, req), nil
+	return s.handler.HandleExchange(ctx, req), nil
 }
 
 // Push implements pb.DRPCPeerServer.
 func (s *peerServer) Push(ctx context.Context, req *pb.PushRequest) (*pb.PushReply, error) {
-	return s.agent.HandlePush(ctx, req), nil
+	return s.handler.HandlePush(ctx, req), nil
 }
 
 // Snapshot implements pb.DRPCPeerServer.
 func (s *peerServer) Snapshot(req *pb.SnapshotRequest, stream pb.DRPCPeer_SnapshotStream) error {
-	return s.agent.HandleSnapshot(req, stream.Send)
+	return s.handler.HandleSnapshot(req, stream.Send)
 }
 
 // nodeServer implements the Node service.
-type nodeServer struct{ agent Handler }
+type nodeServer struct{ handler Handler }
 
 // Follow implements pb.DRPCNodeServer.
 func (s *nodeServer) Follow(req *pb.FollowRequest, stream pb.DRPCNode_FollowStream) error {
-	return s.agent.HandleFollow(stream.Context(), req, stream.Send)
+	return s.handler.HandleFollow(stream.Context(), req, stream.Send)
 }
 
 // Report implements pb.DRPCNodeServer.
 func (s *nodeServer) Report(_ context.Context, req *pb.ReportRequest) (*pb.ReportReply, error) {
-	return s.agent.HandleReport(req), nil
+	return s.handler.HandleReport(req), nil
 }
