--- a/internal/tree/blocks.go
+++ b/internal/tree/blocks.go
@@ -36,6 +36,7 @@
 	return blockSetting{addr: p.Addr().As16(), bits: uint8(p.Bits()), isIPv4: p.Addr().Is4()}
 }
 
+// prefix returns the IP prefix of the block.
 func (b *blockSetting) prefix() netip.Prefix {
 	addr := netip.AddrFrom16(b.addr)
 	if b.isIPv4 {
@@ -44,6 +45,7 @@
 	return netip.PrefixFrom(addr, int(b.bits))
 }
 
+// setting returns the setting of the block.
 func (b *blockSetting) setting() Setting {
 	return Setting{Value: b.value.Value(), Revision: b.revision, Unset: b.unset}
 }
@@ -74,7 +76,7 @@
 }
 
 // put returns the list with a block added or replaced; the list itself is
-// modified. A key that is not a prefix is ignored; CheckEdits lets such a key pass
+// modified. A key that is not a prefix is ignored; CheckEdits accepts such a key
 // only in an edit that unsets it.
 func (l blockList) put(key string, s Setting) blockList {
 	p, err := netip.ParsePrefix(key)
@@ -95,7 +97,7 @@
 }
 
 // VisitBlocks calls visit for every block that is set at path, in order of
-// addresses and prefix lengths. Regions is the block's value: region names,
+// addresses and prefix lengths. regions is the block's value: region names,
 // separated by commas.
 func (t *Tree) VisitBlocks(path string, visit func(p netip.Prefix, regions string)) {
 	for i := range t.nodes[path].blocks {
@@ -105,8 +107,8 @@
 	}
 }
 
-// BlockPaths returns the sorted paths under /blocks/, those whose blocks were all
-// unset later too.
+// BlockPaths returns the sorted paths under /blocks/, including those whose blocks
+// have all been unset since.
 func (t *Tree) BlockPaths() []string {
 	var paths []string
 	for p := range t.nodes {
--- a/internal/tree/check.go
+++ b/internal/tree/check.go
@@ -19,13 +19,13 @@
 
 // CheckEdits checks each edit on its own and returns all errors.
 func CheckEdits(edits []Edit) []error {
-	var faults []error
+	var errs []error
 	for _, e := range edits {
 		if err := checkEdit(e); err != nil {
-			faults = append(faults, err)
+			errs = append(errs, err)
 		}
 	}
-	return faults
+	return errs
 }
 
 // checkEdit checks the path and key of an edit and, unless it unsets the key, the
@@ -42,55 +42,56 @@
 	return err
 }
 
-// Check checks the rules on combinations of settings and returns all errors. Run
-// on the tree that results from a change, it also finds concurrent changes that
-// are each allowed, but not together.
+// Check checks the rules on combinations of settings and returns all errors. When
+// it is called on the tree that results from a change, it also finds concurrent
+// changes that are each allowed, but not together.
 func (t *Tree) Check() []error {
 	drains := t.Drains()
 	moves := t.Moves()
-	var faults []error
+	var errs []error
 	for _, d := range drains {
-		faults = append(faults, d.check()...)
+		errs = append(errs, d.check()...)
 	}
 	for _, m := range moves {
-		faults = append(faults, m.check(t)...)
+		errs = append(errs, m.check()...)
 	}
-	faults = append(faults, t.checkDrainedDomains(drains)...)
-	return append(faults, t.checkShift(moves)...)
+	errs = append(errs, t.checkDrainedDomains(drains)...)
+	return append(errs, t.checkShift(moves)...)
 }
 
-// check checks the drain's own settings against each other.
+// check checks that the drain has a target, and its settings against each other.
 func (d Drain) check() []error {
-	var faults []error
+	var errs []error
 	if d.Upstream == "" && d.Region == "" {
-		faults = append(faults, &RuleError{[]string{d.Path}, "a drain names an upstream, or a region with or without a failure domain"})
+		errs = append(errs, &RuleError{[]string{d.Path}, "a drain names an upstream, or a region with or without a failure domain"})
 	}
 	if d.Domain != "" && d.Region == "" {
-		faults = append(faults, &RuleError{[]string{d.Path}, "a failure domain needs its region"})
+		errs = append(errs, &RuleError{[]string{d.Path}, "a failure domain needs its region"})
 	}
 	if !d.End.IsZero() && !d.End.After(d.Start) {
-		faults = append(faults, &RuleError{[]string{d.Path}, "end is not after start"})
+		errs = append(errs, &RuleError{[]string{d.Path}, "end is not after start"})
 	}
-	return faults
+	return errs
 }
 
-// check checks the move's own settings against each other.
-func (m Move) check(t *Tree) []error {
-	var faults []error
+// check checks that the move's required settings are present and that its regions
+// differ.
+func (m Move) check() []error {
+	var errs []error
 	if m.Service == "" || m.From == "" || m.To == "" || m.Start.IsZero() {
-		faults = append(faults, &RuleError{[]string{m.Path}, "a move needs service, from, to and start"})
+		errs = append(errs, &RuleError{[]string{m.Path}, "a move needs service, from, to and start"})
 	}
 	if m.From == m.To {
-		faults = append(faults, &RuleError{[]string{m.Path}, "from and to are the same region"})
+		errs = append(errs, &RuleError{[]string{m.Path}, "from and to are the same region"})
 	}
-	return faults
+	return errs
 }
 
 // checkDrainedDomains returns an error for each drain at whose start more failure
 // domains of its region would be drained than KeyMaxDrainedDomains allows. Drains
 // of a whole region or of one upstream do not count.
 func (t *Tree) checkDrainedDomains(drains []Drain) []error {
-	var faults []error
+	var errs []error
 	for _, d := range drains {
 		if d.Domain == "" {
 			continue
@@ -106,13 +107,13 @@
 			paths = append(paths, other.Path)
 		}
 		if len(domains) > limit {
-			faults = append(faults, &RuleError{paths, fmt.Sprintf("%d failure domains of region %s drained at one time, at most %d may be", len(domains), d.Region, limit)})
+			errs = append(errs, &RuleError{paths, fmt.Sprintf("%d failure domains of region %s drained at one time, at most %d may be", len(domains), d.Region, limit)})
 		}
 	}
-	return faults
+	return errs
 }
 
-// covers reports whether at is in the drain's time span.
+// covers reports whether the time at is in the drain's time span.
 func (d Drain) covers(at time.Time) bool {
 	return !at.Before(d.Start) && (d.End.IsZero() || at.Before(d.End))
 }
@@ -127,7 +128,7 @@
 		s := source{m.Service, m.From}
 		bySource[s] = append(bySource[s], m)
 	}
-	var faults []error
+	var errs []error
 	for s, ms := range bySource {
 		limit := t.Float(ServicePath(s.service), KeyShiftCap)
 		rate := t.Float(ServicePath(s.service), KeyShiftRate)
@@ -139,13 +140,13 @@
 			paths = append(paths, m.Path)
 		}
 		if sum > limit+epsilon {
-			faults = append(faults, &RuleError{paths, fmt.Sprintf("moves of service %s out of %s shift %.3g of its traffic, shift_cap is %.3g", s.service, s.from, sum, limit)})
+			errs = append(errs, &RuleError{paths, fmt.Sprintf("moves of service %s out of %s shift %.3g of its traffic, shift_cap is %.3g", s.service, s.from, sum, limit)})
 		}
 		if fastest > rate+epsilon {
-			faults = append(faults, &RuleError{paths, fmt.Sprintf("moves of service %s out of %s shift %.3g of its traffic in a minute, shift_rate is %.3g", s.service, s.from, fastest, rate)})
+			errs = append(errs, &RuleError{paths, fmt.Sprintf("moves of service %s out of %s shift %.3g of its traffic in a minute, shift_rate is %.3g", s.service, s.from, fastest, rate)})
 		}
 	}
-	return faults
+	return errs
 }
 
 // epsilon is the tolerance for rounding errors in sums of fractions.
--- a/internal/tree/key.go
+++ b/internal/tree/key.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Key describes one key of the tree: its default, its values and the paths at
-// which it can be set.
+// Key describes one key of the tree: its default, its allowed values and the paths
+// at which it can be set.
 type Key struct {
 	Name    string
 	Default string
@@ -24,7 +24,7 @@
 	check func(string) error
 }
 
-// Kinds of paths shared by several keys.
+// Lists of kinds that several keys share.
 var (
 	serviceKinds = []Kind{KindRoot, KindService, KindServiceRegion, KindServiceDomain}
 	regionKinds  = []Kind{KindRoot, KindRegion}
@@ -166,8 +166,8 @@
 	return nil
 }
 
-// CheckQuery returns an error if path is malformed or key is unknown. A key that
-// cannot be set at path itself is valid, since paths inherit values. Keys at paths
+// CheckQuery returns an error if path is malformed or key is unknown. It accepts a
+// key that cannot be set at path itself, since paths inherit values. Keys at paths
 // under /blocks/ are not checked.
 func CheckQuery(path, key string) error {
 	kind, _, err := ParsePath(path)
@@ -180,7 +180,8 @@
 	return nil
 }
 
-// checkKey returns the key if it can be set at paths of a kind.
+// checkKey returns the key with a name, or an error if it cannot be set at paths of
+// a kind.
 func checkKey(kind Kind, path, key string) (*Key, error) {
 	k := keyByName[key]
 	if k != nil && slices.Contains(k.Kinds, kind) {
@@ -241,7 +242,7 @@
 		if err != nil {
 			return fmt.Errorf("not a number")
 		}
-		// Unlike f < lo || f > hi, this is true for NaN.
+		// Unlike f < lo || f > hi, this condition also rejects NaN.
 		if !(f >= lo && f <= hi) {
 			return fmt.Errorf("out of bounds")
 		}
@@ -269,7 +270,7 @@
 	return numberKey(name, def, 0, 1, kinds, doc)
 }
 
-// nameKey returns a key without a default whose values match nameRE.
+// nameKey returns a key without a default, whose values match nameRE.
 func nameKey(name, allowed string, kinds []Kind, doc string) Key {
 	return Key{Name: name, Allowed: allowed, Doc: doc, Kinds: kinds, check: checkName}
 }
@@ -284,13 +285,13 @@
 	}}
 }
 
-// listKey returns a key whose values are lists, separated by commas, of items that
-// pass the check item.
-func listKey(name, def, allowed string, item func(string) error, kinds []Kind, doc string) Key {
-	return Key{name, def, allowed, doc, kinds, func(s string) error { return checkEach(s, item) }}
+// listKey returns a key whose values are lists, separated by commas, of items for
+// which checkItem returns no error.
+func listKey(name, def, allowed string, checkItem func(string) error, kinds []Kind, doc string) Key {
+	return Key{name, def, allowed, doc, kinds, func(s string) error { return checkEach(s, checkItem) }}
 }
 
-// checkEach returns the error of the first item of the list s that fails check.
+// checkEach calls check with each item of the list s and returns the first error.
 func checkEach(s string, check func(string) error) error {
 	for _, item := range SplitList(s) {
 		if err := check(item); err != nil {
@@ -313,7 +314,8 @@
 	return items
 }
 
-// checkName checks a name of a service, region, failure domain or upstream.
+// checkName checks that s can be the name of a service, region, failure domain or
+// upstream.
 func checkName(s string) error {
 	if !nameRE.MatchString(s) {
 		return fmt.Errorf("not a name that matches %s", nameRE)
--- a/internal/tree/path.go
+++ b/internal/tree/path.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Kind is the kind of object that a path stands for. It determines the keys that
-// can be set at the path.
+// Kind is the kind of object to which the settings at a path apply. It determines
+// the keys that can be set at the path.
 type Kind uint8
 
 // The kinds of paths, as in pathPatterns.
@@ -26,8 +26,8 @@
 	kindCount
 )
 
-// pathPatterns holds the pattern of the paths of each kind; words in capitals
-// stand for names.
+// pathPatterns holds the pattern of the paths of each kind; words in capitals are
+// placeholders for names.
 var pathPatterns = [kindCount]string{
 	KindRoot:          "/",
 	KindRegion:        "/regions/REGION",
@@ -70,8 +70,8 @@
 	return fmt.Sprintf("path %q: %s; allowed are %s", e.Path, e.Reason, strings.Join(PathPatterns(), ", "))
 }
 
-// ParsePath returns the kind of a path and the names in it, in order. The error is
-// a PathError.
+// ParsePath returns the kind of a path and the names in it, in order. Errors are of
+// type *PathError.
 func ParsePath(path string) (Kind, []string, error) {
 	if path == "/" {
 		return KindRoot, nil, nil
@@ -96,7 +96,7 @@
 }
 
 // matchPattern compares the parts of a path with those of a pattern. It returns
-// the parts that match words in capitals, and whether the path matches.
+// the parts that match placeholders, and whether the path matches.
 func matchPattern(pattern, parts []string) ([]string, bool) {
 	if len(pattern) != len(parts) {
 		return nil, false
--- a/internal/tree/schedule.go
+++ b/internal/tree/schedule.go
@@ -20,7 +20,7 @@
 func (d Drain) Active(at time.Time) bool { return d.covers(at) }
 
 // MatchesUpstream reports whether the drain applies to an upstream, given its
-// service, region, failure domain and id.
+// service, region, failure domain and ID.
 func (d Drain) MatchesUpstream(service, region, domain, upstream string) bool {
 	if d.Service != "" && d.Service != service {
 		return false
@@ -43,9 +43,8 @@
 
 // Share returns the share of the region's traffic to be moved at a time. The share
 // rises from zero at Start to Fraction at Start plus Duration, in multiples of Step
-// or, if Step is 0, linearly. Every
-// instance computes the share from its own clock, so a move continues while the
-// configuration store is unavailable.
+// or, if Step is 0, linearly. Every instance computes the share from its own clock,
+// so a move continues while the configuration store is unavailable.
 func (m Move) Share(at time.Time) float64 {
 	elapsed := at.Sub(m.Start)
 	switch {
@@ -61,7 +60,8 @@
 	return math.Floor(share/m.Step) * m.Step
 }
 
-// Drains returns all drains in the tree, past ones too, in order of their paths.
+// Drains returns all drains in the tree, including past ones, in order of their
+// paths.
 func (t *Tree) Drains() []Drain {
 	var drains []Drain
 	for _, p := range t.pathsUnder("/drains/") {
@@ -78,7 +78,8 @@
 	return drains
 }
 
-// Moves returns all moves in the tree, past ones too, in order of their paths.
+// Moves returns all moves in the tree, including past ones, in order of their
+// paths.
 func (t *Tree) Moves() []Move {
 	var moves []Move
 	for _, p := range t.pathsUnder("/moves/") {
--- a/internal/tree/tree.go
+++ b/internal/tree/tree.go
@@ -1,7 +1,7 @@
 // Package tree holds the operators' settings as a tree of paths with keys. A path
 // inherits the values of keys that are not set at the path from its parent path.
 //
-// A Tree is immutable and so safe for concurrent use. Apply returns a new Tree
+// A Tree is immutable and therefore safe for concurrent use. Apply returns a new Tree
 // that shares unchanged paths with the old one.
 package tree
 
@@ -72,7 +72,7 @@
 	return node{maps.Clone(n.keys), slices.Clone(n.blocks), n.revision}
 }
 
-// visit calls fn for every key, unset ones too.
+// visit calls fn for every key, including unset ones.
 func (n node) visit(fn func(key string, s Setting)) {
 	for k, s := range n.keys {
 		fn(k, s)
@@ -132,17 +132,17 @@
 }
 
 // SettingAt returns the setting of key at path itself, and false if key was never
-// written there. Parent paths are not considered.
+// written there. Ancestor paths are not considered.
 func (t *Tree) SettingAt(path, key string) (Setting, bool) {
 	return t.nodes[path].get(key)
 }
 
 // PathRevision returns the newest revision that wrote a key at path, or 0 if none
-// did. Parent paths are not considered.
+// did. Ancestor paths are not considered.
 func (t *Tree) PathRevision(path string) uint64 { return t.nodes[path].revision }
 
 // Get returns the effective value of key at path: the value at path or at the
-// nearest parent path where the key is set, or the key's default. For an unknown
+// nearest ancestor path at which the key is set, or the key's default. For an unknown
 // key, Get returns the zero Value.
 func (t *Tree) Get(path, key string) Value {
 	for p, ok := path, true; ok; p, ok = Parent(p) {
@@ -202,22 +202,22 @@
 	return paths
 }
 
-// AllPaths returns the sorted paths at which a key was ever written, those whose
-// keys were all unset later too.
+// AllPaths returns the sorted paths at which a key was ever written, including
+// those whose keys have all been unset since.
 func (t *Tree) AllPaths() []string {
 	paths := slices.Collect(maps.Keys(t.nodes))
 	slices.Sort(paths)
 	return paths
 }
 
-// VisitPath calls visit for every key that was written at path, unset ones too.
-// The order of keys is undefined, that of blocks is by address.
+// VisitPath calls visit for every key that was written at path, including unset
+// ones. Keys are visited in undefined order, blocks in order of their addresses.
 func (t *Tree) VisitPath(path string, visit func(key string, s Setting)) {
 	t.nodes[path].visit(visit)
 }
 
-// VisitAll calls visit for every key that was written in the tree, unset ones too,
-// in undefined order.
+// VisitAll calls visit for every key that was written in the tree, including unset
+// ones, in undefined order.
 func (t *Tree) VisitAll(visit func(path, key string, s Setting)) {
 	for p, n := range t.nodes {
 		n.visit(func(key string, s Setting) { visit(p, key, s) })
--- a/internal/tree/tree_test.go
+++ b/internal/tree/tree_test.go
@@ -13,8 +13,8 @@
 // apply checks edits and returns the tree after them.
 func apply(t *testing.T, edits ...Edit) *Tree {
 	t.Helper()
-	if faults := CheckEdits(edits); len(faults) > 0 {
-		t.Fatal(faults)
+	if errs := CheckEdits(edits); len(errs) > 0 {
+		t.Fatal(errs)
 	}
 	return new(Tree).Apply(edits, 1)
 }
@@ -68,9 +68,9 @@
 		{Edit{Path: "/drains/d", Key: KeyStart, Value: "tonight"}, "not a time"},
 	}
 	for _, tt := range tests {
-		faults := CheckEdits([]Edit{tt.edit})
-		if len(faults) != 1 || !strings.Contains(faults[0].Error(), tt.want) {
-			t.Errorf("%+v: %v, want %q", tt.edit, faults, tt.want)
+		errs := CheckEdits([]Edit{tt.edit})
+		if len(errs) != 1 || !strings.Contains(errs[0].Error(), tt.want) {
+			t.Errorf("%+v: %v, want %q", tt.edit, errs, tt.want)
 		}
 	}
 }
@@ -98,8 +98,8 @@
 	}
 	for _, tt := range tests {
 		tr := apply(t, append(drain("one", "sohar-a", ten, eleven), tt.second...)...)
-		if faults := tr.Check(); (len(faults) == 0) != tt.ok {
-			t.Errorf("%s: %v", tt.name, faults)
+		if errs := tr.Check(); (len(errs) == 0) != tt.ok {
+			t.Errorf("%s: %v", tt.name, errs)
 		}
 	}
 }
@@ -127,8 +127,8 @@
 		{"together too fast", append(move("a", "0.2", "70s"), move("b", "0.2", "70s")...), false},
 	}
 	for _, tt := range tests {
-		if faults := apply(t, tt.edits...).Check(); (len(faults) == 0) != tt.ok {
-			t.Errorf("%s: %v", tt.name, faults)
+		if errs := apply(t, tt.edits...).Check(); (len(errs) == 0) != tt.ok {
+			t.Errorf("%s: %v", tt.name, errs)
 		}
 	}
 	lowered := append(move("a", "0.4", "10m"), Edit{Path: "/services/stock", Key: KeyShiftCap, Value: "0.3"})
@@ -137,7 +137,7 @@
 	}
 }
 
-// TestMoveShare checks that the share of a move never falls, never exceeds the
+// TestMoveShare checks that the share of a move never decreases, never exceeds the
 // linear schedule and ends at the move's fraction.
 func TestMoveShare(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
@@ -149,8 +149,8 @@
 		for s := -10; s < minutes*60+10; s += 7 {
 			at := start.Add(time.Duration(s) * time.Second)
 			share := m.Share(at)
-			line := fraction * min(1, max(0, float64(s)/float64(minutes*60)))
-			if share < last || share > line+epsilon {
+			linear := fraction * min(1, max(0, float64(s)/float64(minutes*60)))
+			if share < last || share > linear+epsilon {
 				return false
 			}
 			last = share
