--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -54,7 +54,7 @@
 	// ProbePeriod is the time between two rounds of probes.
 	ProbePeriod time.Duration
 	// BootID identifies the current boot of the machine. It distinguishes two
-	// machines that run under the same instance id.
+	// machines that run under the same instance ID.
 	BootID string
 	// BootClock returns the time since the machine's boot, in nanoseconds.
 	BootClock func() int64
@@ -190,7 +190,7 @@
 // two regions use the same domain name.
 func domainKey(m membership.Member) string { return m.Region + "/" + m.Domain }
 
-// aliveIDs returns the ids of the members in state Alive that are in the same region
+// aliveIDs returns the IDs of the members in state Alive that are in the same region
 // as self and have an agent address.
 func aliveIDs(ms []membership.Member, self membership.Member) []string {
 	var ids []string
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -170,7 +170,7 @@
 	})
 }
 
-// TestRestartUnderSameID checks that an instance that restarts under the same id is
+// TestRestartUnderSameID checks that an instance that restarts under the same ID is
 // live again, with a higher incarnation, and with a lower one as after a clock was
 // set back.
 func TestRestartUnderSameID(t *testing.T) {
--- a/internal/agent/draining.go
+++ b/internal/agent/draining.go
@@ -10,7 +10,7 @@
 	// drainingTTL is how long an upstream counts as draining after its report. By
 	// then the platform's list shows it as leaving, or it serves again.
 	drainingTTL = 5 * time.Minute
-	// maxDraining is the largest number of ids in one message.
+	// maxDraining is the largest number of IDs in one message.
 	maxDraining = 64
 )
 
@@ -19,9 +19,9 @@
 // them to each other. It is safe for concurrent use.
 type draining struct {
 	mu sync.Mutex
-	// until is when the report about each upstream id expires.
+	// until is when the report about each upstream ID expires.
 	until map[string]time.Time
-	// changed is closed and replaced when ids are added.
+	// changed is closed and replaced when IDs are added.
 	changed chan struct{}
 }
 
@@ -29,8 +29,8 @@
 	return &draining{until: make(map[string]time.Time), changed: make(chan struct{})}
 }
 
-// apply adds received ids of draining upstreams, at most maxDraining. The expiry of
-// known ids is not extended: otherwise agents would keep renewing each other's
+// apply adds received IDs of draining upstreams, at most maxDraining. The expiry of
+// known IDs is not extended: otherwise agents would keep renewing each other's
 // entries and these would never expire.
 func (d *draining) apply(now time.Time, ids []string) {
 	d.mu.Lock()
@@ -48,9 +48,9 @@
 	}
 }
 
-// list returns up to maxDraining ids of upstreams that count as draining, sorted,
-// and a channel that is closed when ids are added. Ids are kept for twice
-// drainingTTL, so that a late message does not add an expired id again.
+// list returns up to maxDraining IDs of upstreams that count as draining, sorted,
+// and a channel that is closed when IDs are added. IDs are kept for twice
+// drainingTTL, so that a late message does not add an expired ID again.
 func (d *draining) list(now time.Time) ([]string, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -67,7 +67,7 @@
 	return ids[:min(maxDraining, len(ids))], d.changed
 }
 
-// drainingIDs returns the ids of draining upstreams to send in a message.
+// drainingIDs returns the IDs of draining upstreams to send in a message.
 func (a *Agent) drainingIDs() []string {
 	ids, _ := a.draining.list(time.Now())
 	return ids
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -256,7 +256,7 @@
 	return reply
 }
 
-// notAliveState returns the own entry for the member with the given id if its state
+// notAliveState returns the own entry for the member with the given ID if its state
 // is not Alive, so that the member can refute it when the entry is sent to it.
 func (a *Agent) notAliveState(id string) []*pb.Member {
 	m, ok := a.table.Get(id)
--- a/internal/agent/processes.go
+++ b/internal/agent/processes.go
@@ -125,7 +125,7 @@
 	return list
 }
 
-// sendSnapshot sends a snapshot in parts, without the ids of applied changes, and
+// sendSnapshot sends a snapshot in parts, without the IDs of applied changes, and
 // returns its revision. For an entry the blocks of client addresses are left out as
 // well: it does not use them, and they are by far the largest part.
 func (vs *viewStream) sendSnapshot(a *Agent, send func(*pb.View) error) (uint64, error) {
--- a/internal/agent/push.go
+++ b/internal/agent/push.go
@@ -99,7 +99,7 @@
 	return out
 }
 
-// readerTargets returns the ids of one random reader in each of up to
+// readerTargets returns the IDs of one random reader in each of up to
 // maxDomainsPushed other failure domains, and, if the own instance is not a reader,
 // the readers of the own failure domain.
 func (a *Agent) readerTargets(p fanout.Plan) []string {
@@ -132,7 +132,7 @@
 	return ids
 }
 
-// readersOf returns the ids of the readers of a failure domain whose members are ids.
+// readersOf returns the IDs of the readers of a failure domain whose members are ids.
 func readersOf(domain string, ids []string) []string {
 	order := fanout.Order(domain, ids)
 	return order[:min(fanout.ReadersPerDomain, len(order))]
--- a/internal/balance/affinity.go
+++ b/internal/balance/affinity.go
@@ -41,7 +41,7 @@
 	Objective time.Duration
 	// Regions reports whether a region may serve the request; nil allows all.
 	Regions func(region string) bool
-	// Tried holds the ids of upstreams that must not be picked again.
+	// Tried holds the IDs of upstreams that must not be picked again.
 	Tried []string
 	// NoAffinity is set if the request concerns no particular object, so that any upstream will do.
 	NoAffinity bool
--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -90,7 +90,7 @@
 	// upstreamState of its own.
 	restarted bool
 
-	// idHash is the hash of the upstream's id. Together with weight it determines the upstream's
+	// idHash is the hash of the upstream's ID. Together with weight it determines the upstream's
 	// position in the order of each object; see score.
 	idHash uint64
 	weight float64
@@ -146,7 +146,7 @@
 	// nextProbe is the earliest time of the next probe of a region whose upstreams mostly fail.
 	nextProbe map[string]time.Time
 
-	// self, region and domain are the id, region and failure domain of this entry. entries are the
+	// self, region and domain are the ID, region and failure domain of this entry. entries are the
 	// entries that carry requests.
 	self    string
 	region  string
@@ -193,9 +193,9 @@
 	Service *model.Service
 	// Draining reports whether an upstream must get no new requests.
 	Draining func(*model.Upstream, time.Time) bool
-	// Subset holds the ids of the upstreams that this entry uses first; see the function Subset.
+	// Subset holds the IDs of the upstreams that this entry uses first; see the function Subset.
 	Subset map[string]bool
-	// Self, Region and Domain are the id, region and failure domain of this entry. Entries are the
+	// Self, Region and Domain are the ID, region and failure domain of this entry. Entries are the
 	// entries that carry requests.
 	Self    string
 	Region  string
@@ -262,7 +262,7 @@
 	// Allowed reports whether one more request may go to a region at which this entry has inFlight
 	// requests; nil allows all. It is called with the Balancer locked.
 	Allowed func(region string, inFlight int) bool
-	// Tried holds the ids of upstreams that must not be picked again.
+	// Tried holds the IDs of upstreams that must not be picked again.
 	Tried []string
 }
 
--- a/internal/balance/cold.go
+++ b/internal/balance/cold.go
@@ -59,7 +59,7 @@
 
 // nearestEntries returns the entries in an order that is the same at every entry: those in the
 // upstream's failure domain, then those in its region, then the others; within each group, ordered
-// by a hash of both ids.
+// by a hash of both IDs.
 func (b *Balancer) nearestEntries(u *upstreamState) []model.Member {
 	distance := func(e model.Member) int {
 		switch {
--- a/internal/balance/late.go
+++ b/internal/balance/late.go
@@ -19,7 +19,7 @@
 // LateError reports that at present every upstream would miss the request's objective, but that a
 // retry after RetryAfter will probably meet it.
 type LateError struct {
-	// Upstream is the id of the upstream with the shortest wait for a slot, Outstanding the
+	// Upstream is the ID of the upstream with the shortest wait for a slot, Outstanding the
 	// estimated number of requests at it.
 	Upstream    string
 	Outstanding float64
--- a/internal/balance/ratelimit.go
+++ b/internal/balance/ratelimit.go
@@ -28,7 +28,7 @@
 // LimitError reports that only the rate limits of the upstreams prevent the request from being
 // sent.
 type LimitError struct {
-	// Upstream is the id of the upstream that may take a request first, PerSecond its limit in
+	// Upstream is the ID of the upstream that may take a request first, PerSecond its limit in
 	// requests per second, RetryAfter the time until then.
 	Upstream   string
 	PerSecond  float64
@@ -54,7 +54,7 @@
 	// Sent is the number of requests that the entry has sent to the upstream since it first
 	// received a limit.
 	Sent uint32
-	// Senders are the ids of the other entries that may send to the upstream. Changed is set if the
+	// Senders are the IDs of the other entries that may send to the upstream. Changed is set if the
 	// limit has not been sent to any entry yet. Neither is part of the message to other entries.
 	Senders []string
 	Changed bool
@@ -140,7 +140,7 @@
 	}
 }
 
-// limitSenders returns the ids of the entries that share the limit of an upstream: the nearest
+// limitSenders returns the IDs of the entries that share the limit of an upstream: the nearest
 // ones, at most maxLimitSenders. All entries compute the same result. An entry that has retired
 // gets no senders.
 func (b *Balancer) limitSenders(u *upstreamState) []string {
@@ -264,7 +264,7 @@
 	return u.unsent || now.Before(u.announceUntil) || u.bucket != nil && (scope == AllUpdates || now.Sub(u.lastSpent) < announcePeriod)
 }
 
-// VisitLimitSenders calls visit with the ids of the entries that share an upstream's limit with
+// VisitLimitSenders calls visit with the IDs of the entries that share an upstream's limit with
 // this entry, once for each such upstream.
 func (b *Balancer) VisitLimitSenders(visit func(id string)) {
 	if b.limitedCount.Load() == 0 {
--- a/internal/balance/ratelimit_test.go
+++ b/internal/balance/ratelimit_test.go
@@ -338,7 +338,7 @@
 	}
 }
 
-// TestLimitBelongsToOneIncarnation has an upstream that announced a limit restart under its id.
+// TestLimitBelongsToOneIncarnation has an upstream that announced a limit restart under its ID.
 func TestLimitBelongsToOneIncarnation(t *testing.T) {
 	now := t0
 	lb := NewBalancer()
--- a/internal/balance/restart_test.go
+++ b/internal/balance/restart_test.go
@@ -18,7 +18,7 @@
 }
 
 // TestRestartUnderTheSameID has an upstream with failures, a drain announcement and requests in
-// flight restart under its id: nothing of its earlier incarnation counts.
+// flight restart under its ID: nothing of its earlier incarnation counts.
 func TestRestartUnderTheSameID(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	lb := NewBalancer()
--- a/internal/balance/status.go
+++ b/internal/balance/status.go
@@ -39,7 +39,7 @@
 	return last
 }
 
-// SelfDraining returns the ids of the upstreams that have announced that they drain.
+// SelfDraining returns the IDs of the upstreams that have announced that they drain.
 func (b *Balancer) SelfDraining(now time.Time) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/balance/subset.go
+++ b/internal/balance/subset.go
@@ -8,7 +8,7 @@
 )
 
 // Subset divides a service's upstreams in a region evenly among the region's entries and returns
-// the ids of those assigned to self. All entries compute the same division from the same list of
+// the IDs of those assigned to self. All entries compute the same division from the same list of
 // entries. While their lists differ, two entries may use the same upstream first; the worst effect
 // is that it sheds a request.
 func Subset(upstreams []model.Upstream, region, self string, entries []string) map[string]bool {
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -88,7 +88,8 @@
 	return out
 }
 
-// resultOf returns the response body for the result of the commit of change id.
+// resultOf returns the response body for the result of committing the change with
+// the given ID.
 func resultOf(id string, r configlog.Result) Result {
 	out := Result{Outcome: r.Outcome, ID: id, Revision: r.Revision}
 	if r.Refusal != nil {
--- a/internal/configlog/committer.go
+++ b/internal/configlog/committer.go
@@ -32,7 +32,7 @@
 	// Refused changes are not in the log and will not be added by this commit.
 	Refused Outcome = "refused"
 	// Unknown changes may be in the log, or may still be added by a delayed
-	// write. Sending the change again with the same id returns its outcome and
+	// write. Sending the change again with the same ID returns its outcome and
 	// does not apply it twice.
 	Unknown Outcome = "unknown"
 )
--- a/internal/configlog/committer_test.go
+++ b/internal/configlog/committer_test.go
@@ -41,7 +41,7 @@
 }
 
 // occurrences reads the whole log from the store. It returns how often each
-// change id was read and the resulting log.
+// change ID was read and the resulting log.
 func occurrences(t testing.TB, s coordination.Store) (map[string]int, *Log) {
 	t.Helper()
 	log := NewLog()
@@ -256,7 +256,7 @@
 		if !sameState(fresh, w.log) {
 			t.Error("the new reader's state differs from the log")
 		}
-		// The snapshot includes the ids of older changes.
+		// The snapshot includes the IDs of older changes.
 		again := &writer{fresh, NewCommitter(s, fresh, time.Now)}
 		if r := again.commit(t, deadlineChange(fmt.Sprint("c", RingSize), "s1", "1s")); r.Outcome != Accepted || r.Revision != RingSize+1 {
 			t.Errorf("repeated change = %+v", r)
--- a/internal/configlog/log.go
+++ b/internal/configlog/log.go
@@ -15,20 +15,20 @@
 	// Old records are dropped once there is twice as much of either.
 	maxRecentRecords = 512
 	maxRecentEdits   = 8192
-	// maxChangeIDs is the number of newest change ids that a Log keeps at least. It
+	// maxChangeIDs is the number of newest change IDs that a Log keeps at least. It
 	// covers the ring, so that every change whose record may still be in the store
 	// is found.
 	maxChangeIDs = RingSize
 )
 
-// AppliedChange is the id of an accepted change and the revision of its record.
+// AppliedChange is the ID of an accepted change and the revision of its record.
 type AppliedChange struct {
 	ID       string
 	Revision uint64
 }
 
 // Log is the configuration at one revision, with the most recent records and
-// change ids. The revision never falls. A Log does no I/O and is safe for
+// change IDs. The revision never falls. A Log does no I/O and is safe for
 // concurrent use.
 type Log struct {
 	mu       sync.RWMutex
@@ -38,7 +38,7 @@
 	// edits in them.
 	recent      []Record
 	recentEdits int
-	// changes holds the newest change ids, oldest first, and byID their revisions.
+	// changes holds the newest change IDs, oldest first, and byID their revisions.
 	changes []AppliedChange
 	byID    map[string]uint64
 	// advanced is closed, and replaced, when the revision rises.
@@ -105,7 +105,7 @@
 	l.recent = append([]Record(nil), l.recent[drop:]...)
 }
 
-// addChange stores a change id and drops the oldest ids in bulk, once there are
+// addChange stores a change ID and drops the oldest IDs in bulk, once there are
 // twice as many as maxChangeIDs. The caller holds the lock.
 func (l *Log) addChange(a AppliedChange) {
 	l.changes = append(l.changes, a)
@@ -144,7 +144,7 @@
 	return true
 }
 
-// Snapshot returns the current revision, tree and newest change ids.
+// Snapshot returns the current revision, tree and newest change IDs.
 func (l *Log) Snapshot() *Snapshot {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -191,8 +191,8 @@
 	return append([]Record(nil), l.recent[max(0, len(l.recent)-limit):]...)
 }
 
-// FindChange returns the revision of the change with an id, or 0 if the log holds
-// no such id.
+// FindChange returns the revision of the change with an ID, or 0 if the log holds
+// no such ID.
 func (l *Log) FindChange(id string) uint64 {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
--- a/internal/configlog/record.go
+++ b/internal/configlog/record.go
@@ -33,7 +33,7 @@
 	MaxRecordBytes = 64 << 10
 	// MaxEdits is the largest number of edits in one change.
 	MaxEdits = 2000
-	// MaxChangeIDBytes is the largest length of a change id in bytes.
+	// MaxChangeIDBytes is the largest length of a change ID in bytes.
 	MaxChangeIDBytes = 64
 	// MaxTextBytes is the largest length of a value, author or note in bytes.
 	MaxTextBytes = 4096
--- a/internal/configlog/snapshot.go
+++ b/internal/configlog/snapshot.go
@@ -20,7 +20,7 @@
 // encoded part is slightly larger than the sum.
 const targetPartBytes = 200 << 10
 
-// Snapshot is the tree and the newest change ids, oldest first, at one revision.
+// Snapshot is the tree and the newest change IDs, oldest first, at one revision.
 type Snapshot struct {
 	Revision uint64
 	Tree     *tree.Tree
--- a/internal/fanout/fanout.go
+++ b/internal/fanout/fanout.go
@@ -30,9 +30,9 @@
 	Reader bool
 	// Rank is the member's position in the domain's order, starting at 0.
 	Rank int
-	// Children are the ids of the members to push new records to.
+	// Children are the IDs of the members to push new records to.
 	Children []string
-	// Siblings are the ids of the other readers of the domain if the member is a
+	// Siblings are the IDs of the other readers of the domain if the member is a
 	// reader, and empty otherwise.
 	Siblings []string
 }
@@ -57,8 +57,8 @@
 	return p
 }
 
-// Order returns the ids sorted in the rendezvous order of a failure domain: by
-// descending hash of domain and id. The argument is not modified.
+// Order returns the IDs sorted in the rendezvous order of a failure domain: by
+// descending hash of domain and ID. The argument is not modified.
 func Order(domain string, ids []string) []string {
 	type scored struct {
 		id    string
--- a/internal/inflight/exchange.go
+++ b/internal/inflight/exchange.go
@@ -129,7 +129,7 @@
 	return &Exchange{opt: opt, conn: conn, hubs: newHubs(opt.Entry), presence: newPresence(), incarnations: make(map[string]uint64), started: make(chan Peer, maxStarted)}, nil
 }
 
-// Absent returns the ids of the entries that are stopping or silent. In a fleet with hubs
+// Absent returns the IDs of the entries that are stopping or silent. In a fleet with hubs
 // the hub reports which entries of the own failure domain are absent; other domains are
 // not covered.
 func (x *Exchange) Absent(now time.Time) map[string]bool {
--- a/internal/inflight/hub.go
+++ b/internal/inflight/hub.go
@@ -83,7 +83,7 @@
 	return now.Sub(r.at) < reporterTimeout
 }
 
-// newHubs returns the hubs of the entry with the id self, without any reports.
+// newHubs returns the hubs of the entry with the ID self, without any reports.
 func newHubs(self string) *hubs {
 	return &hubs{
 		self:       self,
@@ -160,7 +160,7 @@
 	return busy, idle
 }
 
-// absent returns the ids of the candidates for hub of the own failure domain that send no
+// absent returns the IDs of the candidates for hub of the own failure domain that send no
 // reports to this entry, their hub. The result is nil while this entry has been the hub for
 // less than idleReporterTimeout, in which not all entries need have reported yet, and if more
 // than maxAbsentShare of the candidates are silent: then this entry is more likely cut off
--- a/internal/inflight/rates.go
+++ b/internal/inflight/rates.go
@@ -44,7 +44,7 @@
 	UrgentUpdates() <-chan struct{}
 	// LimitUpdates returns the limits and request counts to report.
 	LimitUpdates(scope balance.UpdateScope) []balance.LimitUpdate
-	// LimitSenders returns the ids of the entries that share the limit of an upstream with
+	// LimitSenders returns the IDs of the entries that share the limit of an upstream with
 	// this entry.
 	LimitSenders() map[string]bool
 	// ApplyPeerLimits applies the limits and request counts that an incarnation of a peer
--- a/internal/inflight/report.go
+++ b/internal/inflight/report.go
@@ -19,7 +19,7 @@
 
 // Count is the number of requests in flight at an upstream, and recent outcomes there.
 type Count struct {
-	// Upstream is the hash of the upstream's id, as computed by package balance.
+	// Upstream is the hash of the upstream's ID, as computed by package balance.
 	Upstream uint32
 	// Requests is the number of requests in flight.
 	Requests int
@@ -47,7 +47,7 @@
 // Report is a report of one entry. Upstreams whose hashes lie from First to Last and which
 // are not in Counts have none of the counted requests.
 type Report struct {
-	// Entry is the id of the entry's instance.
+	// Entry is the ID of the entry's instance.
 	Entry string
 	Scope Scope
 	// First and Last bound the hashes of the upstreams that the report covers.
@@ -64,7 +64,7 @@
 	// Idle is set while the sender has had few requests for a while. Hubs send reports less
 	// often to idle entries.
 	Idle bool
-	// Absent are the hashes of the ids of entries of the sender's failure domain that are
+	// Absent are the hashes of the IDs of entries of the sender's failure domain that are
 	// stopping or silent; see poison.HashEntry. Only hubs set it.
 	Absent []uint32
 	Counts []Count
--- a/internal/inflight/usages.go
+++ b/internal/inflight/usages.go
@@ -181,7 +181,7 @@
 func noReporter(string) bool { return false }
 
 // sourceOf returns the source that a report of usages covers, and the name of its reporter.
-// own has the ids of the entries of the own failure domain.
+// own has the IDs of the entries of the own failure domain.
 func (x *Exchange) sourceOf(r *Report, from Peer, own map[string]bool) (source, reporter string) {
 	switch {
 	case r.UsagesScope == ScopeOthers && r.Relayed:
--- a/internal/membership/prober.go
+++ b/internal/membership/prober.go
@@ -10,7 +10,7 @@
 type Prober struct {
 	table *Table
 	rnd   *rand.Rand
-	// round holds the ids that are still to be probed in the current round.
+	// round holds the IDs that are still to be probed in the current round.
 	round []string
 }
 
@@ -47,7 +47,7 @@
 }
 
 // RelaysFor returns up to MaxRelays random alive peers in the probe scope that
-// can probe the member with the given id indirectly.
+// can probe the member with the given ID indirectly.
 func (p *Prober) RelaysFor(id string) []Member {
 	peers := p.table.ProbeScope()
 	p.rnd.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -297,7 +297,7 @@
 	return t.pending
 }
 
-// All returns all members, including dead ones, sorted by id, and a channel that
+// All returns all members, including dead ones, sorted by ID, and a channel that
 // is closed at the next change. The caller must not modify the slice.
 func (t *Table) All() ([]Member, <-chan struct{}) {
 	t.mu.Lock()
@@ -318,7 +318,7 @@
 	return t.sorted
 }
 
-// Select returns the members for which in is true, sorted by id.
+// Select returns the members for which in is true, sorted by ID.
 func (t *Table) Select(in func(Member) bool) []Member {
 	all, _ := t.All()
 	var out []Member
@@ -331,18 +331,18 @@
 }
 
 // DomainMembers returns the members of all failure domains with the given name,
-// including dead ones, sorted by id.
+// including dead ones, sorted by ID.
 func (t *Table) DomainMembers(domain string) []Member {
 	return t.Select(func(m Member) bool { return m.Domain == domain })
 }
 
 // DeadMembers returns the members in state Dead: those that stopped answering
-// without announcing that they leave. They are sorted by id.
+// without announcing that they leave. They are sorted by ID.
 func (t *Table) DeadMembers() []Member {
 	return t.Select(func(m Member) bool { return m.State == Dead })
 }
 
-// Get returns the member with the given id, or false if it is not in the table.
+// Get returns the member with the given ID, or false if it is not in the table.
 func (t *Table) Get(id string) (Member, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -353,7 +353,7 @@
 	return e.Member, true
 }
 
-// Digest returns a checksum over the ids, states and incarnations of the live
+// Digest returns a checksum over the IDs, states and incarnations of the live
 // members. Tables that agree on these have equal digests.
 func (t *Table) Digest() uint64 {
 	t.mu.Lock()
@@ -369,7 +369,7 @@
 	return maps.Clone(t.domainDigests)
 }
 
-// hash returns a hash of the member's id, state and incarnation.
+// hash returns a hash of the member's ID, state and incarnation.
 func (e *entry) hash() uint64 {
 	var d xxhash.Digest
 	_, _ = d.WriteString(e.ID)
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -26,7 +26,7 @@
 	// that the upstream is shutting down.
 	Leaving bool `json:"leaving,omitempty"`
 	// StartedAt is the start time of the upstream in Unix milliseconds; 0 if unknown.
-	// An upstream that restarts under the same id has lost all state of its
+	// An upstream that restarts under the same ID has lost all state of its
 	// previous run.
 	StartedAt int64 `json:"born,omitempty"`
 	// ColdUntil is the end of the upstream's warm-up; zero if no warm-up is known.
@@ -146,7 +146,7 @@
 	Revision  uint64
 	Tree      *tree.Tree
 	Directory Directory
-	// Draining are the ids of upstreams that announced themselves that they are draining.
+	// Draining are the IDs of upstreams that announced themselves that they are draining.
 	Draining []string
 	Members  []membership.Member
 }
--- a/internal/model/route.go
+++ b/internal/model/route.go
@@ -142,7 +142,7 @@
 
 // RoutedInput holds the state from which CompileRouted makes a Snapshot.
 type RoutedInput struct {
-	// Self is the id of the own instance, Region the region of the instance.
+	// Self is the ID of the own instance, Region the region of the instance.
 	Self   string
 	Region string
 	Config *Config
--- a/internal/poison/key.go
+++ b/internal/poison/key.go
@@ -1,7 +1,7 @@
 // Package poison detects requests that crash upstreams ("queries of death") and holds them:
 // a held request is refused instead of being sent to further upstreams.
 //
-// A caller that receives no response sends its request again, with another id and mostly to
+// A caller that receives no response sends its request again, with another ID and mostly to
 // another entry, so that a limit on the attempts of one request does not stop it. A Tracker
 // records which requests were in flight when an upstream crashed, and entries exchange these
 // records (package inflight). The package does no I/O and reads no clock.
@@ -13,7 +13,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key identifies equal requests, whatever their ids: it is a hash of the parts of a request.
+// Key identifies equal requests, whatever their IDs: it is a hash of the parts of a request.
 type Key uint64
 
 // Request holds the parts of a request that its keys are computed from.
--- a/internal/poison/tracker.go
+++ b/internal/poison/tracker.go
@@ -71,7 +71,7 @@
 type Claim struct {
 	// Key is the key of the request, Head the key without the body.
 	Key, Head Key
-	// Source is the hash of the id of the entry that makes the claim; see HashEntry.
+	// Source is the hash of the ID of the entry that makes the claim; see HashEntry.
 	Source uint32
 	// Crashes are the last crashes under the request that this entry observed.
 	Crashes []Crash
@@ -84,7 +84,7 @@
 	ResponseAge time.Duration
 }
 
-// HashEntry returns the hash of an entry's id, which identifies the entry in claims and reports.
+// HashEntry returns the hash of an entry's ID, which identifies the entry in claims and reports.
 func HashEntry(entry string) uint32 { return uint32(xxhash.Sum64String(entry)) }
 
 // Decision is the decision on a request.
@@ -140,7 +140,7 @@
 	sequence uint64
 }
 
-// NewTracker returns the Tracker of the entry with the id self.
+// NewTracker returns the Tracker of the entry with the ID self.
 func NewTracker(self string) *Tracker {
 	return &Tracker{
 		self: HashEntry(self), records: make(map[Key]*record), heads: make(map[Key]int),
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -72,7 +72,7 @@
 	b.level = math.Min(b.level, b.capacity())
 }
 
-// SetSenders sets the ids of the entries that may send; self is the id of this entry. An entry
+// SetSenders sets the IDs of the entries that may send; self is the ID of this entry. An entry
 // that becomes a sender starts with an empty bucket, because it has not received the recent
 // counts of the other senders.
 func (b *Bucket) SetSenders(self string, ids []string, now time.Time) {
@@ -104,7 +104,7 @@
 // IsSender reports whether this entry may send at all.
 func (b *Bucket) IsSender() bool { return b.sender }
 
-// VisitPeers calls visit with the id of each other sender.
+// VisitPeers calls visit with the ID of each other sender.
 func (b *Bucket) VisitPeers(visit func(id string)) {
 	for i := range b.peers {
 		visit(b.peers[i].id)
--- a/internal/ratelimit/bucket_test.go
+++ b/internal/ratelimit/bucket_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// senders are the ids of the senders of an upstream; the bucket under test belongs to first.
+// senders are the IDs of the senders of an upstream; the bucket under test belongs to first.
 var senders = []string{"first", "second", "third", "fourth"}
 
 // newSharedBucket returns the bucket of the first of four senders.
--- a/internal/relay/sources.go
+++ b/internal/relay/sources.go
@@ -26,7 +26,7 @@
 
 // Source is what a node follows: a peer, or the store itself, which is the zero value.
 type Source struct {
-	// ID and Address are the peer's id and the address of its agent.
+	// ID and Address are the peer's ID and the address of its agent.
 	ID, Address string
 }
 
@@ -101,7 +101,7 @@
 }
 
 // remoteReaders returns at most limit readers of other failure domains, those of the node's
-// region first. Their order depends on the node's id, which spreads the nodes over them.
+// region first. Their order depends on the node's ID, which spreads the nodes over them.
 func remoteReaders(self model.Member, byDomain map[string][]model.Member, limit int) []Source {
 	var sameRegion, otherRegions []string
 	for domain, members := range byDomain {
--- a/internal/share/allocator.go
+++ b/internal/share/allocator.go
@@ -69,7 +69,7 @@
 }
 
 // NewAllocator returns an Allocator for an instance in ownRegion. Two machines that
-// run under the same instance name must have different ids. bootClock returns the
+// run under the same instance name must have different IDs. bootClock returns the
 // nanoseconds since the machine's boot, and now returns the wall clock time.
 func NewAllocator(store coordination.Store, id, ownRegion string, bootClock func() int64, now func() time.Time) *Allocator {
 	return &Allocator{
--- a/internal/sim/loomkeel.go
+++ b/internal/sim/loomkeel.go
@@ -19,7 +19,7 @@
 	sim *Simulation
 	// balancers are indexed by entry and service.
 	balancers [][]*balance.Balancer
-	// index maps the id of an upstream to its index in the simulation.
+	// index maps the ID of an upstream to its index in the simulation.
 	index map[string]int
 	// ticks is the number of calls of Tick so far.
 	ticks int
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -55,10 +55,10 @@
 	// reached again.
 	unreachable bool
 	recoveredAt time.Time
-	// lapsed holds when each retained record disappeared, by upstream id or node key: the
+	// lapsed holds when each retained record disappeared, by upstream ID or node key: the
 	// records that disappeared during an outage of the store or soon after it.
 	lapsed map[string]time.Time
-	// removed holds the newest incarnation of each removed upstream, by upstream id.
+	// removed holds the newest incarnation of each removed upstream, by upstream ID.
 	removed map[string]removedIncarnation
 	// lists caches the lists that snapshots are compiled from.
 	lists listCache
@@ -68,8 +68,8 @@
 // changed since. Most changes concern one part, and in a large fleet sorting the others
 // again takes most of the time of a snapshot.
 type listCache struct {
-	// ids holds the ids of the upstreams. It has a cache of its own because most changes
-	// concern an upstream that already exists and leave the ids as they are.
+	// ids holds the IDs of the upstreams. It has a cache of its own because most changes
+	// concern an upstream that already exists and leave the IDs as they are.
 	ids       []string
 	upstreams []model.Upstream
 	members   []model.Member
@@ -189,7 +189,7 @@
 	return true
 }
 
-// Removals lists the upstreams whose records are gone, each list ordered by id.
+// Removals lists the upstreams whose records are gone, each list ordered by ID.
 type Removals struct {
 	// Removed upstreams are deleted, Retained ones stay until their owners have had time to
 	// write their records again.
@@ -349,7 +349,7 @@
 	return true
 }
 
-// Retained returns the ids of the upstreams and the keys of the registrations that are
+// Retained returns the IDs of the upstreams and the keys of the registrations that are
 // retained though their records are gone from the store, sorted.
 func (v *View) Retained() []string { return slices.Sorted(maps.Keys(v.lapsed)) }
 
@@ -369,7 +369,7 @@
 	return StoreStatus{v.unreachable, v.recoveredAt, len(v.lapsed)}
 }
 
-// Members returns the registered nodes and the local node, ordered by id. Of several
+// Members returns the registered nodes and the local node, ordered by ID. Of several
 // registrations of one node the one with the highest incarnation is used. The list is
 // shared and must not be modified.
 func (v *View) Members() []model.Member {
@@ -379,7 +379,7 @@
 	return v.lists.members
 }
 
-// sortMembers returns the members ordered by id.
+// sortMembers returns the members ordered by ID.
 func (v *View) sortMembers() []model.Member {
 	byID := map[string]model.Member{v.opt.Self.ID: v.opt.Self}
 	for _, n := range v.nodes {
@@ -395,7 +395,7 @@
 	return slices.DeleteFunc(slices.Clone(members), func(m model.Member) bool { return m.ID == v.opt.Self.ID })
 }
 
-// sortUpstreams returns the upstreams ordered by id.
+// sortUpstreams returns the upstreams ordered by ID.
 func (v *View) sortUpstreams() []model.Upstream {
 	if v.lists.ids == nil {
 		v.lists.ids = slices.Sorted(maps.Keys(v.upstreams))
--- a/test/fleet/client.go
+++ b/test/fleet/client.go
@@ -158,7 +158,7 @@
 	}
 }
 
-// CountRuns returns the number of runs by request id.
+// CountRuns returns the number of runs by request ID.
 func CountRuns(runs []standin.Run) map[string]int {
 	out := make(map[string]int)
 	for _, r := range runs {
--- a/test/fleet/fleet.go
+++ b/test/fleet/fleet.go
@@ -54,13 +54,13 @@
 	Spec Spec
 	// Platform is the address of the platform's stand-in.
 	Platform string
-	// Nodes holds the addresses of the instances by id.
+	// Nodes holds the addresses of the instances by ID.
 	Nodes map[string]Addresses
 	// Upstreams are the upstreams that run as stand-ins. They have their own addresses
 	// here, not those of their proxies.
 	Upstreams []coordination.Instance
-	// PlatformProxies has the proxies between nodes and platform by node id,
-	// UpstreamProxies those in front of upstreams by upstream id. Both are empty
+	// PlatformProxies has the proxies between nodes and platform by node ID,
+	// UpstreamProxies those in front of upstreams by upstream ID. Both are empty
 	// without Spec.UseProxies.
 	PlatformProxies, UpstreamProxies map[string]*TCPProxy
 
@@ -211,7 +211,7 @@
 )
 
 // nextPort is where the search for the next free port continues. Its start depends on
-// the process id, so that test processes that run at the same time seldom try the same
+// the process ID, so that test processes that run at the same time seldom try the same
 // ports.
 var nextPort atomic.Int64
 
--- a/test/fleet/load.go
+++ b/test/fleet/load.go
@@ -25,7 +25,7 @@
 // LoadGenerator runs callers, each of which sends its requests one after the other. Set
 // the exported fields before Start.
 type LoadGenerator struct {
-	// Name is the prefix of the request ids.
+	// Name is the prefix of the request IDs.
 	Name    string
 	Service string
 	Method  string
@@ -103,7 +103,7 @@
 	return n
 }
 
-// CheckOutcomes compares the callers' verdicts with runs, which holds by request id how
+// CheckOutcomes compares the callers' verdicts with runs, which holds by request ID how
 // often the upstreams ran a request. It returns a description of every contradiction:
 // a request "not run" that ran, one "ran" that did not, an answer to another request,
 // and, with unsafe, a request that ran more than once.
--- a/test/fleet/proc.go
+++ b/test/fleet/proc.go
@@ -24,7 +24,7 @@
 // Signal sends a signal to the process.
 func (p *Proc) Signal(s syscall.Signal) error { return p.cmd.Process.Signal(s) }
 
-// PID returns the process's id.
+// PID returns the process's ID.
 func (p *Proc) PID() int { return p.cmd.Process.Pid }
 
 // Done returns a channel that is closed when the process has ended.
--- a/test/proofs/proofs_test.go
+++ b/test/proofs/proofs_test.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// nodeIDs returns the ids of all instances.
+// nodeIDs returns the IDs of all instances.
 func nodeIDs(f *fleet.Fleet) []string {
 	var ids []string
 	for _, n := range f.Spec.Nodes {
--- a/test/sessions/simulation_test.go
+++ b/test/sessions/simulation_test.go
@@ -59,7 +59,7 @@
 	mu sync.Mutex
 	// text is the transcript.
 	text strings.Builder
-	// upstreams holds the upstreams by id, runs the number of runs by request id.
+	// upstreams holds the upstreams by ID, runs the number of runs by request ID.
 	upstreams map[string]*upstream
 	runs      map[string]int
 	// latency is the one-way latency between two regions. A region in partitioned
@@ -198,7 +198,7 @@
 	w.logf("caller %s: %s %s %s at entry-%s: %s after %v", r.caller, r.method, r.service, r.path, r.region, a.describe(), time.Since(start).Round(time.Millisecond))
 }
 
-// result is the answer to a request. from is the id of the upstream that answered; if it is
+// result is the answer to a request. from is the ID of the upstream that answered; if it is
 // empty, reason is the entry's reason for refusing the request and retry the value of
 // Retry-After. aborted is set if the connection ended in the middle of the answer.
 type result struct {
