--- a/internal/balance/ratelimit.go
+++ b/internal/balance/ratelimit.go
@@ -9,9 +9,12 @@
 )
 
 const (
-	// maxLimitSenders is the largest number of entries that share the limit of an upstream. Each of
-	// these sends an update to every other one for each of its requests.
-	maxLimitSenders = 16
+	// minLimitSenders and maxLimitSenders bound the number of entries that share the limit of an
+	// upstream; between them, these are the entries of its region. Each sends an update to every
+	// other one for each of its requests. Entries in other regions, which receive updates later,
+	// only make up the smallest number.
+	minLimitSenders = 16
+	maxLimitSenders = 32
 	// announcePeriod is how long a changed limit, or a request counted against a limit, is sent
 	// repeatedly.
 	announcePeriod = time.Second
@@ -145,15 +148,22 @@
 }
 
 // limitSenders returns the IDs of the entries that share the limit of an upstream: the nearest
-// ones, at most maxLimitSenders. All entries compute the same result. An entry that has retired
-// gets no senders.
+// ones, which are those of its region within minLimitSenders and maxLimitSenders. All entries
+// compute the same result. An entry that has retired gets no senders.
 func (b *Balancer) limitSenders(u *upstreamState) []string {
 	if b.retired {
 		return nil
 	}
 	order := b.nearestEntries(u)
-	var ids []string
-	for _, e := range order[:min(len(order), maxLimitSenders)] {
+	local := 0
+	for _, e := range order {
+		if e.Region == u.Region {
+			local++
+		}
+	}
+	senders := min(max(local, minLimitSenders), maxLimitSenders, len(order))
+	ids := make([]string, 0, senders)
+	for _, e := range order[:senders] {
 		ids = append(ids, e.ID)
 	}
 	return ids
--- a/internal/balance/ratelimit_test.go
+++ b/internal/balance/ratelimit_test.go
@@ -18,6 +18,20 @@
 // simulated.
 var limitSeeds = flag.Uint64("limit-seeds", 1, "number of seeds for each simulation of upstream limits")
 
+// limitEntries replaces the fleet sizes of the simulations by one with this number of entries.
+var limitEntries = flag.Int("limit-entries", 0, "number of entries in simulations of upstream limits; 0 simulates fleets of several sizes")
+
+// fleetSize is the size of a simulated fleet.
+type fleetSize struct{ entries, upstreams int }
+
+// fleetSizes returns the sizes of the fleets to simulate.
+func fleetSizes() []fleetSize {
+	if *limitEntries > 0 {
+		return []fleetSize{{*limitEntries, max(6, *limitEntries/3)}}
+	}
+	return []fleetSize{{11, 12}, {18, 18}, {48, 24}}
+}
+
 const (
 	// limitWindow is the length of the windows in which a limit must hold, settleTime the time
 	// after its first announcement from which it must hold.
@@ -57,9 +71,22 @@
 // limit allows, within overshoot and slackRequests.
 func checkWithinLimit(t *testing.T, f *simFleet, seed uint64, perSecond float64) {
 	t.Helper()
-	got, at := f.maxInWindow("u0", limitWindow, limitStart+settleTime, limitStop)
+	checkUpstreamWithinLimit(t, f, "u0", seed, perSecond)
+}
+
+// checkAllWithinLimit checks the same for all upstreams, which have the same limit.
+func checkAllWithinLimit(t *testing.T, f *simFleet, seed uint64, perSecond float64) {
+	t.Helper()
+	for _, u := range f.service.Upstreams {
+		checkUpstreamWithinLimit(t, f, u.ID, seed, perSecond)
+	}
+}
+
+func checkUpstreamWithinLimit(t *testing.T, f *simFleet, upstream string, seed uint64, perSecond float64) {
+	t.Helper()
+	got, at := f.maxInWindow(upstream, limitWindow, limitStart+settleTime, limitStop)
 	if most := overshoot*perSecond*limitWindow.Seconds() + slackRequests; float64(got) > most {
-		t.Errorf("seed %d: %d requests in %v before %v at a limit of %v per second; allowed: %.1f", seed, got, limitWindow, at, perSecond, most)
+		t.Errorf("seed %d: %s got %d requests in %v before %v at a limit of %v per second; allowed: %.1f", seed, upstream, got, limitWindow, at, perSecond, most)
 	}
 }
 
@@ -71,7 +98,7 @@
 	if *limitSeeds > 1 {
 		rates = []float64{4, 12, 60}
 	}
-	for _, size := range []struct{ entries, upstreams int }{{11, 12}, {18, 18}, {48, 24}} {
+	for _, size := range fleetSizes() {
 		for _, perUpstream := range rates {
 			for _, part := range []float64{0.2, 0.5} {
 				perSecond := part * perUpstream
@@ -113,6 +140,25 @@
 	})
 }
 
+// TestLimitIsUsedByEntriesOfRegion simulates a fleet with 24 or 25 entries in each region and a low
+// limit. With only minLimitSenders senders, the other entries' requests would go elsewhere, and the
+// limit would not be used.
+func TestLimitIsUsedByEntriesOfRegion(t *testing.T) {
+	const perSecond, demandPerUpstream = 2.0, 4.0
+	u := &utilisation{}
+	for seed := range uint64(2) {
+		f := newSimFleet(seed, 74, 24)
+		f.demand = constantDemand(demandPerUpstream * float64(len(f.service.Upstreams)))
+		f.limitOf = limitOnFirst(perSecond)
+		f.run(runEnd)
+		checkWithinLimit(t, f, seed, perSecond)
+		u.add(f, perSecond)
+	}
+	if u.sent < minUtilisation*u.allowed {
+		t.Errorf("a share of %.3f of the limit was used; allowed: at least %v", u.sent/u.allowed, minUtilisation)
+	}
+}
+
 // TestEndOfLimitReachesAllEntries checks that no entry keeps to a limit later than a second after
 // the first request that reaches the upstream since the limit has ended.
 func TestEndOfLimitReachesAllEntries(t *testing.T) {
@@ -204,12 +250,9 @@
 		f.demand = constantDemand(perUpstream * float64(len(f.service.Upstreams)))
 		f.limitOf = func(_ string, at time.Duration) float64 { return limitOnFirst(perSecond)("u0", at) }
 		f.run(runEnd)
+		checkAllWithinLimit(t, f, seed, perSecond)
 		span := (limitStop - limitStart - settleTime).Seconds()
 		for _, u := range f.service.Upstreams {
-			got, at := f.maxInWindow(u.ID, limitWindow, limitStart+settleTime, limitStop)
-			if most := overshoot*perSecond*limitWindow.Seconds() + slackRequests; float64(got) > most {
-				t.Errorf("seed %d: %s got %d requests in %v before %v; allowed: %.1f", seed, u.ID, got, limitWindow, at, most)
-			}
 			if used := float64(f.countBetween(u.ID, limitStart+settleTime, limitStop)) / span / perSecond; used < minUtilisation {
 				t.Errorf("seed %d: a share of %.3f of the limit of %s was used; allowed: at least %v", seed, used, u.ID, minUtilisation)
 			}
@@ -266,6 +309,25 @@
 	}
 }
 
+// TestLimitsOfAllUpstreamsAreKeptUnderFaults has all upstreams accept half of the demand, so that
+// entries hold requests that wait when they crash, freeze or are partitioned.
+func TestLimitsOfAllUpstreamsAreKeptUnderFaults(t *testing.T) {
+	const perUpstream, perSecond = 12.0, 6.0
+	for _, name := range slices.Sorted(maps.Keys(faults)) {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			for seed := range *limitSeeds {
+				f := newSimFleet(seed, 11, 12)
+				f.demand = constantDemand(perUpstream * float64(len(f.service.Upstreams)))
+				f.limitOf = func(_ string, at time.Duration) float64 { return limitOnFirst(perSecond)("u0", at) }
+				faults[name](f)
+				f.run(runEnd)
+				checkAllWithinLimit(t, f, seed, perSecond)
+			}
+		})
+	}
+}
+
 // TestLimitsThatChangeEachSecond has a third of the upstreams announce a different limit each
 // second, with demand that doubles for a while. A lowered limit must hold one second later.
 func TestLimitsThatChangeEachSecond(t *testing.T) {
--- a/test/ablate/table.go
+++ b/test/ablate/table.go
@@ -228,6 +228,8 @@
 		"return b.limitError(now, ranked)", "return ErrNoSlot", pkgBalance, "RefusedAtOnce", nil},
 	{"requests wait briefly for the limit of an upstream", "internal/balance/affinity.go",
 		"return b.firstWithinLimit(now, req, ranked)", "return nil, 0, 0", pkgBalance, "ShortWaits", nil},
+	{"all entries of a region share the limit of an upstream", "internal/balance/ratelimit.go",
+		"min(max(local, minLimitSenders), maxLimitSenders, len(order))", "min(minLimitSenders, len(order))", pkgBalance, "LimitIsUsedByEntries", nil},
 	{"limited upstreams serve their own objects first", "internal/balance/ratelimit.go",
 		"case c.spills:", "case false:", "./internal/sim", "LimitedUpstreams", nil},
 	{"leaving entries send nothing to limited upstreams", "internal/balance/ratelimit.go",
