--- a/internal/configlog/committer_test.go
+++ b/internal/configlog/committer_test.go
@@ -368,3 +368,25 @@
 		t.Errorf("revision %d, deadline %s", revision, got)
 	}
 }
+
+// TestUnsetOfMalformedBlock checks that a change that unsets a malformed block is refused
+// and leaves the revision as it was.
+func TestUnsetOfMalformedBlock(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		w := newWriter(standin.NewStore())
+		edit := tree.Edit{Path: "/blocks/b", Key: "10.0.0.1/8", Unset: true}
+		res := w.commit(t, Change{ID: "unset", Author: "op", Edits: []tree.Edit{edit}})
+		if res.Outcome != Refused || res.Refusal == nil || res.Refusal.Kind != RefusedInvalid {
+			t.Fatalf("%+v, want %s as %s", res, Refused, RefusedInvalid)
+		}
+		faults := strings.Join(res.Refusal.Faults, "; ")
+		for _, want := range []string{edit.Path, edit.Key, "allowed: prefixes"} {
+			if !strings.Contains(faults, want) {
+				t.Errorf("faults %q do not name %q", faults, want)
+			}
+		}
+		if r := w.log.Revision(); r != 0 {
+			t.Errorf("revision %d, want 0", r)
+		}
+	})
+}
--- a/internal/tree/blocks.go
+++ b/internal/tree/blocks.go
@@ -76,8 +76,8 @@
 }
 
 // put returns the list with a block added or replaced; the list itself is
-// modified. A key that is not a prefix is ignored; CheckEdits accepts such a key
-// only in an edit that unsets it.
+// modified. A key that is not a prefix is ignored: CheckEdits rejects such a key,
+// but records that are read from the log are not checked.
 func (l blockList) put(key string, s Setting) blockList {
 	p, err := netip.ParsePrefix(key)
 	if err != nil {
--- a/internal/tree/check.go
+++ b/internal/tree/check.go
@@ -29,15 +29,18 @@
 }
 
 // checkEdit checks the path and key of an edit and, unless it unsets the key, the
-// value. The key of an edit that unsets a block is not checked.
+// value.
 func checkEdit(e Edit) error {
 	if !e.Unset {
 		return CheckValue(e.Path, e.Key, e.Value)
 	}
 	kind, _, err := ParsePath(e.Path)
-	if err != nil || kind == KindBlocks {
+	if err != nil {
 		return err
 	}
+	if kind == KindBlocks {
+		return checkPrefix(e.Path, e.Key, e.Value)
+	}
 	_, err = checkKey(kind, e.Path, e.Key)
 	return err
 }
--- a/internal/tree/key.go
+++ b/internal/tree/key.go
@@ -209,9 +209,8 @@
 // checkBlock checks a key and value at a path under /blocks/: the key is a masked
 // IP prefix, the value a list of regions.
 func checkBlock(path, key, value string) error {
-	p, err := netip.ParsePrefix(key)
-	if err != nil || p.Masked().String() != key {
-		return &ValueError{path, key, value, "not a masked prefix in its usual form", "prefixes such as 10.1.0.0/16"}
+	if err := checkPrefix(path, key, value); err != nil {
+		return err
 	}
 	if value == "" {
 		return &ValueError{path, key, value, "no region", "regions in order, separated by commas"}
@@ -219,6 +218,16 @@
 	return checkEach(value, checkName)
 }
 
+// checkPrefix checks that a key at a path under /blocks/ is a masked IP prefix. The
+// error includes the value.
+func checkPrefix(path, key, value string) error {
+	p, err := netip.ParsePrefix(key)
+	if err != nil || p.Masked().String() != key {
+		return &ValueError{path, key, value, "not a masked prefix in its usual form", "prefixes such as 10.1.0.0/16"}
+	}
+	return nil
+}
+
 // durationKey returns a key whose values are durations from lo to hi.
 func durationKey(name, def string, lo, hi time.Duration, kinds []Kind, doc string) Key {
 	allowed := fmt.Sprintf("a duration from %v to %v", lo, hi)
--- a/internal/tree/tree_test.go
+++ b/internal/tree/tree_test.go
@@ -66,6 +66,8 @@
 		{Edit{Path: "/blocks/b", Key: "2001:db8:0:0::/64", Value: "muscat"}, "usual form"},
 		{Edit{Path: "/blocks/b", Key: "10.0.0.0/8", Value: ""}, "no region"},
 		{Edit{Path: "/drains/d", Key: KeyStart, Value: "tonight"}, "not a time"},
+		{Edit{Path: "/blocks/b", Key: "nonsense", Unset: true}, `/blocks/b: nonsense = "": not a masked prefix in its usual form; allowed: prefixes such as 10.1.0.0/16`},
+		{Edit{Path: "/blocks/b", Key: "10.0.0.1/8", Unset: true}, `/blocks/b: 10.0.0.1/8 = "": not a masked prefix in its usual form; allowed: prefixes such as 10.1.0.0/16`},
 	}
 	for _, tt := range tests {
 		errs := CheckEdits([]Edit{tt.edit})
@@ -75,6 +77,18 @@
 	}
 }
 
+func TestUnsetBlock(t *testing.T) {
+	const path, key = "/blocks/b", "10.0.0.0/8"
+	tr := apply(t, Edit{Path: path, Key: key, Value: "muscat"})
+	unset := []Edit{{Path: path, Key: key, Unset: true}}
+	if errs := CheckEdits(unset); len(errs) > 0 {
+		t.Fatal(errs)
+	}
+	if s, ok := tr.Apply(unset, 2).SettingAt(path, key); !ok || !s.Unset {
+		t.Errorf("after unset: %+v, written %v", s, ok)
+	}
+}
+
 // drain returns the edits of a drain of a failure domain in region sohar.
 func drain(name, domain, start, end string) []Edit {
 	path := "/drains/" + name
