--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -32,6 +32,8 @@
 	capShares *share.Limiter
 	// leaving is set when Stop begins.
 	leaving atomic.Bool
+	// reporting holds an element while a report to the agent is under way.
+	reporting chan struct{}
 	// mu guards outcomes and latency, which is keyed by service.
 	mu       sync.Mutex
 	outcomes map[outcomeKey]int64
@@ -51,7 +53,7 @@
 // New returns an Entry whose Proxy has the options opt. The fields Observe, NewID,
 // CapShares and BootClock of opt are replaced.
 func New(opt forward.Options) *Entry {
-	e := &Entry{capShares: share.NewLimiter(), outcomes: make(map[outcomeKey]int64), latency: make(map[string]*metrics.LatencyHistogram),
+	e := &Entry{capShares: share.NewLimiter(), reporting: make(chan struct{}, 1), outcomes: make(map[outcomeKey]int64), latency: make(map[string]*metrics.LatencyHistogram),
 		logLimiter: logs.NewLimiter(linesPerSecond, lineBurst), routineLimiter: logs.NewLimiter(routinePerSecond, routineBurst)}
 	opt.Observe, opt.NewID = e.observe, newID
 	opt.CapShares, opt.BootClock = e.capShares, bootclock.Now
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -33,8 +33,16 @@
 	}
 }
 
-// report sends one report to the agent and applies the limits in its reply.
+// report sends one report to the agent and applies the limits in its reply. Reports are
+// sent one at a time, each after the reply to the one before, so that limits are applied
+// in the order of the agent's replies. The error is that of ctx if it ends first.
 func (e *Entry) report(ctx context.Context, r Reporter, leaving bool) error {
+	select {
+	case e.reporting <- struct{}{}:
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+	defer func() { <-e.reporting }()
 	req := &pb.ReportRequest{Leaving: leaving, Draining: e.Proxy.DrainingUpstreams()}
 	for _, u := range e.Proxy.CapUsage() {
 		req.Usage = append(req.Usage, &pb.CapUsage{
