--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -174,14 +174,19 @@
 	return time.Duration(s) * time.Second
 }
 
-// writeTo sends the response to the caller and returns the number of body bytes sent.
-func (res *upstreamResponse) writeTo(w http.ResponseWriter, protocol Protocol, info *RequestInfo) (int64, error) {
+// writeTo sends the response to the caller and returns the number of body bytes sent. If the
+// upstream responded before the request body was read to its end, the caller's connection is closed
+// after the response; otherwise net/http would read the rest of the body first.
+func (res *upstreamResponse) writeTo(w http.ResponseWriter, protocol Protocol, cl *call) (int64, error) {
 	h := w.Header()
 	for name, values := range res.resp.Header {
 		h[name] = values
 	}
 	removeHopHeaders(h)
-	protocol.SetResponseHeaders(h, info)
+	protocol.SetResponseHeaders(h, &cl.RequestInfo)
+	if !cl.body.ended() {
+		h.Set("Connection", "close")
+	}
 	if res.resp.ContentLength >= 0 {
 		h.Set("Content-Length", strconv.FormatInt(res.resp.ContentLength, 10))
 	}
--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -22,6 +22,9 @@
 	// caller's body has returned. The lock is tried every handOverPollInterval.
 	handOverTimeout      = 250 * time.Millisecond
 	handOverPollInterval = 2 * time.Millisecond
+	// unreadBodyTimeout is how long a response that the Proxy generates waits for the rest of the
+	// request body. If the rest arrives in time, the caller's connection stays open.
+	unreadBodyTimeout = 50 * time.Millisecond
 )
 
 // errDetached is returned by reads through the body of an attempt that has been replaced.
@@ -173,9 +176,11 @@
 	}
 }
 
-// ended reports whether no further read of the caller's body can block, because a read has
-// returned an error or the end of the body.
+// ended reports whether the body has no further bytes, or reading it has failed.
 func (b *replayBody) ended() bool {
+	if b.length == 0 {
+		return true
+	}
 	if !b.mu.TryLock() {
 		return false
 	}
@@ -183,15 +188,20 @@
 	return b.err != nil
 }
 
-// allowEarlyResponse lets the response to r be written before its body has been read to the
-// end. By default net/http reads the rest of the body first, so a caller that has stopped
-// sending would get no response.
-func allowEarlyResponse(w http.ResponseWriter, r *http.Request) {
+// limitBodyWait bounds how long the response to r waits for the request body: not at all once
+// ctx has ended. net/http reads the rest of a body before it writes the response and reuses the
+// connection, so without the limit a caller that has stopped sending would get no response. If the
+// read fails, net/http closes the connection.
+func limitBodyWait(ctx context.Context, w http.ResponseWriter, r *http.Request) {
 	if r.ContentLength == 0 {
 		return
 	}
-	if err := http.NewResponseController(w).EnableFullDuplex(); err != nil {
-		klog.V(1).InfoS("early responses to uploads are not supported", "err", err)
+	deadline := time.Now().Add(unreadBodyTimeout)
+	if ctx.Err() != nil {
+		deadline = pastTime
+	}
+	if err := http.NewResponseController(w).SetReadDeadline(deadline); err != nil {
+		klog.V(1).InfoS("limiting the wait for an unread request body failed", "err", err)
 	}
 }
 
--- a/internal/forward/proxy.go
+++ b/internal/forward/proxy.go
@@ -243,7 +243,6 @@
 	p.inFlight.Add(1)
 	defer p.inFlight.Add(-1)
 	start := p.opt.SyncNow()
-	allowEarlyResponse(w, r)
 	out := Outcome{}
 	defer func() {
 		out.Duration = p.now().Sub(start)
@@ -251,7 +250,7 @@
 	}()
 	snap := p.snap.Load()
 	if snap == nil {
-		p.reply(w, &out, p.unavailable(snap))
+		p.reply(r.Context(), w, r, &out, p.unavailable(snap))
 		return
 	}
 	info, reqErr := p.opt.Protocol.ParseRequest(r, snap)
@@ -261,9 +260,9 @@
 	out.ID = info.ID
 	switch {
 	case p.stopping.Load():
-		p.reply(w, &out, p.unavailable(snap))
+		p.reply(r.Context(), w, r, &out, p.unavailable(snap))
 	case reqErr != nil:
-		p.reply(w, &out, reqErr.localReply())
+		p.reply(r.Context(), w, r, &out, reqErr.localReply())
 	default:
 		p.handle(w, r, snap, info, &out)
 	}
@@ -281,20 +280,20 @@
 	}
 	if svc == nil {
 		// A route may name a service that has no settings and no upstreams yet.
-		p.reply(w, out, replyFor(verdict.New(verdict.NotRun, reasonNoUpstream, nil).WithRetryAfter(unavailableRetryAfter), verdict.NotRun))
+		p.reply(r.Context(), w, r, out, replyFor(verdict.New(verdict.NotRun, reasonNoUpstream, nil).WithRetryAfter(unavailableRetryAfter), verdict.NotRun))
 		return
 	}
 	cl := newCall(r, info, svc, p.now())
 	cl.configVersion = snap.Revision
 	if limit := p.maxBody(snap); limit > 0 {
 		if r.ContentLength > limit {
-			p.reply(w, out, &localReply{status: http.StatusRequestEntityTooLarge, reason: reasonTooLarge, verdict: verdict.NotRun})
+			p.reply(r.Context(), w, r, out, &localReply{status: http.StatusRequestEntityTooLarge, reason: reasonTooLarge, verdict: verdict.NotRun})
 			return
 		}
 		cl.body.src = http.MaxBytesReader(w, r.Body, limit)
 	}
 	if reply := p.takeLimit(cl); reply != nil {
-		p.reply(w, out, reply)
+		p.reply(r.Context(), w, r, out, reply)
 		return
 	}
 	defer p.refundLimit(cl)
@@ -308,7 +307,7 @@
 	defer release()
 	defer cl.body.interruptRead(ctx, w)()
 	if verr := p.beginPoisonCheck(ctx, cl); verr != nil {
-		p.reply(w, out, replyFor(verr, verdict.NotRun))
+		p.reply(ctx, w, r, out, replyFor(verr, verdict.NotRun))
 		return
 	}
 	defer p.endPoisonCheck(cl)
@@ -331,7 +330,8 @@
 	return p.opt.MaxBody
 }
 
-func (p *Proxy) reply(w http.ResponseWriter, out *Outcome, reply *localReply) {
+func (p *Proxy) reply(ctx context.Context, w http.ResponseWriter, r *http.Request, out *Outcome, reply *localReply) {
+	limitBodyWait(ctx, w, r)
 	out.Status, out.Verdict, out.Reason, out.Detail = reply.status, reply.verdict, reply.reason, reply.detail
 	reply.write(w, p.opt.Protocol, out.ID)
 }
--- a/internal/forward/stalled_test.go
+++ b/internal/forward/stalled_test.go
@@ -17,9 +17,15 @@
 // the rest of a body before it writes the response, so a caller that has stopped sending would
 // get no response at all.
 
+// stalledConn is a caller's connection on which an upload has stalled.
+type stalledConn struct {
+	net.Conn
+	r *bufio.Reader
+}
+
 // stalledUpload sends the head of an upload without its body and returns the response, or nil
 // if none arrives.
-func stalledUpload(t *testing.T, e *entry, framing string, fields ...string) *http.Response {
+func stalledUpload(t *testing.T, e *entry, framing string, fields ...string) (*http.Response, *stalledConn) {
 	t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(e.url, "http://"))
 	if err != nil {
@@ -34,13 +40,29 @@
 		t.Fatal(err)
 	}
 	_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
-	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	c := &stalledConn{conn, bufio.NewReader(conn)}
+	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil {
 		t.Errorf("%s: no response: %v", framing, err)
-		return nil
+		return nil, c
+	}
+	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
+		t.Errorf("%s: reading the response: %v", framing, err)
+	}
+	return resp, c
+}
+
+// checkRestIsNoRequest sends a part of the body that looks like requests, and checks that none of
+// them is served: the connection must be closed.
+func (c *stalledConn) checkRestIsNoRequest(t *testing.T, framing string) {
+	t.Helper()
+	request := "GET /smuggled HTTP/1.1\r\nHost: x\r\n" + header.Service + ": orders\r\n\r\n"
+	_, _ = fmt.Fprint(c, strings.Repeat(request, 15))
+	resp, err := http.ReadResponse(c.r, nil)
+	if err == nil {
+		resp.Body.Close()
+		t.Errorf("%s: a part of the body was served as a request: status %d", framing, resp.StatusCode)
 	}
-	resp.Body.Close()
-	return resp
 }
 
 var uploadFramings = []string{"Content-Length: 1000", "Content-Length: 1000000", "Transfer-Encoding: chunked"}
@@ -49,10 +71,11 @@
 func TestRejectedStalledUpload(t *testing.T) {
 	e := newEntry(t, []*fakeUpstream{newFakeUpstream(t)})
 	for _, framing := range uploadFramings {
-		resp := stalledUpload(t, e, framing, header.Service, "nosuch")
+		resp, c := stalledUpload(t, e, framing, header.Service, "nosuch")
 		if resp != nil && resp.StatusCode != http.StatusNotFound {
 			t.Errorf("%s: status %d", framing, resp.StatusCode)
 		}
+		c.checkRestIsNoRequest(t, framing)
 	}
 }
 
@@ -63,10 +86,11 @@
 	e := newEntry(t, []*fakeUpstream{f})
 	for _, framing := range uploadFramings {
 		for _, millis := range []string{"1", "2", "3", "5", "20"} {
-			resp := stalledUpload(t, e, framing, header.Service, "orders", header.Deadline, millis)
+			resp, c := stalledUpload(t, e, framing, header.Service, "orders", header.Deadline, millis)
 			if resp != nil && resp.StatusCode != http.StatusServiceUnavailable && resp.StatusCode != http.StatusGatewayTimeout {
 				t.Errorf("%s, deadline %s ms: status %d", framing, millis, resp.StatusCode)
 			}
+			c.checkRestIsNoRequest(t, framing)
 		}
 	}
 	if n := len(f.received()); n != 0 {
@@ -87,6 +111,31 @@
 	})
 	e := newEntry(t, []*fakeUpstream{{lis: s.lis}})
 	for _, framing := range uploadFramings {
-		stalledUpload(t, e, framing, header.Service, "orders", header.Deadline, "100")
+		_, c := stalledUpload(t, e, framing, header.Service, "orders", header.Deadline, "100")
+		c.checkRestIsNoRequest(t, framing)
+	}
+}
+
+// TestCompleteUploadKeepsConnection checks that the caller's connection stays open after an upload
+// whose body was read to its end.
+func TestCompleteUploadKeepsConnection(t *testing.T) {
+	e := newEntry(t, []*fakeUpstream{newFakeUpstream(t)})
+	for _, size := range []int{1, 5_000, 300_000} {
+		body := strings.Repeat("x", size)
+		for _, r := range []io.Reader{strings.NewReader(body), newString(body)} {
+			req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, e.url+"/photo", r)
+			if err != nil {
+				t.Fatal(err)
+			}
+			req.Header.Set(header.Service, "orders")
+			resp, err := http.DefaultClient.Do(req)
+			if err != nil {
+				t.Fatal(err)
+			}
+			resp.Body.Close()
+			if resp.StatusCode != http.StatusOK || resp.Close {
+				t.Errorf("%d bytes, length in the head %v: status %d, closes %v", size, req.ContentLength >= 0, resp.StatusCode, resp.Close)
+			}
+		}
 	}
 }
