--- a/internal/balance/ratelimit.go
+++ b/internal/balance/ratelimit.go
@@ -24,7 +24,7 @@
 	maxLimitWait = 100 * time.Millisecond
 )
 
-// RateLimit is what an answer says about the rate limit of its upstream.
+// RateLimit is what an answer says about the limit of its upstream.
 type RateLimit struct {
 	// Known is set if the answer says whether there is a limit.
 	Known bool
@@ -32,11 +32,11 @@
 	PerSecond float64
 }
 
-// LimitError reports that only the rate limits of the upstreams prevent the request from being
+// LimitError reports that only the limits of the upstreams prevent the request from being
 // sent.
 type LimitError struct {
-	// Upstream is the ID of the upstream that may take a request first, PerSecond its limit in
-	// requests per second, RetryAfter the time until then.
+	// Upstream is the ID of the upstream whose limit has room first, PerSecond this limit in
+	// requests per second, and RetryAfter the time after which the caller may retry.
 	Upstream   string
 	PerSecond  float64
 	RetryAfter time.Duration
@@ -67,10 +67,10 @@
 	Changed bool
 }
 
-// OnLimitUpdate sets the function that is called when other entries must be sent an update at once:
-// after a request to an upstream with a limit, or a change of a limit. The function is called with
-// the Balancer locked and must return quickly. OnLimitUpdate must be called before the Balancer is
-// used.
+// OnLimitUpdate sets the function that is called when other entries must be sent a limit update at
+// once: after a request to an upstream with a limit, or a change of a limit. The function is called
+// with the Balancer locked and must return quickly. OnLimitUpdate must be called before the
+// Balancer is used.
 func (b *Balancer) OnLimitUpdate(notify func()) { b.notify = notify }
 
 // ObserveLimit applies what the answer to a Choice says about its upstream's limit. It reports
@@ -127,7 +127,7 @@
 	}
 }
 
-// dropLimit removes the bucket of an incarnation that has ended.
+// dropLimit removes the bucket of an upstream's incarnation that has ended.
 func (b *Balancer) dropLimit(u *upstreamState) {
 	if u.bucket != nil {
 		u.bucket = nil
@@ -149,7 +149,7 @@
 
 // limitSenders returns the IDs of the entries that share the limit of an upstream: the nearest
 // ones, which are those of its region within minLimitSenders and maxLimitSenders. All entries
-// compute the same result. An entry that has retired gets no senders.
+// compute the same result. Once this entry has retired as a limit sender, it gets none.
 func (b *Balancer) limitSenders(u *upstreamState) []string {
 	if b.retired {
 		return nil
@@ -161,17 +161,17 @@
 			local++
 		}
 	}
-	senders := min(max(local, minLimitSenders), maxLimitSenders, len(order))
-	ids := make([]string, 0, senders)
-	for _, e := range order[:senders] {
+	n := min(max(local, minLimitSenders), maxLimitSenders, len(order))
+	ids := make([]string, 0, n)
+	for _, e := range order[:n] {
 		ids = append(ids, e.ID)
 	}
 	return ids
 }
 
-// Retire removes this entry from the senders of all upstreams with limits. It is called when the
-// entry is about to leave, because others then no longer receive updates about its requests.
-func (b *Balancer) Retire(now time.Time) {
+// RetireAsLimitSender stops this entry from sending to upstreams with limits. It is called before
+// the entry leaves, because others then no longer receive updates about its requests.
+func (b *Balancer) RetireAsLimitSender(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.retired = true
@@ -185,8 +185,8 @@
 }
 
 // markSpillover marks the candidates for which a request is spillover: all but the first one in the
-// object's order, and all in other regions than this entry's. A request without affinity is
-// spillover only in other regions.
+// object's order, and all outside this entry's region. A request without affinity is spillover only
+// outside this entry's region.
 func (b *Balancer) markSpillover(cs []candidate, noAffinity bool) []candidate {
 	for i := range cs {
 		cs[i].spills = i > 0 && !noAffinity || cs[i].state.Region != b.region
@@ -209,7 +209,7 @@
 }
 
 // firstWithinLimit returns the candidate whose limit leaves room first, its rank and the time until
-// then; nil if that is longer than maxLimitWait. Since the request is counted against the limit at
+// then; nil if there is none within maxLimitWait. Since the request is counted against the limit at
 // once, no other request takes its place while it waits. Spillover requests do not wait.
 func (b *Balancer) firstWithinLimit(now time.Time, req ObjectRequest, ranked []candidate) (first *upstreamState, rank int, least time.Duration) {
 	for i, c := range ranked {
@@ -276,13 +276,13 @@
 		if !b.needsUpdate(u, now, scope) {
 			continue
 		}
-		n := LimitUpdate{Upstream: u.incarnationKey, PerSecond: u.limit.PerSecond(), Version: u.limit.Version(), Changed: u.limitUnsent}
+		update := LimitUpdate{Upstream: u.incarnationKey, PerSecond: u.limit.PerSecond(), Version: u.limit.Version(), Changed: u.limitUnsent}
 		u.unsent, u.limitUnsent = false, false
 		if u.bucket != nil && u.bucket.IsSender() {
-			n.Sent = u.bucket.Sent()
-			u.bucket.VisitPeers(func(id string) { n.Senders = append(n.Senders, id) })
+			update.Sent = u.bucket.Sent()
+			u.bucket.VisitPeers(func(id string) { update.Senders = append(update.Senders, id) })
 		}
-		visit(n)
+		visit(update)
 	}
 }
 
@@ -309,27 +309,27 @@
 	}
 }
 
-// ApplyPeerLimits applies the updates that a peer has sent. Limits that are missing from updates
-// are unchanged; the peer counts as reachable for them. incarnation identifies the peer's process.
-func (b *Balancer) ApplyPeerLimits(now time.Time, peer string, incarnation uint64, updates []LimitUpdate) {
+// ApplyLimitUpdates applies the updates that a peer has sent. Limits without an update are
+// unchanged, but the peer counts as reachable for them. incarnation identifies the peer's process.
+func (b *Balancer) ApplyLimitUpdates(now time.Time, peer string, incarnation uint64, updates []LimitUpdate) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	byKey := make(map[uint32]LimitUpdate, len(updates))
-	for _, n := range updates {
-		byKey[n.Upstream] = n
+	for _, update := range updates {
+		byKey[update.Upstream] = update
 	}
 	for _, u := range b.upstreams {
-		if n, ok := byKey[u.incarnationKey]; ok {
-			b.applyPeerLimit(u, now, peer, incarnation, n)
+		if update, ok := byKey[u.incarnationKey]; ok {
+			b.applyLimitUpdate(u, now, peer, incarnation, update)
 		} else if u.bucket != nil {
 			u.bucket.MarkPeerAlive(peer, now)
 		}
 	}
 }
 
-// applyPeerLimit applies a peer's update for one upstream.
-func (b *Balancer) applyPeerLimit(u *upstreamState, now time.Time, peer string, incarnation uint64, n LimitUpdate) {
-	switch u.limit.Merge(n.PerSecond, n.Version, now) {
+// applyLimitUpdate applies a peer's limit update for one upstream.
+func (b *Balancer) applyLimitUpdate(u *upstreamState, now time.Time, peer string, incarnation uint64, update LimitUpdate) {
+	switch u.limit.Merge(update.PerSecond, update.Version, now) {
 	case ratelimit.MergeAdopted:
 		b.applyLimit(u, now)
 	case ratelimit.MergeStale:
@@ -337,7 +337,7 @@
 		b.announceLimit(u, now)
 	}
 	if u.bucket != nil {
-		u.bucket.RecordPeerSent(peer, incarnation, n.Sent, now)
+		u.bucket.RecordPeerSent(peer, incarnation, update.Sent, now)
 	}
 }
 
--- a/internal/balance/ratelimit_fleet_test.go
+++ b/internal/balance/ratelimit_fleet_test.go
@@ -228,12 +228,12 @@
 	}
 	incarnation, fromIncarnation := to.incarnation, from.incarnation
 	f.after(oneWayDelay(from.Region, to.Region), func() {
-		f.whenRunning(to, incarnation, func() { to.balancer.ApplyPeerLimits(f.scheduler.Now(), from.ID, fromIncarnation, updates) })
+		f.whenRunning(to, incarnation, func() { to.balancer.ApplyLimitUpdates(f.scheduler.Now(), from.ID, fromIncarnation, updates) })
 	})
 }
 
-// sendUnsent sends an entry's unsent updates to the senders that share the limits, and changed limits
-// also to the entry's listeners.
+// sendUnsent sends an entry's unsent updates to the senders that share the limits, and changed
+// limits also to the entry's listeners.
 func (f *simFleet) sendUnsent(e *simEntry) {
 	e.updateScheduled = false
 	updates := f.updates(e, UnsentUpdates)
--- a/internal/balance/ratelimit_test.go
+++ b/internal/balance/ratelimit_test.go
@@ -14,8 +14,8 @@
 	"github.com/loomkeel/loomkeel/internal/ratelimit"
 )
 
-// limitSeeds is the number of seeds of each simulation; with more than one, more rates are
-// simulated.
+// limitSeeds is the number of seeds of each simulation; with more than one, more rates of demand
+// are simulated.
 var limitSeeds = flag.Uint64("limit-seeds", 1, "number of seeds for each simulation of upstream limits")
 
 // limitEntries replaces the fleet sizes of the simulations by one with this number of entries.
@@ -33,8 +33,8 @@
 }
 
 const (
-	// limitWindow is the length of the windows in which a limit must hold, settleTime the time
-	// after its first announcement from which it must hold.
+	// limitWindow is the length of the windows in which a limit must hold. It must hold from
+	// settleTime after its first announcement.
 	limitWindow = 4 * time.Second
 	settleTime  = time.Second
 	// overshoot is the allowed factor over the limit, and slackRequests the number of requests
@@ -94,12 +94,12 @@
 // of the demand at the upstream. prepare schedules events of a simulation before its start, check
 // runs after its end.
 func forEachLimit(t *testing.T, prepare func(f *simFleet), check func(t *testing.T, f *simFleet, u *utilisation, seed uint64, perSecond float64)) {
-	rates := []float64{12}
+	demands := []float64{12}
 	if *limitSeeds > 1 {
-		rates = []float64{4, 12, 60}
+		demands = []float64{4, 12, 60}
 	}
 	for _, size := range fleetSizes() {
-		for _, perUpstream := range rates {
+		for _, perUpstream := range demands {
 			for _, part := range []float64{0.2, 0.5} {
 				perSecond := part * perUpstream
 				t.Run(fmt.Sprintf("%d entries, limit %v at demand %v per second", size.entries, perSecond, perUpstream), func(t *testing.T) {
@@ -159,8 +159,8 @@
 	}
 }
 
-// TestEndOfLimitReachesAllEntries checks that no entry keeps to a limit later than a second after
-// the first request that reaches the upstream since the limit has ended.
+// TestEndOfLimitReachesAllEntries checks that every entry drops a limit within a second after the
+// first request that reaches the upstream once the limit has ended.
 func TestEndOfLimitReachesAllEntries(t *testing.T) {
 	forEachLimit(t, func(f *simFleet) {
 		for at := limitStop; at < runEnd; at += pollInterval {
@@ -281,7 +281,7 @@
 
 // TestWaitingRequestsReserveTheLimit picks an upstream whose limit has no room for some
 // milliseconds. The requests that wait must be sent one after the other, at the rate of the limit,
-// and the next one must be refused at once.
+// and the first one that would wait too long must be refused at once.
 func TestWaitingRequestsReserveTheLimit(t *testing.T) {
 	const perSecond = 40
 	lb, now := balancerWithLimit(t, perSecond)
@@ -310,7 +310,7 @@
 }
 
 // TestLimitsOfAllUpstreamsAreKeptUnderFaults has all upstreams accept half of the demand, so that
-// entries hold requests that wait when they crash, freeze or are partitioned.
+// requests wait in entries that crash, freeze or are partitioned.
 func TestLimitsOfAllUpstreamsAreKeptUnderFaults(t *testing.T) {
 	const perUpstream, perSecond = 12.0, 6.0
 	for _, name := range slices.Sorted(maps.Keys(faults)) {
@@ -422,8 +422,8 @@
 	}
 }
 
-// TestExhaustedLimitIsRefusedAtOnce sends more requests than the only usable upstream accepts:
-// callers must be given increasing times after which to retry.
+// TestExhaustedLimitIsRefusedAtOnce sends more requests than the only usable upstream accepts.
+// Callers must get increasing times after which to retry.
 func TestExhaustedLimitIsRefusedAtOnce(t *testing.T) {
 	lb, now := balancerWithLimit(t, 2)
 	var refused *LimitError
@@ -461,7 +461,7 @@
 		t.Error("the new incarnation has a limit")
 	}
 	lb.ObserveLimit(now, Choice{Upstream: earlier.Upstream, SendAt: now, state: earlier}, RateLimit{Known: true, PerSecond: 0.2})
-	lb.ApplyPeerLimits(now, "e2", 1, []LimitUpdate{{Upstream: earlier.incarnationKey, PerSecond: 0.1, Version: 9}})
+	lb.ApplyLimitUpdates(now, "e2", 1, []LimitUpdate{{Upstream: earlier.incarnationKey, PerSecond: 0.1, Version: 9}})
 	if lb.byID["u1"].limit.Limited() || lb.limitedCount.Load() != 0 {
 		t.Error("a limit of the earlier incarnation applies to the new one")
 	}
@@ -471,7 +471,7 @@
 // updates about its requests.
 func TestLeavingEntrySendsNothingToLimitedUpstreams(t *testing.T) {
 	lb, now := balancerWithLimit(t, 100)
-	lb.Retire(now)
+	lb.RetireAsLimitSender(now)
 	for i := range 100 {
 		c, err := lb.PickObject(now.Add(time.Duration(i)*time.Second), ObjectRequest{Object: uint64(i), Class: "c"})
 		if err != nil || c.ID != "muscat-b-0" {
@@ -495,12 +495,12 @@
 	// unreachable.
 	tick := func(d time.Duration) {
 		for end := now.Add(d); now.Before(end); now = now.Add(100 * time.Millisecond) {
-			a.ApplyPeerLimits(now, "b", 1, nil)
-			b.ApplyPeerLimits(now, "a", 1, nil)
+			a.ApplyLimitUpdates(now, "b", 1, nil)
+			b.ApplyLimitUpdates(now, "a", 1, nil)
 		}
 	}
 	sendUpdates := func() {
-		a.VisitLimitUpdates(now, AllUpdates, func(n LimitUpdate) { b.ApplyPeerLimits(now, "a", 1, []LimitUpdate{n}) })
+		a.VisitLimitUpdates(now, AllUpdates, func(n LimitUpdate) { b.ApplyLimitUpdates(now, "a", 1, []LimitUpdate{n}) })
 	}
 	send := func() {
 		if c, err := a.PickObject(now, ObjectRequest{Object: 1, Class: "c"}); err == nil {
--- a/internal/forward/admission.go
+++ b/internal/forward/admission.go
@@ -17,7 +17,7 @@
 const recheckInterval = 10 * time.Millisecond
 
 // acquire admits the call and takes an upstream's slot, waiting in the queue if necessary. If
-// mustWait is set, it waits in the queue in any case until a slot may have become free.
+// mustWait is set, it always waits in the queue until a slot may have become free.
 func (p *Proxy) acquire(ctx context.Context, cl *call, state *serviceState, regions []string, mustWait bool) (balance.Choice, *verdict.Error) {
 	svc := cl.service
 	now := p.now()
@@ -62,15 +62,15 @@
 	return balancer.Latency(region) / 2
 }
 
-// acquireForObject picks an upstream for the call's object without queueing, and waits until the
-// upstream's rate limit has room for the request.
+// acquireForObject picks an upstream for the call's object without queueing, and waits until
+// the upstream's limit has room for the request.
 func (p *Proxy) acquireForObject(ctx context.Context, now time.Time, cl *call, state *serviceState, region string) (balance.Choice, *verdict.Error) {
 	choice, err := state.balancer.PickObject(now, cl.objectRequest())
 	var late *balance.LateError
 	var limit *balance.LimitError
 	switch {
 	case err == nil:
-		return p.waitForLimit(ctx, state, choice)
+		return p.waitForUpstreamLimit(ctx, state, choice)
 	case errors.As(err, &limit):
 		return balance.Choice{}, verdict.New(verdict.NotRun, reasonUpstreamLimit, err).WithRetryAfter(limit.RetryAfter)
 	case errors.As(err, &late):
@@ -79,9 +79,9 @@
 	return balance.Choice{}, verdict.New(verdict.NotRun, reasonOf(err), err).WithRetryAfter(state.retryAfter(region))
 }
 
-// waitForLimit waits until a request may be sent to the upstream that was picked for it. If ctx
-// ends first, it gives the upstream's slot back.
-func (p *Proxy) waitForLimit(ctx context.Context, state *serviceState, choice balance.Choice) (balance.Choice, *verdict.Error) {
+// waitForUpstreamLimit waits until a request may be sent to the upstream that was picked for
+// it. If ctx ends first, it gives the upstream's slot back.
+func (p *Proxy) waitForUpstreamLimit(ctx context.Context, state *serviceState, choice balance.Choice) (balance.Choice, *verdict.Error) {
 	wait := choice.SendAt.Sub(p.now())
 	if wait <= 0 {
 		return choice, nil
@@ -103,7 +103,7 @@
 	reasonNoSlot     = "no-slot"
 	// reasonLate means that every upstream would currently respond too late for the objective.
 	reasonLate = "would-be-late"
-	// reasonUpstreamLimit means that the upstreams have reached their rate limits.
+	// reasonUpstreamLimit means that the upstreams have reached their limits.
 	reasonUpstreamLimit = "upstream-limit"
 )
 
@@ -125,9 +125,10 @@
 	}
 }
 
-// waitForSlot waits in the queue until a slot is free, the time until is reached or ctx ends.
-func (p *Proxy) waitForSlot(ctx context.Context, state *serviceState, req balance.Request, limit int, until time.Time, mustWait bool) (balance.Choice, *verdict.Error) {
-	waiter, ok := state.queue.Enqueue(limit)
+// waitForSlot waits in the queue, which takes at most queueLimit requests, until a slot is
+// free, the time until is reached or ctx ends.
+func (p *Proxy) waitForSlot(ctx context.Context, state *serviceState, req balance.Request, queueLimit int, until time.Time, mustWait bool) (balance.Choice, *verdict.Error) {
+	waiter, ok := state.queue.Enqueue(queueLimit)
 	if !ok {
 		return balance.Choice{}, verdict.New(verdict.NotRun, string(admit.ReasonQueueFull), nil).WithRetryAfter(state.retryAfter(req.Regions[0]))
 	}
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -65,7 +65,7 @@
 		return nil, sendError(ctx, cl, &writes, err)
 	}
 	info := p.opt.Protocol.ParseResponse(resp, &cl.RequestInfo, cl.service)
-	p.recordRate(cl, to, info.Rate)
+	p.recordUpstreamLimit(cl, to, info.UpstreamLimit)
 	if info.NotRunReason != "" {
 		e := verdict.New(verdict.NotRun, info.NotRunReason, fmt.Errorf("upstream answered %s", resp.Status))
 		e.RetryAfter = parseRetryAfter(resp)
--- a/internal/forward/fake_test.go
+++ b/internal/forward/fake_test.go
@@ -60,8 +60,8 @@
 	// always is the behaviour after those in next.
 	always   behaviour
 	requests []receivedRequest
-	// rateLimit is the rate limit that complete responses announce, if it is not empty.
-	rateLimit string
+	// upstreamLimit is the limit that complete responses announce, if it is not empty.
+	upstreamLimit string
 	// clientClosed receives a value when a client closes the connection of a hanging request.
 	clientClosed chan struct{}
 }
@@ -159,8 +159,8 @@
 		return false
 	}
 	limit := ""
-	if f.rateLimit != "" {
-		limit = header.RateLimit + ": " + f.rateLimit + "\r\n"
+	if f.upstreamLimit != "" {
+		limit = header.RateLimit + ": " + f.upstreamLimit + "\r\n"
 	}
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\n%sContent-Length: %d\r\n\r\nanswer to %s", header.RequestID, id, limit, len("answer to ")+len(id), id)
 	return true
--- a/internal/forward/limitwait_test.go
+++ b/internal/forward/limitwait_test.go
@@ -10,14 +10,14 @@
 	"github.com/loomkeel/loomkeel/internal/model"
 )
 
-// The tests in this file guard against refusing requests for which the rate limit of an upstream
-// has room a few milliseconds later.
+// The tests in this file guard against refusing requests for which the limit of an upstream has room
+// a few milliseconds later.
 
-// newLimitedEntry returns an entry in front of one upstream that has announced a rate limit in
+// newLimitedEntry returns an entry in front of one upstream that has announced a limit, in
 // requests per second, which has no room left for now.
-func newLimitedEntry(t *testing.T, rateLimit string, timeout time.Duration) (*entry, *fakeUpstream) {
+func newLimitedEntry(t *testing.T, perSecond string, timeout time.Duration) (*entry, *fakeUpstream) {
 	f := newFakeUpstream(t)
-	f.rateLimit = rateLimit
+	f.upstreamLimit = perSecond
 	route := &model.Route{
 		Name: "r", Idempotent: true, Attempts: 1, Timeout: timeout, Affinity: true,
 		Services: []model.WeightedService{{Service: "orders", Weight: 1}},
@@ -45,7 +45,7 @@
 }
 
 // TestDeadlineEndsWaitForUpstreamLimit sends a request whose deadline passes while it waits for the
-// limit. It must not run, and must not occupy a slot of the upstream any longer.
+// limit. It must not run, and must give back its slot of the upstream.
 func TestDeadlineEndsWaitForUpstreamLimit(t *testing.T) {
 	e, f := newLimitedEntry(t, "10.5", 50*time.Millisecond)
 	if got := e.send(t, http.MethodGet, "/x", "", header.RequestID, "r"); got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
--- a/internal/forward/native.go
+++ b/internal/forward/native.go
@@ -110,13 +110,13 @@
 	switch {
 	case slices.Contains(svc.NotRunStatuses, resp.StatusCode):
 		out.NotRunReason = ReasonShed
-		out.Rate, _, _ = ParseRate(resp, header.RateLimit)
+		out.UpstreamLimit, _, _ = ParseRate(resp, header.RateLimit)
 	case echo != "" && echo != info.ID:
 		out.InvalidReason = ReasonMismatch
 	case closeDelimited(resp):
 		out.InvalidReason = reasonUnframed
 	default:
-		out.Rate, _, _ = ParseRate(resp, header.RateLimit)
+		out.UpstreamLimit, _, _ = ParseRate(resp, header.RateLimit)
 	}
 	return out
 }
--- a/internal/forward/limit.go
+++ b/internal/forward/organisationlimit.go
@@ -8,42 +8,43 @@
 	"github.com/loomkeel/loomkeel/internal/verdict"
 )
 
-// reasonOverLimit means that the request's organisation has reached its limit.
-const reasonOverLimit = "over-limit"
+// reasonOverOrganisationLimit means that the request's organisation has reached its limit.
+const reasonOverOrganisationLimit = "over-limit"
 
-// takeLimit counts a request against the limit of its organisation, or returns the response to
-// reject it. refundLimit undoes the counting if the request is rejected later or no upstream
-// runs it.
-func (p *Proxy) takeLimit(cl *call) *localReply {
+// takeOrganisationLimit counts a request against the limit of its organisation, or returns the
+// response to reject it. refundOrganisationLimit undoes the counting if the request is rejected
+// later or no upstream runs it.
+func (p *Proxy) takeOrganisationLimit(cl *call) *localReply {
 	if cl.Organisation == nil {
 		return nil
 	}
-	ok, retryAfter := p.limits.Take(cl.Organisation.Name, p.now())
+	ok, retryAfter := p.organisationLimits.Take(cl.Organisation.Name, p.now())
 	if ok {
 		cl.charged = true
 		return nil
 	}
-	return &localReply{status: http.StatusTooManyRequests, reason: reasonOverLimit, verdict: verdict.NotRun, retryAfter: retryAfter}
+	return &localReply{status: http.StatusTooManyRequests, reason: reasonOverOrganisationLimit, verdict: verdict.NotRun, retryAfter: retryAfter}
 }
 
-// refundLimit undoes the counting of a request that has not run.
-func (p *Proxy) refundLimit(cl *call) {
+// refundOrganisationLimit undoes the counting of a request that has not run.
+func (p *Proxy) refundOrganisationLimit(cl *call) {
 	if cl.charged {
-		p.limits.Refund(cl.Organisation.Name, p.now())
+		p.organisationLimits.Refund(cl.Organisation.Name, p.now())
 	}
 }
 
-// charge counts an attempt against the limit, unless the request is counted already. A retry
-// after an attempt that may have run counts again, because the request may run twice.
-func (p *Proxy) charge(cl *call) {
+// chargeOrganisation counts an attempt against the organisation's limit, unless the request is
+// counted already. A retry after an attempt that may have run counts again, because the request
+// may run twice.
+func (p *Proxy) chargeOrganisation(cl *call) {
 	if cl.Organisation != nil && !cl.charged {
-		p.limits.Charge(cl.Organisation.Name, p.now())
+		p.organisationLimits.Charge(cl.Organisation.Name, p.now())
 		cl.charged = true
 	}
 }
 
-// recordRun makes the count final if the attempt may have run: refundLimit then does not undo
-// it.
+// recordRun makes the count final if the attempt may have run: refundOrganisationLimit then
+// does not undo it.
 func (c *call) recordRun(err *verdict.Error) {
 	if err == nil || err.Verdict != verdict.NotRun {
 		c.charged = false
@@ -68,11 +69,11 @@
 	if reqErr != nil || info.Route == nil {
 		return nil
 	}
-	p.refundLimit(cl)
+	p.refundOrganisationLimit(cl)
 	wasCharged := cl.charged
 	cl.charged, cl.Organisation = false, info.Organisation
 	if wasCharged {
-		p.charge(cl)
+		p.chargeOrganisation(cl)
 	}
 	cl.allows = info.allows
 	return nil
@@ -80,7 +81,7 @@
 
 // send makes one attempt and counts it against the organisation's limit.
 func (p *Proxy) send(ctx context.Context, r *http.Request, cl *call, to balance.Choice) (*upstreamResponse, *verdict.Error) {
-	p.charge(cl)
+	p.chargeOrganisation(cl)
 	res, err := p.attempt(ctx, r, cl, to)
 	cl.recordRun(err)
 	return res, err
--- a/internal/forward/parserate.go
+++ b/internal/forward/parserate.go
@@ -9,26 +9,26 @@
 	"github.com/loomkeel/loomkeel/internal/ratelimit"
 )
 
-// ParseRate reads the rate limit of an upstream, in requests per second, from a header field of
+// ParseRate reads an upstream limit, in requests per second, from a header field of
 // its response. It returns the lowest of several values, and ratelimit.Unlimited if the field
 // is absent. If a value is not a decimal number, the response says nothing about a limit: ok is
 // false and value is the invalid field value. A field in the trailer says nothing either, but
 // ok is true.
-func ParseRate(resp *http.Response, field string) (rate balance.RateLimit, value string, ok bool) {
+func ParseRate(resp *http.Response, field string) (limit balance.RateLimit, value string, ok bool) {
 	if _, inTrailer := resp.Trailer[field]; inTrailer {
 		return balance.RateLimit{}, "", true
 	}
-	rate = balance.RateLimit{Known: true, PerSecond: ratelimit.Unlimited}
+	limit = balance.RateLimit{Known: true, PerSecond: ratelimit.Unlimited}
 	for _, value = range resp.Header[field] {
 		for text := range strings.SplitSeq(value, ",") {
 			v, ok := decimal(strings.TrimSpace(text))
 			if !ok {
 				return balance.RateLimit{}, value, false
 			}
-			rate.PerSecond = min(rate.PerSecond, v)
+			limit.PerSecond = min(limit.PerSecond, v)
 		}
 	}
-	return rate, value, true
+	return limit, value, true
 }
 
 // maxDecimal is the largest length in bytes of a decimal number.
--- a/internal/forward/protocol.go
+++ b/internal/forward/protocol.go
@@ -73,8 +73,8 @@
 	// Load is the number of requests at the upstream, and Waiting the number of those that wait
 	// there; -1 if the response does not state them.
 	Load, Waiting int
-	// Rate is the rate limit that the response states, or that it states none.
-	Rate balance.RateLimit
+	// UpstreamLimit is the limit that the response states for its upstream, or that it states none.
+	UpstreamLimit balance.RateLimit
 	// Draining is set if the upstream wants no new requests.
 	Draining bool
 }
--- a/internal/forward/proxy.go
+++ b/internal/forward/proxy.go
@@ -99,24 +99,24 @@
 
 // Proxy is an http.Handler that forwards requests to upstreams. It is safe for concurrent use.
 type Proxy struct {
-	opt       Options
-	now       func() time.Time
-	scheme    string
-	transport http.RoundTripper
-	snap      atomic.Pointer[model.Snapshot]
-	inFlight  atomic.Int64
-	stopping  atomic.Bool
-	mu        sync.RWMutex
-	services  map[string]*serviceState
-	splits    *splits
-	poison    *poison.Tracker
-	limits    *quota.Limiter
-	deadlines *deadlineSet
-	// ratesChanged receives a value when changed rate limits of upstreams should be sent to
-	// other entries without delay.
-	ratesChanged chan struct{}
-	// rateLog limits the log lines about changed rate limits.
-	rateLog *logs.Limiter
+	opt                Options
+	now                func() time.Time
+	scheme             string
+	transport          http.RoundTripper
+	snap               atomic.Pointer[model.Snapshot]
+	inFlight           atomic.Int64
+	stopping           atomic.Bool
+	mu                 sync.RWMutex
+	services           map[string]*serviceState
+	splits             *splits
+	poison             *poison.Tracker
+	organisationLimits *quota.Limiter
+	deadlines          *deadlineSet
+	// urgentLimitUpdates receives a value when limit updates should be sent to other
+	// entries without delay.
+	urgentLimitUpdates chan struct{}
+	// upstreamLimitLog bounds the log lines about changed upstream limits.
+	upstreamLimitLog *logs.Limiter
 }
 
 // serviceState is the state of one service.
@@ -143,8 +143,8 @@
 	if opt.Rand == nil {
 		opt.Rand = newRand
 	}
-	p := &Proxy{opt: opt, now: opt.Now, scheme: "http", transport: opt.Transport, services: make(map[string]*serviceState), splits: newSplits(), poison: poison.NewTracker(opt.Self), limits: quota.NewLimiter(), deadlines: newDeadlineSet(), ratesChanged: make(chan struct{}, 1),
-		rateLog: logs.NewLimiter(rateLogsPerSecond, rateLogBurst)}
+	p := &Proxy{opt: opt, now: opt.Now, scheme: "http", transport: opt.Transport, services: make(map[string]*serviceState), splits: newSplits(), poison: poison.NewTracker(opt.Self), organisationLimits: quota.NewLimiter(), deadlines: newDeadlineSet(), urgentLimitUpdates: make(chan struct{}, 1),
+		upstreamLimitLog: logs.NewLimiter(upstreamLimitLogsPerSecond, upstreamLimitLogBurst)}
 	if opt.TLS != nil {
 		p.scheme = "https"
 	}
@@ -172,7 +172,7 @@
 		}
 		state.queue.Wake()
 	}
-	p.limits.Update(s.Organisations, s.LimitSlack, now)
+	p.organisationLimits.Update(s.Organisations, s.LimitSlack, now)
 	p.snap.Store(s)
 }
 
@@ -232,7 +232,7 @@
 	defer p.mu.Unlock()
 	if state = p.services[service]; state == nil {
 		state = &serviceState{balancer: balance.NewBalancer(), budget: balance.NewRetryBudget(retryBurst), shedBudget: balance.NewRetryBudget(shedBurst), shift: shift.NewSplitter()}
-		state.balancer.OnLimitUpdate(p.notifyRates)
+		state.balancer.OnLimitUpdate(p.notifyLimitUpdates)
 		p.services[service] = state
 	}
 	return state
@@ -293,11 +293,11 @@
 		}
 		cl.body.src = http.MaxBytesReader(w, r.Body, limit)
 	}
-	if reply := p.takeLimit(cl); reply != nil {
+	if reply := p.takeOrganisationLimit(cl); reply != nil {
 		p.reply(w, out, reply)
 		return
 	}
-	defer p.refundLimit(cl)
+	defer p.refundOrganisationLimit(cl)
 	ctx := r.Context()
 	if info.Route != nil && !info.Idempotent {
 		// A request that is not safe to repeat continues after its caller has left, so that its
--- a/internal/forward/status.go
+++ b/internal/forward/status.go
@@ -83,7 +83,7 @@
 }
 
 // OrganisationLimits returns the limiter of the organisations' requests.
-func (p *Proxy) OrganisationLimits() *quota.Limiter { return p.limits }
+func (p *Proxy) OrganisationLimits() *quota.Limiter { return p.organisationLimits }
 
 // Tick ends requests whose deadline passed while the machine was suspended, and drops expired
 // records of requests that crashed upstreams. It is called periodically.
--- /dev/null
+++ b/internal/forward/upstreamlimit.go
@@ -0,0 +1,87 @@
+package forward
+
+import (
+	"k8s.io/klog/v2"
+
+	"github.com/loomkeel/loomkeel/internal/balance"
+	"github.com/loomkeel/loomkeel/internal/ratelimit"
+)
+
+// upstreamLimitLogsPerSecond and upstreamLimitLogBurst bound the log lines about upstream limits.
+const (
+	upstreamLimitLogsPerSecond = 5
+	upstreamLimitLogBurst      = 40
+)
+
+// recordUpstreamLimit records what a response says about its upstream's limit.
+func (p *Proxy) recordUpstreamLimit(cl *call, from balance.Choice, r balance.RateLimit) {
+	now := p.now()
+	if !p.serviceState(cl.service.Name).balancer.ObserveLimit(now, from, r) {
+		return
+	}
+	kind := "upstream set a rate limit"
+	if r.PerSecond == ratelimit.Unlimited {
+		kind = "upstream removed its rate limit"
+	}
+	if left, ok := p.upstreamLimitLog.Allow(now, kind); ok {
+		klog.InfoS(kind, "service", cl.service.Name, "upstream", from.ID, "per_s", r.PerSecond, "request", cl.ID, "left_out", left)
+	}
+}
+
+// notifyLimitUpdates signals that limit updates should be sent to other entries without delay.
+func (p *Proxy) notifyLimitUpdates() {
+	select {
+	case p.urgentLimitUpdates <- struct{}{}:
+	default:
+	}
+}
+
+// UrgentLimitUpdates returns a channel that receives a value when limit updates should be sent to
+// other entries without delay.
+func (p *Proxy) UrgentLimitUpdates() <-chan struct{} { return p.urgentLimitUpdates }
+
+// LimitUpdates returns the limit updates to send to other entries.
+func (p *Proxy) LimitUpdates(scope balance.UpdateScope) []balance.LimitUpdate {
+	now := p.now()
+	var out []balance.LimitUpdate
+	for _, state := range p.allServices() {
+		state.balancer.VisitLimitUpdates(now, scope, func(u balance.LimitUpdate) { out = append(out, u) })
+	}
+	return out
+}
+
+// LimitSenders returns the IDs of the entries that share an upstream limit with this entry.
+func (p *Proxy) LimitSenders() map[string]bool {
+	out := make(map[string]bool)
+	for _, state := range p.allServices() {
+		state.balancer.VisitLimitSenders(func(id string) { out[id] = true })
+	}
+	return out
+}
+
+// ApplyLimitUpdates applies the limit updates that an incarnation of a peer has sent.
+func (p *Proxy) ApplyLimitUpdates(peer string, incarnation uint64, updates []balance.LimitUpdate) {
+	now := p.now()
+	for _, state := range p.allServices() {
+		state.balancer.ApplyLimitUpdates(now, peer, incarnation, updates)
+	}
+}
+
+// RetireAsLimitSender stops sending requests to limited upstreams. It is called before the entry
+// leaves, because other entries then no longer receive updates about its requests.
+func (p *Proxy) RetireAsLimitSender() {
+	now := p.now()
+	for _, state := range p.allServices() {
+		state.balancer.RetireAsLimitSender(now)
+	}
+}
+
+// UpstreamLimits returns the state of the upstream limits, at most n for each service.
+func (p *Proxy) UpstreamLimits(n int) []balance.LimitStatus {
+	now := p.now()
+	var out []balance.LimitStatus
+	for _, state := range p.allServices() {
+		out = append(out, state.balancer.LimitStatuses(now, n)...)
+	}
+	return out
+}
--- a/internal/inflight/exchange.go
+++ b/internal/inflight/exchange.go
@@ -170,7 +170,7 @@
 	defer tick.Stop()
 	var urgent <-chan struct{}
 	if x.opt.UpstreamLimits != nil {
-		urgent = x.opt.UpstreamLimits.UrgentUpdates()
+		urgent = x.opt.UpstreamLimits.UrgentLimitUpdates()
 	}
 	for {
 		select {
@@ -384,7 +384,7 @@
 		x.recordIncarnation(p, r.Incarnation, fleet)
 		if r.HasLimitUpdates {
 			if x.opt.UpstreamLimits != nil {
-				x.opt.UpstreamLimits.ApplyPeerLimits(r.Entry, r.Incarnation, r.LimitUpdates)
+				x.opt.UpstreamLimits.ApplyLimitUpdates(r.Entry, r.Incarnation, r.LimitUpdates)
 			}
 			return
 		}
--- a/internal/inflight/report.go
+++ b/internal/inflight/report.go
@@ -1,6 +1,6 @@
 // Package inflight exchanges reports between entries: the requests that each has in flight
 // at each upstream, requests that crashed upstreams, the use of organisations' limits, and
-// the rate limits of upstreams.
+// the limits of upstreams.
 package inflight
 
 import (
--- a/internal/inflight/rates.go
+++ b/internal/inflight/upstreamlimits.go
@@ -11,7 +11,7 @@
 	"github.com/loomkeel/loomkeel/internal/ratelimit"
 )
 
-// This file has the reports of the rate limits that upstreams announce; see package ratelimit.
+// This file has the reports of the limits that upstreams announce; see package ratelimit.
 // Entries that may send to a limited upstream report their request counts there to each other
 // without delay. The limits themselves go to the peers that also get the reports of requests in
 // flight.
@@ -39,17 +39,17 @@
 // UpstreamLimits holds the limits of upstreams that an Exchange reports, and applies the limits
 // and request counts that peers report.
 type UpstreamLimits interface {
-	// UrgentUpdates returns a channel that receives a value when a report is to be sent
+	// UrgentLimitUpdates returns a channel that receives a value when a report is to be sent
 	// without delay.
-	UrgentUpdates() <-chan struct{}
+	UrgentLimitUpdates() <-chan struct{}
 	// LimitUpdates returns the limits and request counts to report.
 	LimitUpdates(scope balance.UpdateScope) []balance.LimitUpdate
 	// LimitSenders returns the IDs of the entries that share the limit of an upstream with
 	// this entry.
 	LimitSenders() map[string]bool
-	// ApplyPeerLimits applies the limits and request counts that an incarnation of a peer
+	// ApplyLimitUpdates applies the limits and request counts that an incarnation of a peer
 	// has reported.
-	ApplyPeerLimits(peer string, incarnation uint64, updates []balance.LimitUpdate)
+	ApplyLimitUpdates(peer string, incarnation uint64, updates []balance.LimitUpdate)
 }
 
 // appendLimitUpdates appends the encoding of up to maxLimitUpdates limits. A limit is encoded as
--- a/internal/inflight/rates_test.go
+++ b/internal/inflight/upstreamlimits_test.go
@@ -24,7 +24,7 @@
 	return &fakeUpstreamLimits{urgent: make(chan struct{}, 1)}
 }
 
-func (l *fakeUpstreamLimits) UrgentUpdates() <-chan struct{} { return l.urgent }
+func (l *fakeUpstreamLimits) UrgentLimitUpdates() <-chan struct{} { return l.urgent }
 
 func (l *fakeUpstreamLimits) LimitUpdates(scope balance.UpdateScope) []balance.LimitUpdate {
 	l.mu.Lock()
@@ -39,7 +39,7 @@
 
 func (l *fakeUpstreamLimits) LimitSenders() map[string]bool { return nil }
 
-func (l *fakeUpstreamLimits) ApplyPeerLimits(_ string, _ uint64, updates []balance.LimitUpdate) {
+func (l *fakeUpstreamLimits) ApplyLimitUpdates(_ string, _ uint64, updates []balance.LimitUpdate) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, u := range updates {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -207,7 +207,7 @@
 }
 
 // Stop performs a planned stop within the time grace. Look-ups no longer return the node,
-// and upstreams with rate limits get no more requests from it. Requests are still
+// and limited upstreams get no more requests from it. Requests are still
 // accepted for the time linger, or half of grace if that is shorter, and later ones are
 // rejected as not run. Stop returns when the last request has ended, at the latest
 // killMargin before the end of grace.
@@ -215,7 +215,7 @@
 	klog.InfoS("stopping", "grace", grace)
 	began := n.now()
 	n.stopping.Store(true)
-	n.Entry.Proxy.StopRateLimited()
+	n.Entry.Proxy.RetireAsLimitSender()
 	time.Sleep(min(linger, grace/2))
 	n.Entry.Proxy.Stop()
 	for n.Entry.Proxy.InFlight() > 0 && n.now().Sub(began) < grace-killMargin {
@@ -276,7 +276,7 @@
 	Metrics  map[string]entry.ServiceMetrics  `json:"metrics"`
 	// OrganisationLimits are the limits of the organisations that have requests.
 	OrganisationLimits []quota.Status `json:"limits,omitempty"`
-	// UpstreamLimits are the rate limits that upstreams announce.
+	// UpstreamLimits are the limits that upstreams announce.
 	UpstreamLimits []balance.LimitStatus `json:"rates,omitempty"`
 }
 
@@ -294,11 +294,11 @@
 	return n.Entry.Proxy.OrganisationLimits().Status(maxOrganisationLimits, n.now())
 }
 
-// maxUpstreamLimits is the largest number of upstreams with rate limits of each service in
+// maxUpstreamLimits is the largest number of limited upstreams of each service in
 // metrics and dumps.
 const maxUpstreamLimits = 1000
 
-// UpstreamLimits returns the rate limits that upstreams announce, at most
+// UpstreamLimits returns the limits that upstreams announce, at most
 // maxUpstreamLimits for each service.
 func (n *Node) UpstreamLimits() []balance.LimitStatus {
 	return n.Entry.Proxy.UpstreamLimits(maxUpstreamLimits)
--- a/internal/sim/loomkeel.go
+++ b/internal/sim/loomkeel.go
@@ -13,7 +13,7 @@
 )
 
 // loomkeel is the product's own policy: one balance.Balancer for each entry and service.
-// The balancers of a service exchange loads and rate limits with the latency between their
+// The balancers of a service exchange loads and upstream limits with the latency between their
 // entries.
 type loomkeel struct {
 	sim *Simulation
@@ -57,8 +57,8 @@
 	return l
 }
 
-// limitUpdateDelay is how long an entry collects updates of rate limits, and of the requests
-// sent to rate-limited upstreams, before it sends them to the other entries.
+// limitUpdateDelay is how long an entry collects limit updates, which also count the requests
+// sent to limited upstreams, before it sends them to the other entries.
 const limitUpdateDelay = 5 * time.Millisecond
 
 // publishLimitUpdates makes a balancer send its limit updates to the other entries,
@@ -87,7 +87,7 @@
 	for to := range l.balancers {
 		if to != from {
 			l.sim.after(l.latency(from, to), func() {
-				l.balancers[to][service].ApplyPeerLimits(l.sim.scheduler.Now(), l.members[from].ID, 1, updates)
+				l.balancers[to][service].ApplyLimitUpdates(l.sim.scheduler.Now(), l.members[from].ID, 1, updates)
 			})
 		}
 	}
--- a/test/ablate/table.go
+++ b/test/ablate/table.go
@@ -14,7 +14,7 @@
 	pkgPoison   = "./internal/poison"
 	pkgInFlight = "./internal/inflight"
 	pkgQuota    = "./internal/quota"
-	// pkgRateLimit enforces the request rates that upstreams announce.
+	// pkgRateLimit enforces the limits that upstreams announce.
 	pkgRateLimit = "./internal/ratelimit"
 )
 
@@ -107,7 +107,7 @@
 		"f.applyUnconfirmed(reply.Batch)\n", "", pkgPlatform, "StartDuringStoreOutage", nil},
 	{"a call of the store on a connection without response is retried", "platform/store.go",
 		"if ctx.Err() != nil || !errors.Is(err, context.DeadlineExceeded) {", "if true || ctx.Err() != nil || !errors.Is(err, context.DeadlineExceeded) {", pkgPlatform, "SilentConnectionIsNotStoreLoss", nil},
-	{"a retry uses the allowed regions of the current configuration", "internal/forward/limit.go",
+	{"a retry uses the allowed regions of the current configuration", "internal/forward/organisationlimit.go",
 		"cl.allows = info.allows\n", "", pkgForward, "RetryFollowsCurrent", nil},
 	{"look-ups name entries of serving regions where a region has none", "internal/route/nearest.go",
 		"len(serving) > 0 {", "false {", "./internal/route", "TestNearest", nil},
@@ -212,7 +212,7 @@
 		"floor := math.Min(minAllowance, total/tokensPerMinAllowance)", "floor := 0.0", pkgQuota, "JustBelow", nil},
 	{"a share is reserved for entries that do not report", "internal/quota/sources.go",
 		"uncovered += src.Weight - covered", "_ = covered", pkgQuota, "NetworkPartition", nil},
-	{"requests with revoked keys are not retried", "internal/forward/limit.go",
+	{"requests with revoked keys are not retried", "internal/forward/organisationlimit.go",
 		"if reqErr != nil && reqErr.Status == http.StatusUnauthorized {", "if false {", pkgPlatform, "KeyChangeDuringRequest", nil},
 	{"senders to a limited upstream deduct the requests of others", "internal/ratelimit/bucket.go",
 		"b.take(unaccounted)", "_ = unaccounted", pkgBalance, "KeptAndUsed", nil},
