--- a/internal/balance/affinity.go
+++ b/internal/balance/affinity.go
@@ -22,12 +22,13 @@
 	// failure domains. Below it, another warm replica costs more than the traffic that it keeps
 	// within a domain.
 	largeBytes = 3000
-	// maxUnreadySkipped is how many cold or rate-limited upstreams at the front of an object's
-	// order are skipped. With half of a region cold, eight in a row occur for one object in 256.
+	// maxUnreadySkipped is how many upstreams that are cold, or whose limit leaves no room, are
+	// skipped at the front of an object's order. With half of a region cold, eight in a row
+	// occur for one object in 256.
 	maxUnreadySkipped = 8
-	// hugeBytes is the mean size from which an object has a replica in each failure domain that
-	// requests it, whatever their number: keeping the traffic within the domain is then worth more
-	// than the additional cold work.
+	// hugeBytes is the mean size from which each object of a class has a replica in every
+	// failure domain that requests it, whatever their number: keeping the traffic within the
+	// domain is then worth more than the additional cold work.
 	hugeBytes = 20_000
 )
 
@@ -81,8 +82,8 @@
 }
 
 // replicasFor returns the candidates for an object, at most as many as replicas: in the object's
-// order, but cold and rate-limited upstreams last. A request without affinity gets all usable
-// upstreams.
+// order, but upstreams that are cold, or whose limit leaves no room, last. A request without
+// affinity gets all usable upstreams.
 func (b *Balancer) replicasFor(now time.Time, req ObjectRequest) []candidate {
 	t := b.classStats(req.Class)
 	switch {
@@ -97,7 +98,7 @@
 	return ranked[:min(replicas, len(ranked))]
 }
 
-// readyFirst moves upstreams that are cold, or whose rate limit leaves no room, behind the others.
+// readyFirst moves upstreams that are cold, or whose limit leaves no room, behind the others.
 // An upstream that has just joined has no object cached and is slow, while the next upstreams in
 // the order still have the objects that it would take over. If joining upstreams came first,
 // requests would be refused while most slots are free, because most entries may not send to cold
@@ -110,7 +111,7 @@
 	return cs
 }
 
-// isUnready reports whether a candidate is cold or its rate limit leaves no room now.
+// isUnready reports whether a candidate is cold or its limit leaves no room now.
 func (b *Balancer) isUnready(c candidate, now time.Time) bool {
 	return b.cold(c.state, now) || c.limitWait(now) > 0
 }
@@ -171,12 +172,12 @@
 }
 
 // fastest returns the candidate with the least expected latency, its rank, and the time for which
-// the request must wait for the candidate's rate limit; nil if all are full.
+// the request must wait for the candidate's limit; nil if no candidate can take the request.
 //
 // Each further replica costs its upstream the full work on a cold object, for which no upstream has
 // room under load. The first candidate and warm ones are therefore preferred; if none of them can
-// take the request, another one with a free slot may. Large requests start a replica in this entry's own
-// failure domain as soon as an upstream there has enough free slots.
+// take the request, another one with a free slot may. A request of a large class starts a replica in
+// this entry's own failure domain as soon as an upstream there has enough free slots.
 func (b *Balancer) fastest(now time.Time, req ObjectRequest, ranked []candidate) (u *upstreamState, rank int, wait time.Duration) {
 	large := b.classStats(req.Class).large()
 	tiers := []func(i int, u *upstreamState) bool{
--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -116,7 +116,7 @@
 	// coldSender says whether this entry may send to the upstream while the upstream is cold; nil
 	// until computed for the current entries.
 	coldSender *bool
-	// limit is the rate limit that the upstream announced, and bucket enforces it; bucket is nil if
+	// limit is the limit that the upstream announced, and bucket enforces it; bucket is nil if
 	// there is no limit. lastBucket is the bucket of the previous limit: entries do not observe
 	// every end of a limit and continue with the counts of their earlier requests.
 	limit              ratelimit.Register
@@ -270,7 +270,7 @@
 type Choice struct {
 	model.Upstream
 	// SendAt is the time at which the request may be sent: the time of the pick, or a later time at
-	// which the rate limit of the upstream has room for it.
+	// which the limit of the upstream has room for it.
 	SendAt time.Time
 	// Warm is set if the upstream has recently served the object for this entry.
 	Warm bool
--- a/internal/balance/late.go
+++ b/internal/balance/late.go
@@ -36,7 +36,7 @@
 func (e *LateError) Unwrap() error { return ErrNoSlot }
 
 // noSlotError returns the error for a request that no candidate can take: a LateError with the
-// shortest wait for a slot, a LimitError if the rate limits of all candidates leave no room, else
+// shortest wait for a slot, a LimitError if the limits of all candidates leave no room, else
 // ErrNoSlot.
 func (b *Balancer) noSlotError(now time.Time, req ObjectRequest, ranked []candidate) error {
 	var first *upstreamState
--- a/internal/balance/load.go
+++ b/internal/balance/load.go
@@ -26,7 +26,7 @@
 	return (b.outstanding(u, now) + float64(u.failures)) / b.usableSlots(u, now)
 }
 
-// hasSlot reports whether an upstream has a free slot, and room in its rate limit, for one more
+// hasSlot reports whether an upstream has a free slot, and room in its limit, for one more
 // request.
 func (b *Balancer) hasSlot(u *upstreamState, now time.Time) bool {
 	if now.Before(u.shedUntil) || !u.withinLimit(now) {
--- a/internal/balance/placement.go
+++ b/internal/balance/placement.go
@@ -17,7 +17,7 @@
 	// spills is set if another upstream comes first for the object, or if the upstream is in
 	// another region than this entry; see markSpillover.
 	spills bool
-	// unready is set by readyFirst for upstreams that are cold or have no room in their rate limit.
+	// unready is set by readyFirst for upstreams that are cold or have no room in their limit.
 	unready bool
 }
 
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -17,9 +17,10 @@
 	Report(ctx context.Context, req *pb.ReportRequest) (*pb.ReportReply, error)
 }
 
-// RunReports periodically reports the entry's use of the in-flight caps to the agent and
-// applies the limits in the replies, until ctx ends. A failed report is not retried: while
-// the agent is unreachable, grants expire at their times and the floors stay in force.
+// RunReports periodically reports the entry's use of the in-flight caps, and the upstreams
+// that drain, to the agent and applies the limits in the replies, until ctx ends. A failed
+// report is not retried: while the agent is unreachable, grants expire at their times and
+// the floors stay in force.
 func (e *Entry) RunReports(ctx context.Context, r Reporter) {
 	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
@@ -34,8 +35,9 @@
 }
 
 // report sends one report to the agent and applies the limits in its reply. Reports are
-// sent one at a time, each after the reply to the one before, so that limits are applied
-// in the order of the agent's replies. The error is that of ctx if it ends first.
+// sent one at a time, each after the reply to the previous one, so that limits are applied
+// in the order of the agent's replies. If ctx ends while an earlier report is in progress,
+// the error is that of ctx.
 func (e *Entry) report(ctx context.Context, r Reporter, leaving bool) error {
 	select {
 	case e.reporting <- struct{}{}:
--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -15,11 +15,11 @@
 
 const (
 	// maxReplayBytes is how many bytes of a request body are buffered for a retry. Uploads of
-	// about 100 KB fit; an upstream may reject one before it has read it. A hundred such
+	// about 100 KB fit, which an upstream may reject before it has read them. A hundred full
 	// buffers take a tenth of the memory of a small instance.
 	maxReplayBytes = 256 << 10
 	// handOverTimeout is how long a new attempt waits until the previous attempt's read of the
-	// caller's body has returned. The lock is tried every handOverPollInterval.
+	// caller's body has returned. It tries to lock the body every handOverPollInterval.
 	handOverTimeout      = 250 * time.Millisecond
 	handOverPollInterval = 2 * time.Millisecond
 )
--- a/internal/forward/stalled_test.go
+++ b/internal/forward/stalled_test.go
@@ -17,8 +17,8 @@
 // the rest of a body before it writes the response, so a caller that has stopped sending would
 // get no response at all.
 
-// stalledUpload sends the head of an upload without its body and returns the response, or nil
-// if none arrives.
+// stalledUpload sends the head of an upload without its body and returns the response. If none
+// arrives, it fails the test and returns nil.
 func stalledUpload(t *testing.T, e *entry, framing string, fields ...string) *http.Response {
 	t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(e.url, "http://"))
@@ -43,6 +43,7 @@
 	return resp
 }
 
+// uploadFramings are the header fields that state how long the body of an upload is.
 var uploadFramings = []string{"Content-Length: 1000", "Content-Length: 1000000", "Transfer-Encoding: chunked"}
 
 // TestRejectedStalledUpload sends uploads that are rejected without reading their bodies.
@@ -75,7 +76,7 @@
 }
 
 // TestEarlyResponseToStalledUpload makes an upstream respond before it has read the body, of
-// which the caller sends nothing. The caller gets the response at its deadline.
+// which the caller sends nothing. The caller must get a response.
 func TestEarlyResponseToStalledUpload(t *testing.T) {
 	s := newScriptedUpstream(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
