--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -184,7 +184,7 @@
 	}
 	removeHopHeaders(h)
 	protocol.SetResponseHeaders(h, &cl.RequestInfo)
-	if !cl.body.ended() {
+	if !cl.body.complete() {
 		h.Set("Connection", "close")
 	}
 	if res.resp.ContentLength >= 0 {
--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -6,6 +6,7 @@
 	"io"
 	"net/http"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"k8s.io/klog/v2"
@@ -23,8 +24,13 @@
 	handOverTimeout      = 250 * time.Millisecond
 	handOverPollInterval = 2 * time.Millisecond
 	// unreadBodyTimeout is how long a response that the Proxy generates waits for the rest of the
-	// request body. If the rest arrives in time, the caller's connection stays open.
+	// request body, and maxDrainBytes the longest rest that it waits for. If the rest arrives in
+	// time, the caller's connection stays open.
 	unreadBodyTimeout = 50 * time.Millisecond
+	maxDrainBytes     = 256 << 10
+	// lingerTimeout is how long the rest of a body is read after a response that closes the
+	// connection.
+	lingerTimeout = 5 * time.Second
 )
 
 // errDetached is returned by reads through the body of an attempt that has been replaced.
@@ -41,6 +47,8 @@
 	overflowed bool
 	length     int64
 	current    *attemptBody
+	// interrupted is set once reads fail because the context of the call has ended.
+	interrupted atomic.Bool
 
 	// prefixMu guards prefix. It is separate because mu is held for as long as a read from the
 	// caller blocks.
@@ -162,12 +170,11 @@
 	done := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
 		defer close(done)
-		if b.ended() {
+		if b.complete() {
 			return
 		}
-		if err := http.NewResponseController(w).SetReadDeadline(pastTime); err != nil {
-			klog.V(1).InfoS("interrupting the read of a stalled request body failed", "err", err)
-		}
+		b.interrupted.Store(true)
+		setReadDeadline(w, pastTime)
 	})
 	return func() {
 		if !stop() {
@@ -176,33 +183,61 @@
 	}
 }
 
-// ended reports whether the body has no further bytes, or reading it has failed.
-func (b *replayBody) ended() bool {
+// complete reports whether the body was read to its end, without an interrupt. Only then may the
+// caller's connection be reused: net/http would take the rest of a body for the next request, and
+// a connection on which it waits for the next request must not get a read deadline.
+func (b *replayBody) complete() bool {
 	if b.length == 0 {
 		return true
 	}
-	if !b.mu.TryLock() {
+	if b.interrupted.Load() || !b.mu.TryLock() {
 		return false
 	}
 	defer b.mu.Unlock()
-	return b.err != nil
+	return errors.Is(b.err, io.EOF)
 }
 
-// limitBodyWait bounds how long the response to r waits for the request body: not at all once
-// ctx has ended. net/http reads the rest of a body before it writes the response and reuses the
-// connection, so without the limit a caller that has stopped sending would get no response. If the
-// read fails, net/http closes the connection.
-func limitBodyWait(ctx context.Context, w http.ResponseWriter, r *http.Request) {
-	if r.ContentLength == 0 {
+// closeUnlessComplete makes the response to r close the caller's connection, unless the rest of the
+// request body arrives within unreadBodyTimeout. Without that header net/http reads the rest of the
+// body before it writes the response, so a caller that has stopped sending would get none.
+func closeUnlessComplete(w http.ResponseWriter, r *http.Request) {
+	if r.ContentLength == 0 || drain(w, r.Body) {
 		return
 	}
-	deadline := time.Now().Add(unreadBodyTimeout)
-	if ctx.Err() != nil {
-		deadline = pastTime
+	w.Header().Set("Connection", "close")
+	// net/http reads on after the response, so that a caller that goes on sending receives it.
+	setReadDeadline(w, time.Now().Add(lingerTimeout))
+}
+
+// drain reads at most maxDrainBytes of a request body within unreadBodyTimeout and reports whether
+// that reached the end of the body.
+func drain(w http.ResponseWriter, body io.Reader) bool {
+	done := make(chan error, 1)
+	go func() {
+		_, err := io.CopyN(io.Discard, body, maxDrainBytes)
+		done <- err
+	}()
+	timer := time.NewTimer(unreadBodyTimeout)
+	defer timer.Stop()
+	select {
+	case err := <-done:
+		return errors.Is(err, io.EOF)
+	case <-timer.C:
+	}
+	if setReadDeadline(w, pastTime) {
+		<-done
 	}
-	if err := http.NewResponseController(w).SetReadDeadline(deadline); err != nil {
-		klog.V(1).InfoS("limiting the wait for an unread request body failed", "err", err)
+	return false
+}
+
+// setReadDeadline sets the deadline for reads from the caller. It returns false if w does not
+// support deadlines.
+func setReadDeadline(w http.ResponseWriter, deadline time.Time) bool {
+	err := http.NewResponseController(w).SetReadDeadline(deadline)
+	if err != nil {
+		klog.V(1).InfoS("setting the deadline for reads of a request body failed", "err", err)
 	}
+	return err == nil
 }
 
 // callerError returns the error of reading the caller's body. It returns nil at the end of the
--- a/internal/forward/stalled_test.go
+++ b/internal/forward/stalled_test.go
@@ -58,6 +58,7 @@
 	t.Helper()
 	request := "GET /smuggled HTTP/1.1\r\nHost: x\r\n" + header.Service + ": orders\r\n\r\n"
 	_, _ = fmt.Fprint(c, strings.Repeat(request, 15))
+	_ = c.Conn.(*net.TCPConn).CloseWrite()
 	resp, err := http.ReadResponse(c.r, nil)
 	if err == nil {
 		resp.Body.Close()
@@ -140,3 +141,38 @@
 		}
 	}
 }
+
+// TestConnectionServesNextRequest checks that, after a complete upload that was rejected or reached
+// its deadline, the same connection serves the next request.
+func TestConnectionServesNextRequest(t *testing.T) {
+	hanging := newFakeUpstream(t, hangs, responds)
+	e := newEntry(t, []*fakeUpstream{hanging})
+	conn, err := net.Dial("tcp", strings.TrimPrefix(e.url, "http://"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
+	r := bufio.NewReader(conn)
+	const upload = "POST /photo HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n"
+	for _, tt := range []struct {
+		request string
+		want    int
+	}{
+		{upload + header.Service + ": nosuch\r\n\r\nhello", http.StatusNotFound},
+		{upload + header.Service + ": orders\r\n" + header.Deadline + ": 100\r\n\r\nhello", http.StatusGatewayTimeout},
+		{upload + header.Service + ": orders\r\n\r\nhello", http.StatusOK},
+	} {
+		if _, err := fmt.Fprint(conn, tt.request); err != nil {
+			t.Fatal(err)
+		}
+		resp, err := http.ReadResponse(r, nil)
+		if err != nil {
+			t.Fatalf("want status %d, got no response: %v", tt.want, err)
+		}
+		_, _ = io.Copy(io.Discard, resp.Body)
+		if resp.StatusCode != tt.want || resp.Close {
+			t.Errorf("status %d, want %d; closes %v", resp.StatusCode, tt.want, resp.Close)
+		}
+	}
+}
