--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -47,8 +47,10 @@
 	overflowed bool
 	length     int64
 	current    *attemptBody
-	// interrupted is set once reads fail because the context of the call has ended.
-	interrupted atomic.Bool
+	// interrupted is set once reads fail because the context of the call has ended, and
+	// cancelInterrupt prevents that; see interruptRead.
+	interrupted     atomic.Bool
+	cancelInterrupt func()
 
 	// prefixMu guards prefix. It is separate because mu is held for as long as a read from the
 	// caller blocks.
@@ -59,7 +61,7 @@
 }
 
 func newReplayBody(r *http.Request) *replayBody {
-	return &replayBody{src: r.Body, length: r.ContentLength}
+	return &replayBody{src: r.Body, length: r.ContentLength, cancelInterrupt: func() {}}
 }
 
 // attemptBody is the request body of one attempt. The request has no GetBody, so net/http never
@@ -162,10 +164,10 @@
 
 // interruptRead makes reads of the caller's body fail once ctx ends, so that a stalled upload
 // ends at its deadline. The returned function cancels this; it must be called before the handler
-// returns.
+// returns, and may be called several times.
 func (b *replayBody) interruptRead(ctx context.Context, w http.ResponseWriter) (cancel func()) {
 	if b.length == 0 {
-		return func() {}
+		return b.cancelInterrupt
 	}
 	done := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
@@ -176,11 +178,12 @@
 		b.interrupted.Store(true)
 		setReadDeadline(w, pastTime)
 	})
-	return func() {
+	b.cancelInterrupt = sync.OnceFunc(func() {
 		if !stop() {
 			<-done
 		}
-	}
+	})
+	return b.cancelInterrupt
 }
 
 // complete reports whether the body was read to its end, without an interrupt. Only then may the
@@ -199,9 +202,10 @@
 
 // closeUnlessComplete makes the response to r close the caller's connection, unless the rest of the
 // request body arrives within unreadBodyTimeout. Without that header net/http reads the rest of the
-// body before it writes the response, so a caller that has stopped sending would get none.
-func closeUnlessComplete(w http.ResponseWriter, r *http.Request) {
-	if r.ContentLength == 0 || drain(w, r.Body) {
+// body before it writes the response, so a caller that has stopped sending would get none. body is
+// nil if nothing was read yet.
+func closeUnlessComplete(w http.ResponseWriter, r *http.Request, body *replayBody) {
+	if r.ContentLength == 0 || !body.stopInterrupt() && drain(w, r.Body) {
 		return
 	}
 	w.Header().Set("Connection", "close")
@@ -209,6 +213,15 @@
 	setReadDeadline(w, time.Now().Add(lingerTimeout))
 }
 
+// stopInterrupt cancels interruptRead and reports whether reads were interrupted before.
+func (b *replayBody) stopInterrupt() bool {
+	if b == nil {
+		return false
+	}
+	b.cancelInterrupt()
+	return b.interrupted.Load()
+}
+
 // drain reads at most maxDrainBytes of a request body within unreadBodyTimeout and reports whether
 // that reached the end of the body.
 func drain(w http.ResponseWriter, body io.Reader) bool {
--- a/internal/forward/proxy.go
+++ b/internal/forward/proxy.go
@@ -250,7 +250,7 @@
 	}()
 	snap := p.snap.Load()
 	if snap == nil {
-		p.reply(w, r, &out, p.unavailable(snap))
+		p.reply(w, r, nil, &out, p.unavailable(snap))
 		return
 	}
 	info, reqErr := p.opt.Protocol.ParseRequest(r, snap)
@@ -260,9 +260,9 @@
 	out.ID = info.ID
 	switch {
 	case p.stopping.Load():
-		p.reply(w, r, &out, p.unavailable(snap))
+		p.reply(w, r, nil, &out, p.unavailable(snap))
 	case reqErr != nil:
-		p.reply(w, r, &out, reqErr.localReply())
+		p.reply(w, r, nil, &out, reqErr.localReply())
 	default:
 		p.handle(w, r, snap, info, &out)
 	}
@@ -280,20 +280,20 @@
 	}
 	if svc == nil {
 		// A route may name a service that has no settings and no upstreams yet.
-		p.reply(w, r, out, replyFor(verdict.New(verdict.NotRun, reasonNoUpstream, nil).WithRetryAfter(unavailableRetryAfter), verdict.NotRun))
+		p.reply(w, r, nil, out, replyFor(verdict.New(verdict.NotRun, reasonNoUpstream, nil).WithRetryAfter(unavailableRetryAfter), verdict.NotRun))
 		return
 	}
 	cl := newCall(r, info, svc, p.now())
 	cl.configVersion = snap.Revision
 	if limit := p.maxBody(snap); limit > 0 {
 		if r.ContentLength > limit {
-			p.reply(w, r, out, &localReply{status: http.StatusRequestEntityTooLarge, reason: reasonTooLarge, verdict: verdict.NotRun})
+			p.reply(w, r, cl.body, out, &localReply{status: http.StatusRequestEntityTooLarge, reason: reasonTooLarge, verdict: verdict.NotRun})
 			return
 		}
 		cl.body.src = http.MaxBytesReader(w, r.Body, limit)
 	}
 	if reply := p.takeOrganisationLimit(cl); reply != nil {
-		p.reply(w, r, out, reply)
+		p.reply(w, r, cl.body, out, reply)
 		return
 	}
 	defer p.refundOrganisationLimit(cl)
@@ -307,7 +307,7 @@
 	defer release()
 	defer cl.body.interruptRead(ctx, w)()
 	if verr := p.beginPoisonCheck(ctx, cl); verr != nil {
-		p.reply(w, r, out, replyFor(verr, verdict.NotRun))
+		p.reply(w, r, cl.body, out, replyFor(verr, verdict.NotRun))
 		return
 	}
 	defer p.endPoisonCheck(cl)
@@ -330,8 +330,8 @@
 	return p.opt.MaxBody
 }
 
-func (p *Proxy) reply(w http.ResponseWriter, r *http.Request, out *Outcome, reply *localReply) {
-	closeUnlessComplete(w, r)
+func (p *Proxy) reply(w http.ResponseWriter, r *http.Request, body *replayBody, out *Outcome, reply *localReply) {
+	closeUnlessComplete(w, r, body)
 	out.Status, out.Verdict, out.Reason, out.Detail = reply.status, reply.verdict, reply.reason, reply.detail
 	reply.write(w, p.opt.Protocol, out.ID)
 }
--- a/internal/forward/serve.go
+++ b/internal/forward/serve.go
@@ -39,7 +39,7 @@
 	sheds, mustWait := 0, false
 	for {
 		if reply := p.refreshConfig(r, cl); reply != nil {
-			p.reply(w, r, out, reply.withOutcome(last, cl.outcome))
+			p.reply(w, r, cl.body, out, reply.withOutcome(last, cl.outcome))
 			return
 		}
 		choice, err := p.acquire(ctx, cl, state, regions, mustWait)
@@ -83,7 +83,7 @@
 	}
 	reply := replyFor(last, cl.outcome)
 	reply.retryAfter = max(reply.retryAfter, state.retryAfter(regions[0]))
-	p.reply(w, r, out, reply)
+	p.reply(w, r, cl.body, out, reply)
 }
 
 // mayRetry reports whether a failed attempt may be followed by another. That depends on its
--- a/internal/forward/stalled_test.go
+++ b/internal/forward/stalled_test.go
@@ -176,3 +176,38 @@
 		}
 	}
 }
+
+// TestDeadlineBeforeBodyIsRead lets the deadline of a small upload pass while it waits for an
+// upstream's limit, before anything has read its body. If the connection stays open, it must serve
+// the next request.
+func TestDeadlineBeforeBodyIsRead(t *testing.T) {
+	for range 10 {
+		e, _ := newLimitedEntry(t, "10.5", 50*time.Millisecond)
+		conn, err := net.Dial("tcp", strings.TrimPrefix(e.url, "http://"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { conn.Close() })
+		_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
+		r := bufio.NewReader(conn)
+		fmt.Fprint(conn, "POST /photo HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello")
+		resp, err := http.ReadResponse(r, nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		_, _ = io.Copy(io.Discard, resp.Body)
+		if resp.Close {
+			continue
+		}
+		time.Sleep(200 * time.Millisecond)
+		fmt.Fprint(conn, "GET /photo HTTP/1.1\r\nHost: x\r\n\r\n")
+		next, err := http.ReadResponse(r, nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		body, _ := io.ReadAll(next.Body)
+		if next.StatusCode != http.StatusOK {
+			t.Errorf("first status %d, next %d: %s", resp.StatusCode, next.StatusCode, body)
+		}
+	}
+}
--- a/test/ablate/table.go
+++ b/test/ablate/table.go
@@ -205,7 +205,7 @@
 	{"reads of stalled bodies are interrupted", "internal/forward/proxy.go",
 		"defer cl.body.interruptRead(ctx, w)()", "_ = cl.body.interruptRead", pkgForward, "StalledUpload", nil},
 	{"responses do not wait for the bodies of uploads", "internal/forward/proxy.go",
-		"\tcloseUnlessComplete(w, r)\n", "", pkgForward, "StalledUpload", nil},
+		"\tcloseUnlessComplete(w, r, body)\n", "", pkgForward, "StalledUpload", nil},
 	{"early responses of upstreams do not wait for the bodies of uploads", "internal/forward/attempt.go",
 		"if !cl.body.complete() {", "if false {", pkgForward, "StalledUpload", nil},
 	{"an organisation's limit is divided among entries", "internal/quota/bucket.go",
