--- a/internal/forward/fake_test.go
+++ b/internal/forward/fake_test.go
@@ -9,6 +9,7 @@
 	"net/http"
 	"net/http/httptest"
 	"sync"
+	"syscall"
 	"testing"
 	"time"
 
@@ -85,6 +86,36 @@
 	return f
 }
 
+// boundAddress is an address that is bound, but not listened on.
+type boundAddress struct {
+	net.Listener
+	addr net.Addr
+}
+
+// Addr implements net.Listener.
+func (b boundAddress) Addr() net.Addr { return b.addr }
+
+// newUnreachableUpstream returns an upstream whose address refuses connections. Its port stays
+// bound, so that no other listener gets it.
+func newUnreachableUpstream(t testing.TB) *fakeUpstream {
+	t.Helper()
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { syscall.Close(fd) })
+	loopback := [4]byte{127, 0, 0, 1}
+	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: loopback}); err != nil {
+		t.Fatal(err)
+	}
+	name, err := syscall.Getsockname(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	port := name.(*syscall.SockaddrInet4).Port
+	return &fakeUpstream{lis: boundAddress{addr: &net.TCPAddr{IP: net.IP(loopback[:]), Port: port}}}
+}
+
 func (f *fakeUpstream) nextBehaviour() behaviour {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -175,8 +175,7 @@
 }
 
 func TestUnreachableIsNotRun(t *testing.T) {
-	gone := newFakeUpstream(t)
-	gone.lis.Close()
+	gone := newUnreachableUpstream(t)
 	e := newEntry(t, []*fakeUpstream{gone})
 	a := e.send(t, "POST", "/x", "")
 	if a.status != http.StatusServiceUnavailable || a.verdict(t) != verdict.NotRun || a.header.Get("Retry-After") == "" {
