--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -47,6 +47,8 @@
 	overflowed bool
 	length     int64
 	current    *attemptBody
+	// ended is set once the end of the body was read.
+	ended atomic.Bool
 	// interrupted is set once reads fail because the context of the call has ended, and
 	// cancelInterrupt prevents that; see interruptRead.
 	interrupted     atomic.Bool
@@ -104,11 +106,20 @@
 	if b.err != nil {
 		return 0, b.err
 	}
+	n, err := b.readSource(p)
+	a.pos += n
+	return n, err
+}
+
+// readSource reads from the caller and keeps what may be needed again. b.mu must be held.
+func (b *replayBody) readSource(p []byte) (int, error) {
 	n, err := b.src.Read(p)
 	b.err = err
+	if errors.Is(err, io.EOF) {
+		b.ended.Store(true)
+	}
 	b.appendPrefix(p[:n])
 	b.appendBuffered(p[:n])
-	a.pos += n
 	return n, err
 }
 
@@ -148,10 +159,8 @@
 		if complete {
 			return nil
 		}
-		n, err := b.src.Read(buf[:poison.MaxBodyPrefix-len(prefix)])
-		b.err = err
-		b.appendPrefix(buf[:n])
-		b.appendBuffered(buf[:n])
+		// b.err keeps the error.
+		_, _ = b.readSource(buf[:poison.MaxBodyPrefix-len(prefix)])
 	}
 	if errors.Is(b.err, io.EOF) {
 		return nil
@@ -190,14 +199,7 @@
 // caller's connection be reused: net/http would take the rest of a body for the next request, and
 // a connection on which it waits for the next request must not get a read deadline.
 func (b *replayBody) complete() bool {
-	if b.length == 0 {
-		return true
-	}
-	if b.interrupted.Load() || !b.mu.TryLock() {
-		return false
-	}
-	defer b.mu.Unlock()
-	return errors.Is(b.err, io.EOF)
+	return b.length == 0 || b.ended.Load() && !b.interrupted.Load()
 }
 
 // closeUnlessComplete makes the response to r close the caller's connection, unless the rest of the
@@ -205,7 +207,10 @@
 // body before it writes the response, so a caller that has stopped sending would get none. body is
 // nil if nothing was read yet.
 func closeUnlessComplete(w http.ResponseWriter, r *http.Request, body *replayBody) {
-	if r.ContentLength == 0 || !body.stopInterrupt() && drain(w, r.Body) {
+	if r.ContentLength == 0 || body != nil && body.complete() {
+		return
+	}
+	if !body.stopInterrupt() && drain(w, r.Body) {
 		return
 	}
 	w.Header().Set("Connection", "close")
--- a/internal/forward/stalled_test.go
+++ b/internal/forward/stalled_test.go
@@ -17,30 +17,53 @@
 // the rest of a body before it writes the response, so a caller that has stopped sending would
 // get no response at all.
 
-// stalledConn is a caller's connection on which an upload has stalled.
-type stalledConn struct {
+// callerConn is a caller's connection, on which a test writes requests as text.
+type callerConn struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-// stalledUpload sends the head of an upload without its body and returns the response. If none
-// arrives, it fails the test and returns nil.
-func stalledUpload(t *testing.T, e *entry, framing string, fields ...string) (*http.Response, *stalledConn) {
+// dial opens a caller's connection to the entry. Reads from it fail after ten seconds.
+func (e *entry) dial(t *testing.T) *callerConn {
 	t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(e.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
+	_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
+	return &callerConn{conn, bufio.NewReader(conn)}
+}
+
+// request writes a whole request, reads the response and returns it with its body.
+func (c *callerConn) request(t *testing.T, request string) (*http.Response, string) {
+	t.Helper()
+	if _, err := fmt.Fprint(c, request); err != nil {
+		t.Fatal(err)
+	}
+	resp, err := http.ReadResponse(c.r, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	body, err := io.ReadAll(resp.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return resp, string(body)
+}
+
+// stalledUpload sends the head of an upload without its body and returns the response. If none
+// arrives, it fails the test and returns nil.
+func stalledUpload(t *testing.T, e *entry, framing string, fields ...string) (*http.Response, *callerConn) {
+	t.Helper()
+	c := e.dial(t)
 	head := "POST /photo HTTP/1.1\r\nHost: x\r\n" + framing + "\r\n"
 	for i := 0; i < len(fields); i += 2 {
 		head += fields[i] + ": " + fields[i+1] + "\r\n"
 	}
-	if _, err := fmt.Fprint(conn, head+"\r\n"); err != nil {
+	if _, err := fmt.Fprint(c, head+"\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
-	c := &stalledConn{conn, bufio.NewReader(conn)}
 	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil {
 		t.Errorf("%s: no response: %v", framing, err)
@@ -54,7 +77,7 @@
 
 // checkRestIsNoRequest sends a part of the body that looks like requests, and checks that none of
 // them is served: the connection must be closed.
-func (c *stalledConn) checkRestIsNoRequest(t *testing.T, framing string) {
+func (c *callerConn) checkRestIsNoRequest(t *testing.T, framing string) {
 	t.Helper()
 	request := "GET /smuggled HTTP/1.1\r\nHost: x\r\n" + header.Service + ": orders\r\n\r\n"
 	_, _ = fmt.Fprint(c, strings.Repeat(request, 15))
@@ -145,15 +168,7 @@
 // TestConnectionServesNextRequest checks that, after a complete upload that was rejected or reached
 // its deadline, the same connection serves the next request.
 func TestConnectionServesNextRequest(t *testing.T) {
-	hanging := newFakeUpstream(t, hangs, responds)
-	e := newEntry(t, []*fakeUpstream{hanging})
-	conn, err := net.Dial("tcp", strings.TrimPrefix(e.url, "http://"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { conn.Close() })
-	_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
-	r := bufio.NewReader(conn)
+	c := newEntry(t, []*fakeUpstream{newFakeUpstream(t, hangs, responds)}).dial(t)
 	const upload = "POST /photo HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n"
 	for _, tt := range []struct {
 		request string
@@ -163,14 +178,7 @@
 		{upload + header.Service + ": orders\r\n" + header.Deadline + ": 100\r\n\r\nhello", http.StatusGatewayTimeout},
 		{upload + header.Service + ": orders\r\n\r\nhello", http.StatusOK},
 	} {
-		if _, err := fmt.Fprint(conn, tt.request); err != nil {
-			t.Fatal(err)
-		}
-		resp, err := http.ReadResponse(r, nil)
-		if err != nil {
-			t.Fatalf("want status %d, got no response: %v", tt.want, err)
-		}
-		_, _ = io.Copy(io.Discard, resp.Body)
+		resp, _ := c.request(t, tt.request)
 		if resp.StatusCode != tt.want || resp.Close {
 			t.Errorf("status %d, want %d; closes %v", resp.StatusCode, tt.want, resp.Close)
 		}
@@ -183,31 +191,15 @@
 func TestDeadlineBeforeBodyIsRead(t *testing.T) {
 	for range 10 {
 		e, _ := newLimitedEntry(t, "10.5", 50*time.Millisecond)
-		conn, err := net.Dial("tcp", strings.TrimPrefix(e.url, "http://"))
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { conn.Close() })
-		_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
-		r := bufio.NewReader(conn)
-		fmt.Fprint(conn, "POST /photo HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello")
-		resp, err := http.ReadResponse(r, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		_, _ = io.Copy(io.Discard, resp.Body)
-		if resp.Close {
+		c := e.dial(t)
+		first, _ := c.request(t, "POST /photo HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello")
+		if first.Close {
 			continue
 		}
 		time.Sleep(200 * time.Millisecond)
-		fmt.Fprint(conn, "GET /photo HTTP/1.1\r\nHost: x\r\n\r\n")
-		next, err := http.ReadResponse(r, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		body, _ := io.ReadAll(next.Body)
+		next, body := c.request(t, "GET /photo HTTP/1.1\r\nHost: x\r\n\r\n")
 		if next.StatusCode != http.StatusOK {
-			t.Errorf("first status %d, next %d: %s", resp.StatusCode, next.StatusCode, body)
+			t.Errorf("first status %d, next %d: %s", first.StatusCode, next.StatusCode, body)
 		}
 	}
 }
